--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ActiveRequest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ActiveRequest.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.placement.TargetLoad;
 
 /**
- * The mutable record of one request while the traffic core holds it.
+ * The mutable state of a request from its admission until it completes or fails.
  */
 final class ActiveRequest {
 
@@ -51,6 +51,7 @@
 
 	long progressAtNanos;
 
+	/** Unrestricted at first; halved so that differences of times do not overflow. */
 	long earliestStartNanos = Long.MIN_VALUE / 2;
 
 	long attemptStartedAtNanos;
@@ -59,6 +60,7 @@
 
 	boolean completed;
 
+	/** The offset of the granted claim on the log; -1 without one. */
 	long claimOffset = -1;
 
 	ActiveRequest(RequestInfo info, long arrivedAtNanos) {
@@ -67,8 +69,8 @@
 	}
 
 	/**
-	 * Returns how many of the attempts that the request may have are used up.
-	 * @return the number of attempts that were begun and not withheld
+	 * Returns how many attempts count against the request's limit.
+	 * @return the number of attempts that were started and not withheld
 	 */
 	int usedAttempts() {
 		return this.startedAttempts - this.withheldAttempts;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ActiveRequests.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ActiveRequests.java
@@ -10,12 +10,17 @@
 import org.pistachioline.core.error.RunState;
 
 /**
- * The requests that have not ended, and how each of them ends: once, with a truthful run
- * state, with its target, its limits and its claim given back.
+ * Holds the requests that have not ended and the actions that are due for them.
+ * <p>
+ * Every request ends exactly once, with a correct run state, and releases its target, its
+ * share of the workspace's limits and its claim.
  */
 final class ActiveRequests {
 
-	/** Whoever may come back is told when: one who is told nothing comes at once. */
+	/**
+	 * The shortest delay that a caller which may retry is given; without a stated delay
+	 * callers retry immediately.
+	 */
 	static final long MIN_RETRY_AFTER_MILLIS = 500;
 
 	private static final long LIMBO_RETRY_AFTER_MILLIS = 1_000;
@@ -35,24 +40,29 @@
 	private final List<TrafficAction> actions = new ArrayList<>();
 
 	ActiveRequests(TrafficPolicies policies, TargetRegistry targets, SuspectIsolation isolation,
-			RedispatchQueue resumptions) {
+			RedispatchQueue redispatchQueue) {
 		this.policies = policies;
 		this.targets = targets;
 		this.isolation = isolation;
-		this.redispatchQueue = resumptions;
+		this.redispatchQueue = redispatchQueue;
 	}
 
-	void add(ActiveRequest flight) {
-		this.requestsById.put(flight.info.requestId(), flight);
+	void add(ActiveRequest request) {
+		this.requestsById.put(request.info.requestId(), request);
 	}
 
 	ActiveRequest get(long requestId) {
 		return this.requestsById.get(requestId);
 	}
 
+	/**
+	 * Finds the request whose live attempt is the given one.
+	 * @param attempt the attempt
+	 * @return the request; null if the attempt has ended or was replaced
+	 */
 	ActiveRequest findLive(AttemptId attempt) {
-		final ActiveRequest flight = this.requestsById.get(attempt.requestId());
-		return (flight != null && attempt.equals(flight.liveAttempt)) ? flight : null;
+		final ActiveRequest request = this.requestsById.get(attempt.requestId());
+		return (request != null && attempt.equals(request.liveAttempt)) ? request : null;
 	}
 
 	List<ActiveRequest> all() {
@@ -73,65 +83,78 @@
 		return drained;
 	}
 
+	/**
+	 * Releases a claim that was granted after its request had ended.
+	 * @param requestId the request
+	 * @param verdict the result of the claim
+	 * @param claimOffset the claim's offset, if it was granted
+	 */
 	void releaseAbandonedClaim(long requestId, ClaimVerdict verdict, long claimOffset) {
 		final RequestInfo info = this.abandonedClaims.remove(requestId);
-		// The request ended as not run while its claim was on the way. Kept, the claim
-		// would bar the caller's repeats of something that never ran.
+		// The request ended as "not run" while its claim was pending. If the claim were
+		// kept, it would block the caller's retries of a request that never ran.
 		if (info != null && verdict == ClaimVerdict.GRANTED) {
 			this.actions.add(new TrafficAction.Release(requestId, info, claimOffset));
 		}
 	}
 
-	void detachFromTarget(long nowNanos, ActiveRequest flight, AttemptOutcome how) {
-		flight.liveAttempt = null;
-		flight.migrating = false;
-		flight.load.onEnd(nowNanos, flight.info.costTokens(), how);
-		this.targets.refresh(nowNanos, flight.info, flight.load);
-		this.isolation.release(flight);
+	void detachFromTarget(long nowNanos, ActiveRequest request, AttemptOutcome outcome) {
+		request.liveAttempt = null;
+		request.migrating = false;
+		request.load.onEnd(nowNanos, request.info.costTokens(), outcome);
+		this.targets.refresh(nowNanos, request.info, request.load);
+		this.isolation.release(request);
 	}
 
-	void fail(long nowNanos, ActiveRequest flight, ErrorKind kind, long retryAfterMillis) {
-		if (flight.liveAttempt != null) {
-			this.actions.add(new TrafficAction.Cancel(flight.liveAttempt));
-			detachFromTarget(nowNanos, flight, AttemptOutcome.CANCELLED);
+	void fail(long nowNanos, ActiveRequest request, ErrorKind kind, long retryAfterMillis) {
+		if (request.liveAttempt != null) {
+			this.actions.add(new TrafficAction.Cancel(request.liveAttempt));
+			detachFromTarget(nowNanos, request, AttemptOutcome.CANCELLED);
 		}
-		if (flight.claimOffset >= 0 && !flight.mayHaveSentBytes()) {
-			this.actions.add(new TrafficAction.Release(flight.info.requestId(), flight.info, flight.claimOffset));
+		if (request.claimOffset >= 0 && !request.mayHaveSentBytes()) {
+			this.actions.add(new TrafficAction.Release(request.info.requestId(), request.info, request.claimOffset));
 		}
-		remove(nowNanos, flight);
-		final long afterMillis = kind.retryable() ? Math.max(retryAfterMillis, MIN_RETRY_AFTER_MILLIS)
+		remove(nowNanos, request);
+		final long delayMillis = kind.retryable() ? Math.max(retryAfterMillis, MIN_RETRY_AFTER_MILLIS)
 				: retryAfterMillis;
-		this.actions.add(new TrafficAction.Fail(flight.info.requestId(), kind, runStateOf(kind, flight), afterMillis));
+		this.actions
+			.add(new TrafficAction.Fail(request.info.requestId(), kind, runStateOf(kind, request), delayMillis));
 	}
 
-	void failInLimbo(long nowNanos, ActiveRequest flight) {
-		remove(nowNanos, flight);
-		this.actions.add(new TrafficAction.Fail(flight.info.requestId(), ErrorKind.CLAIM_UNAVAILABLE, RunState.UNKNOWN,
+	/**
+	 * Fails a request whose claim could not be checked, as claim records may be missing.
+	 * An earlier request with its key may have run, so the run state is unknown.
+	 * @param nowNanos the monotonic time
+	 * @param request the request
+	 */
+	void failInLimbo(long nowNanos, ActiveRequest request) {
+		remove(nowNanos, request);
+		this.actions.add(new TrafficAction.Fail(request.info.requestId(), ErrorKind.CLAIM_UNAVAILABLE, RunState.UNKNOWN,
 				LIMBO_RETRY_AFTER_MILLIS));
 	}
 
-	// A kind that says "not run" by itself must not be used once bytes have left, and
-	// what
-	// another request with the same key did is not known here.
-	private static RunState runStateOf(ErrorKind kind, ActiveRequest flight) {
-		final boolean keyed = kind == ErrorKind.KEY_IN_PROGRESS || kind == ErrorKind.OUTCOME_UNKNOWN
+	// An error kind that implies "not run" must not be combined with bytes that may have
+	// been sent, so the request's own state counts. For kinds that refer to an earlier
+	// request with the same key, it is not known here whether that one ran.
+	private static RunState runStateOf(ErrorKind kind, ActiveRequest request) {
+		final boolean refersToEarlierRequest = kind == ErrorKind.KEY_IN_PROGRESS || kind == ErrorKind.OUTCOME_UNKNOWN
 				|| kind == ErrorKind.KEY_EXPIRED;
-		return keyed ? RunState.UNKNOWN : flight.runState();
+		return refersToEarlierRequest ? RunState.UNKNOWN : request.runState();
 	}
 
-	void remove(long nowNanos, ActiveRequest flight) {
-		this.requestsById.remove(flight.info.requestId());
-		if (flight.queued) {
-			this.policies.queue().remove(flight.info.requestId());
+	void remove(long nowNanos, ActiveRequest request) {
+		this.requestsById.remove(request.info.requestId());
+		if (request.queued) {
+			this.policies.queue().remove(request.info.requestId());
 		}
 		this.policies.queue()
-			.onEnded(nowNanos, flight.info, flight.completed, flight.tokensDelivered,
-					nowNanos - flight.attemptStartedAtNanos);
-		this.redispatchQueue.remove(flight);
-		if (flight.claimPending) {
-			this.abandonedClaims.put(flight.info.requestId(), flight.info);
+			.onEnded(nowNanos, request.info, request.completed, request.tokensDelivered,
+					nowNanos - request.attemptStartedAtNanos);
+		this.redispatchQueue.remove(request);
+		if (request.claimPending) {
+			this.abandonedClaims.put(request.info.requestId(), request.info);
 		}
-		this.policies.admission().release(nowNanos, flight.info);
+		this.policies.admission().release(nowNanos, request.info);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptId.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptId.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.traffic;
 
 /**
- * Names one attempt at one request, so that an answer can be matched to it.
+ * Identifies one attempt at a request, so that a response can be matched to it.
  *
  * @param requestId the request
  * @param number the attempt's number, from 1
@@ -9,8 +9,8 @@
 public record AttemptId(long requestId, int number) {
 
 	/**
-	 * Returns the form on the wire.
-	 * @return such as {@code 17-1}
+	 * Returns the form that is sent to the target and expected back in its response.
+	 * @return the id, such as {@code 17-1}
 	 */
 	public String wireForm() {
 		return this.requestId + "-" + this.number;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcome.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcome.java
@@ -1,35 +1,38 @@
 package org.pistachioline.core.traffic;
 
 /**
- * How an attempt ended.
+ * How an attempt to run a request at a target ended.
  */
 public enum AttemptOutcome {
 
-	/** The answer came in full. */
+	/** The complete response was received. */
 	COMPLETE,
 
-	/** No connection was made, so no byte was sent. */
+	/** No connection was established, so no byte was sent. */
 	NOT_CONNECTED,
 
 	/** The target refused the attempt before running it. */
 	REFUSED,
 
-	/** The target said that it has not run the attempt and never will. */
+	/** The target stated that it has not run the attempt and never will. */
 	DECLINED,
 
-	/** The target ran the attempt and answered with a failure of its own. */
+	/** The target ran the attempt and returned an error response. */
 	FAILURE_ANSWERED,
 
 	/** The connection broke or the target failed after bytes were sent. */
 	BROKEN,
 
-	/** The answer did not match the attempt. */
+	/** The response did not match the attempt. */
 	MISMATCHED,
 
-	/** The attempt was cancelled by this daemon. */
+	/** This daemon cancelled the attempt. */
 	CANCELLED,
 
-	/** It was not sent: the target wanted nothing any more when its turn came. */
+	/**
+	 * The attempt was never sent: by the time it was due, the target no longer accepted
+	 * requests.
+	 */
 	WITHHELD
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcomeHandler.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcomeHandler.java
@@ -4,8 +4,8 @@
 import org.pistachioline.core.retry.RetryDecision;
 
 /**
- * Decides what becomes of a request whose attempt has ended: it is done, goes on at
- * another target, or is given up.
+ * Decides how a request continues when its attempt has ended: it completes, is dispatched
+ * to another target, or fails.
  */
 final class AttemptOutcomeHandler {
 
@@ -23,121 +23,124 @@
 
 	private final DeadlineAdmission deadlineAdmission;
 
-	AttemptOutcomeHandler(TrafficPolicies policies, ActiveRequests flights, TargetSelector chooser,
-			SuspectTracker suspects, Dispatcher dispatcher, DeadlineAdmission guard) {
+	AttemptOutcomeHandler(TrafficPolicies policies, ActiveRequests activeRequests, TargetSelector selector,
+			SuspectTracker suspectTracker, Dispatcher dispatcher, DeadlineAdmission deadlineAdmission) {
 		this.policies = policies;
-		this.activeRequests = flights;
-		this.selector = chooser;
-		this.suspectTracker = suspects;
+		this.activeRequests = activeRequests;
+		this.selector = selector;
+		this.suspectTracker = suspectTracker;
 		this.dispatcher = dispatcher;
-		this.deadlineAdmission = guard;
+		this.deadlineAdmission = deadlineAdmission;
 	}
 
 	/**
-	 * Takes the end of a request's live attempt.
+	 * Handles the end of a request's live attempt.
 	 * @param nowNanos the monotonic time
-	 * @param flight the request
-	 * @param how how the attempt ended
-	 * @param tokensDelivered the tokens that the caller has in all
+	 * @param request the request
+	 * @param outcome how the attempt ended
+	 * @param tokensDelivered the total number of tokens that the caller has received
 	 */
-	void onAttemptEnd(long nowNanos, ActiveRequest flight, AttemptOutcome how, int tokensDelivered) {
-		if (flight.attemptHasOutput) {
-			flight.load.onTokens(nowNanos, flight.progressAtNanos, tokensDelivered - flight.tokensDelivered, false);
+	void onAttemptEnd(long nowNanos, ActiveRequest request, AttemptOutcome outcome, int tokensDelivered) {
+		if (request.attemptHasOutput) {
+			request.load.onTokens(nowNanos, request.progressAtNanos, tokensDelivered - request.tokensDelivered, false);
 		}
-		flight.tokensDelivered = Math.max(flight.tokensDelivered, tokensDelivered);
-		if (how == AttemptOutcome.WITHHELD) {
-			onWithheld(nowNanos, flight);
+		request.tokensDelivered = Math.max(request.tokensDelivered, tokensDelivered);
+		if (outcome == AttemptOutcome.WITHHELD) {
+			onWithheld(nowNanos, request);
 			return;
 		}
-		final boolean shifted = flight.migrating;
-		// A target that delivered something cannot say any more that it ran nothing.
-		if (how == AttemptOutcome.NOT_CONNECTED || (how == AttemptOutcome.DECLINED && !flight.attemptHasOutput)) {
-			flight.sentAttempts--;
+		final boolean migrated = request.migrating;
+		// A target that has delivered output cannot claim afterwards that it ran nothing.
+		if (outcome == AttemptOutcome.NOT_CONNECTED
+				|| (outcome == AttemptOutcome.DECLINED && !request.attemptHasOutput)) {
+			request.sentAttempts--;
 		}
-		this.activeRequests.detachFromTarget(nowNanos, flight, shifted ? outcomeOfMigration(flight) : how);
-		if (how == AttemptOutcome.COMPLETE) {
-			flight.hasRun = true;
-			flight.completed = true;
-			this.policies.quarantine().onSurvived(flight.info.fingerprint(), true);
-			this.activeRequests.remove(nowNanos, flight);
+		this.activeRequests.detachFromTarget(nowNanos, request, migrated ? outcomeOfMigration(request) : outcome);
+		if (outcome == AttemptOutcome.COMPLETE) {
+			request.hasRun = true;
+			request.completed = true;
+			this.policies.quarantine().onSurvived(request.info.fingerprint(), true);
+			this.activeRequests.remove(nowNanos, request);
 			this.policies.retry().onSuccess(nowNanos);
-			this.activeRequests.addAction(new TrafficAction.Finish(flight.info.requestId()));
+			this.activeRequests.addAction(new TrafficAction.Finish(request.info.requestId()));
 			return;
 		}
-		if (shifted) {
-			this.dispatcher.startOrEnqueue(nowNanos, flight);
+		if (migrated) {
+			this.dispatcher.startOrEnqueue(nowNanos, request);
 			return;
 		}
-		if (how == AttemptOutcome.BROKEN) {
-			flight.earliestStartNanos = nowNanos + this.policies.quarantine().pauseNanos(flight.info.fingerprint());
-			this.suspectTracker.onBrokenAttempt(nowNanos, flight);
+		if (outcome == AttemptOutcome.BROKEN) {
+			request.earliestStartNanos = nowNanos + this.policies.quarantine().pauseNanos(request.info.fingerprint());
+			this.suspectTracker.onBrokenAttempt(nowNanos, request);
 		}
-		else if (how == AttemptOutcome.FAILURE_ANSWERED) {
-			this.policies.quarantine().onAnswered(flight.info.fingerprint());
+		else if (outcome == AttemptOutcome.FAILURE_ANSWERED) {
+			this.policies.quarantine().onAnswered(request.info.fingerprint());
 		}
-		afterFailure(nowNanos, flight, how);
+		afterFailure(nowNanos, request, outcome);
 	}
 
-	// Nothing left this daemon, so neither the request nor the target is charged with it.
-	private void onWithheld(long nowNanos, ActiveRequest flight) {
-		flight.sentAttempts--;
-		flight.withheldAttempts++;
-		flight.triedTargetIds.remove(flight.target.targetId());
-		this.activeRequests.detachFromTarget(nowNanos, flight, AttemptOutcome.WITHHELD);
-		if (this.selector.canBePlaced(flight)) {
-			this.dispatcher.startOrEnqueue(nowNanos, flight);
+	// Nothing was sent, so the attempt counts neither against the request's limit of
+	// attempts nor against the target, which may be selected again.
+	private void onWithheld(long nowNanos, ActiveRequest request) {
+		request.sentAttempts--;
+		request.withheldAttempts++;
+		request.triedTargetIds.remove(request.target.targetId());
+		this.activeRequests.detachFromTarget(nowNanos, request, AttemptOutcome.WITHHELD);
+		if (this.selector.canBePlaced(request)) {
+			this.dispatcher.startOrEnqueue(nowNanos, request);
 		}
 		else {
-			failWithOutcome(nowNanos, flight, AttemptOutcome.WITHHELD);
+			failWithOutcome(nowNanos, request, AttemptOutcome.WITHHELD);
 		}
 	}
 
-	// A target that stood still is held to have failed, so that others are not sent
-	// there;
-	// one that merely drains did nothing wrong.
-	private static AttemptOutcome outcomeOfMigration(ActiveRequest flight) {
-		return flight.targetStalled ? AttemptOutcome.BROKEN : AttemptOutcome.CANCELLED;
+	// A target that stalled is recorded as failed, so that fewer requests are sent to it.
+	// A target that is only draining is not at fault.
+	private static AttemptOutcome outcomeOfMigration(ActiveRequest request) {
+		return request.targetStalled ? AttemptOutcome.BROKEN : AttemptOutcome.CANCELLED;
 	}
 
-	private void afterFailure(long nowNanos, ActiveRequest flight, AttemptOutcome how) {
-		if (this.policies.quarantine().isQuarantined(flight.info.fingerprint())) {
-			this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+	private void afterFailure(long nowNanos, ActiveRequest request, AttemptOutcome outcome) {
+		if (this.policies.quarantine().isQuarantined(request.info.fingerprint())) {
+			this.activeRequests.fail(nowNanos, request, ErrorKind.QUARANTINED, 0);
 			return;
 		}
-		final boolean sendable = flight.info.idempotent() || !flight.mayHaveSentBytes();
-		final RetryDecision decision = (sendable && flight.usedAttempts() < flight.info.maxAttempts())
-				? this.policies.retry().afterFailure(nowNanos, flight.info, flight.usedAttempts(), how)
+		final boolean retryable = request.info.idempotent() || !request.mayHaveSentBytes();
+		final RetryDecision decision = (retryable && request.usedAttempts() < request.info.maxAttempts())
+				? this.policies.retry().afterFailure(nowNanos, request.info, request.usedAttempts(), outcome)
 				: RetryDecision.GIVE_UP;
-		if (decision == RetryDecision.RETRY && this.selector.canBePlaced(flight)) {
-			this.dispatcher.startOrEnqueue(nowNanos, flight);
+		if (decision == RetryDecision.RETRY && this.selector.canBePlaced(request)) {
+			this.dispatcher.startOrEnqueue(nowNanos, request);
 			return;
 		}
-		failWithOutcome(nowNanos, flight, how);
+		failWithOutcome(nowNanos, request, outcome);
 	}
 
-	private void failWithOutcome(long nowNanos, ActiveRequest flight, AttemptOutcome how) {
-		this.activeRequests.fail(nowNanos, flight, errorKindOf(flight, how),
-				this.deadlineAdmission.retryAfterMillis(nowNanos, flight.info, RETRY_AFTER_MILLIS));
+	private void failWithOutcome(long nowNanos, ActiveRequest request, AttemptOutcome outcome) {
+		this.activeRequests.fail(nowNanos, request, errorKindOf(request, outcome),
+				this.deadlineAdmission.retryAfterMillis(nowNanos, request.info, RETRY_AFTER_MILLIS));
 	}
 
-	// Where every target declined, the caller may be told so: it did not run anywhere.
-	private static ErrorKind errorKindOf(ActiveRequest flight, AttemptOutcome how) {
-		if ((how == AttemptOutcome.DECLINED || how == AttemptOutcome.WITHHELD) && !flight.mayHaveSentBytes()) {
+	// If every target declined, the request has not run anywhere, which the error kind
+	// tells the caller.
+	private static ErrorKind errorKindOf(ActiveRequest request, AttemptOutcome outcome) {
+		if ((outcome == AttemptOutcome.DECLINED || outcome == AttemptOutcome.WITHHELD) && !request.mayHaveSentBytes()) {
 			return ErrorKind.NO_CAPACITY;
 		}
-		return (how == AttemptOutcome.MISMATCHED) ? ErrorKind.TARGET_PROTOCOL : ErrorKind.TARGET_FAILED;
+		return (outcome == AttemptOutcome.MISMATCHED) ? ErrorKind.TARGET_PROTOCOL : ErrorKind.TARGET_FAILED;
 	}
 
 	/**
-	 * Gives up those who wait for a target that will not come: none serves any more that
-	 * they have not failed at, or all want nothing until their time is up.
+	 * Fails the requests that wait for another target but can get none before their
+	 * deadline: no serving target is left that they have not tried, or all of those
+	 * refuse new requests until then.
 	 * @param nowNanos the monotonic time
 	 */
 	void failUnplaceable(long nowNanos) {
-		for (final ActiveRequest flight : this.activeRequests.all()) {
-			if (flight.awaitingRedispatch && flight.startedAttempts > 0 && !this.selector.canBePlaced(flight)) {
-				failWithOutcome(nowNanos, flight,
-						flight.mayHaveSentBytes() ? AttemptOutcome.BROKEN : AttemptOutcome.DECLINED);
+		for (final ActiveRequest request : this.activeRequests.all()) {
+			if (request.awaitingRedispatch && request.startedAttempts > 0 && !this.selector.canBePlaced(request)) {
+				failWithOutcome(nowNanos, request,
+						request.mayHaveSentBytes() ? AttemptOutcome.BROKEN : AttemptOutcome.DECLINED);
 			}
 		}
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ClaimRequirement.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ClaimRequirement.java
@@ -1,23 +1,26 @@
 package org.pistachioline.core.traffic;
 
 /**
- * The claim that a non-idempotent request needs before it is dispatched.
+ * The claim on an idempotency key that a non-idempotent request must hold before it is
+ * dispatched.
  *
- * @param keyHash the hash of the idempotency key; empty where no claim is needed
- * @param requestDigest the digest of the request, to tell a reused key
+ * @param keyHash the hash of the idempotency key; empty if no claim is required
+ * @param requestDigest the digest of the request, which detects a key that is reused for
+ * another request
  * @param lifetimeMillis how long the key is remembered
- * @param runBoundMillis after how long a claim without an outcome counts as unknown; past
- * the time that the service may take, so that its claimer must have gone
+ * @param runBoundMillis the age at which a claim without an outcome counts as unknown; it
+ * exceeds the time that the service may take, so the claimer must have failed by then
  */
 public record ClaimRequirement(String keyHash, String requestDigest, long lifetimeMillis, long runBoundMillis) {
 
 	private static final long DEFAULT_RUN_BOUND_MILLIS = 60_000;
 
-	/** No claim is needed. */
+	/** No claim is required. */
 	public static final ClaimRequirement NONE = new ClaimRequirement("", "", 0);
 
 	/**
-	 * Creates a need with a bound for services of unknown duration.
+	 * Creates a requirement with the default run bound, for services whose duration is
+	 * not known.
 	 * @param keyHash the hash of the idempotency key
 	 * @param requestDigest the digest of the request
 	 * @param lifetimeMillis how long the key is remembered
@@ -27,7 +30,7 @@
 	}
 
 	/**
-	 * Returns whether a claim is needed.
+	 * Returns whether a claim is required.
 	 * @return whether there is a key
 	 */
 	public boolean isRequired() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ClaimVerdict.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ClaimVerdict.java
@@ -1,33 +1,34 @@
 package org.pistachioline.core.traffic;
 
 /**
- * What came of a claim on the log.
+ * The result of an attempt to claim an idempotency key on the log.
  */
 public enum ClaimVerdict {
 
-	/** The claim is ours: the request may be dispatched. */
+	/** The claim was granted to this request, which may be dispatched. */
 	GRANTED,
 
-	/** Another request holds the key and runs. */
+	/** Another request holds the key and is running. */
 	IN_PROGRESS,
 
-	/** The key's outcome is stored. */
+	/** The outcome of the key's first request is stored. */
 	SETTLED,
 
-	/** The key's request may have run; nothing more is known. */
+	/** The key's first request may have run; its outcome is not known. */
 	UNKNOWN,
 
-	/** The key was used with another request. */
+	/** The key was used before with a different request. */
 	REUSED,
 
 	/** The key's lifetime has passed. */
 	EXPIRED,
 
-	/** No claim could be made. */
+	/** The claim could not be made. */
 	UNAVAILABLE,
 
 	/**
-	 * Claims may be missing here, so that the key may have run unknown to this daemon.
+	 * Claim records may be missing from this daemon's state, so a request with this key
+	 * may have run without this daemon knowing.
 	 */
 	LIMBO
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
@@ -10,11 +10,12 @@
 import org.pistachioline.core.placement.TargetSet;
 
 /**
- * Refuses the requests whose turn cannot come in time since all their targets take less
- * than they have room for.
+ * Refuses requests that cannot start before their deadline because all of their targets
+ * are rate-limited or in backoff.
  * <p>
- * The queue expects its wait from what runs; where the targets name limits or want
- * nothing for a while it would keep callers until their time is up.
+ * The queue estimates waiting times from the requests that are running. When targets
+ * state rate limits or ask for backoff, free slots do not mean that a request can start,
+ * and the queue alone would hold callers until their deadline.
  */
 final class DeadlineAdmission {
 
@@ -26,42 +27,44 @@
 
 	private final ActiveRequests activeRequests;
 
-	DeadlineAdmission(TargetRegistry targets, ActiveRequests flights) {
+	DeadlineAdmission(TargetRegistry targets, ActiveRequests activeRequests) {
 		this.targets = targets;
-		this.activeRequests = flights;
+		this.activeRequests = activeRequests;
 	}
 
 	/**
-	 * Decides whether a request that comes now can still be served in time.
+	 * Checks whether a new request can still be served in time.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @return the refusal; empty where it can, or nothing stands in its way
+	 * @return the refusal; empty if the request can be served in time, or if limits and
+	 * backoffs do not restrict its targets
 	 */
 	Optional<Refusal> check(long nowNanos, RequestInfo info) {
 		final Optional<PacedSupply> supply = pacedSupply(nowNanos, info);
 		if (supply.isEmpty()) {
 			return Optional.empty();
 		}
-		final int others = queuedByName().getOrDefault(nameKey(info), 0);
-		return check(nowNanos, info, supply.get(), others, others);
+		final int queued = queuedByName().getOrDefault(nameKey(info), 0);
+		return check(nowNanos, info, supply.get(), queued, queued);
 	}
 
 	/**
-	 * Refuses those who wait and whose turn cannot come in time any more.
+	 * Fails the queued requests that can no longer be served in time.
 	 * @param nowNanos the monotonic time
 	 */
 	void recheckQueued(long nowNanos) {
-		final Map<String, Integer> waiting = queuedByName();
+		final Map<String, Integer> queued = queuedByName();
 		final Map<String, Integer> ahead = new HashMap<>();
-		for (final ActiveRequest flight : this.activeRequests.all()) {
-			final Optional<PacedSupply> supply = flight.queued ? pacedSupply(nowNanos, flight.info) : Optional.empty();
+		for (final ActiveRequest request : this.activeRequests.all()) {
+			final Optional<PacedSupply> supply = request.queued ? pacedSupply(nowNanos, request.info)
+					: Optional.empty();
 			if (supply.isPresent()) {
-				final String name = nameKey(flight.info);
-				final Optional<Refusal> refusal = check(nowNanos, flight.info, supply.get(),
-						ahead.getOrDefault(name, 0), waiting.get(name) - 1);
+				final String name = nameKey(request.info);
+				final Optional<Refusal> refusal = check(nowNanos, request.info, supply.get(),
+						ahead.getOrDefault(name, 0), queued.get(name) - 1);
 				if (refusal.isPresent()) {
-					this.activeRequests.fail(nowNanos, flight, refusal.get().kind(), refusal.get().retryAfterMillis());
-					waiting.merge(name, -1, Integer::sum);
+					this.activeRequests.fail(nowNanos, request, refusal.get().kind(), refusal.get().retryAfterMillis());
+					queued.merge(name, -1, Integer::sum);
 				}
 				else {
 					ahead.merge(name, 1, Integer::sum);
@@ -71,7 +74,7 @@
 	}
 
 	/**
-	 * Lets time pass: whoever waits in vain by now is told so.
+	 * Fails the queued requests that have become unservable since the last check.
 	 * @param nowNanos the monotonic time
 	 */
 	void onTick(long nowNanos) {
@@ -81,16 +84,18 @@
 	}
 
 	/**
-	 * Returns when a request that its targets turned away may come back.
+	 * Returns after which delay the caller of a request that its targets turned away may
+	 * retry.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @param usualMillis when it may where nothing is known of what the targets take
-	 * @return the time, in milliseconds
+	 * @param defaultMillis the minimum delay, which also applies if the targets have
+	 * neither limits nor backoffs
+	 * @return the delay, in milliseconds
 	 */
-	long retryAfterMillis(long nowNanos, RequestInfo info, long usualMillis) {
+	long retryAfterMillis(long nowNanos, RequestInfo info, long defaultMillis) {
 		return pacedSupply(nowNanos, info)
-			.map((supply) -> Math.max(usualMillis, refusal(info, supply, 0).retryAfterMillis()))
-			.orElse(usualMillis);
+			.map((supply) -> Math.max(defaultMillis, refusal(info, supply, 0).retryAfterMillis()))
+			.orElse(defaultMillis);
 	}
 
 	private Optional<PacedSupply> pacedSupply(long nowNanos, RequestInfo info) {
@@ -99,23 +104,25 @@
 	}
 
 	private Map<String, Integer> queuedByName() {
-		final Map<String, Integer> waiting = new HashMap<>();
+		final Map<String, Integer> queued = new HashMap<>();
 		this.activeRequests.all()
 			.stream()
-			.filter((flight) -> flight.queued)
-			.forEach((flight) -> waiting.merge(nameKey(flight.info), 1, Integer::sum));
-		return waiting;
+			.filter((request) -> request.queued)
+			.forEach((request) -> queued.merge(nameKey(request.info), 1, Integer::sum));
+		return queued;
 	}
 
 	private static String nameKey(RequestInfo info) {
 		return info.targetKind() + info.name();
 	}
 
-	// Whoever is late while others wait is overtaken by those who are on time; where a
-	// target takes all that waits as soon as its rest is over, nobody is.
-	private static Optional<Refusal> check(long nowNanos, RequestInfo info, PacedSupply supply, int ahead, int others) {
+	// A request past its soft deadline is overtaken by requests that are still on time,
+	// so with others in the queue it must start by the soft deadline. The end of a
+	// backoff releases all queued requests at once, so no request is overtaken then.
+	private static Optional<Refusal> check(long nowNanos, RequestInfo info, PacedSupply supply, int ahead,
+			int othersQueued) {
 		final long halfNanos = (info.firstTokenDeadlineNanos() - nowNanos) / 2;
-		final long allowedNanos = (others > 0) ? info.softDeadlineNanos() - nowNanos : halfNanos;
+		final long allowedNanos = (othersQueued > 0) ? info.softDeadlineNanos() - nowNanos : halfNanos;
 		if (supply.openWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
 			return Optional.empty();
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Dispatcher.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Dispatcher.java
@@ -24,97 +24,100 @@
 
 	private final RedispatchQueue redispatchQueue;
 
-	Dispatcher(TrafficPolicies policies, ActiveRequests flights, TargetRegistry targets, TargetSelector chooser,
-			SuspectIsolation isolation, RedispatchQueue resumptions) {
+	Dispatcher(TrafficPolicies policies, ActiveRequests activeRequests, TargetRegistry targets, TargetSelector selector,
+			SuspectIsolation isolation, RedispatchQueue redispatchQueue) {
 		this.policies = policies;
-		this.activeRequests = flights;
+		this.activeRequests = activeRequests;
 		this.targets = targets;
-		this.selector = chooser;
+		this.selector = selector;
 		this.isolation = isolation;
-		this.redispatchQueue = resumptions;
+		this.redispatchQueue = redispatchQueue;
 	}
 
 	/**
-	 * Starts what can start, after whatever may have made room.
+	 * Fails the queued requests that have expired, then starts as many of the others as
+	 * have a target. Called after every event that may have freed capacity.
 	 * @param nowNanos the monotonic time
 	 */
 	void dispatchReady(long nowNanos) {
 		for (final RequestInfo expired : this.policies.queue().expire(nowNanos)) {
-			final ActiveRequest flight = this.activeRequests.get(expired.requestId());
-			if (flight != null) {
-				flight.queued = false;
-				this.activeRequests.fail(nowNanos, flight, ErrorKind.DEADLINE_UNREACHABLE, RETRY_AFTER_MILLIS);
+			final ActiveRequest request = this.activeRequests.get(expired.requestId());
+			if (request != null) {
+				request.queued = false;
+				this.activeRequests.fail(nowNanos, request, ErrorKind.DEADLINE_UNREACHABLE, RETRY_AFTER_MILLIS);
 			}
 		}
-		this.redispatchQueue.poll(nowNanos, this.selector::hasCandidate, (flight) -> dispatch(nowNanos, flight));
+		this.redispatchQueue.poll(nowNanos, this.selector::hasCandidate, (request) -> dispatch(nowNanos, request));
 		Optional<RequestInfo> next = this.policies.queue().poll(nowNanos, this.targets::freeSlots);
 		while (next.isPresent()) {
-			final ActiveRequest flight = this.activeRequests.get(next.get().requestId());
-			if (flight != null) {
-				flight.queued = false;
-				dispatch(nowNanos, flight);
+			final ActiveRequest request = this.activeRequests.get(next.get().requestId());
+			if (request != null) {
+				request.queued = false;
+				dispatch(nowNanos, request);
 			}
 			next = this.policies.queue().poll(nowNanos, this.targets::freeSlots);
 		}
 	}
 
-	private void dispatch(long nowNanos, ActiveRequest flight) {
-		if (failIfQuarantined(nowNanos, flight)) {
+	private void dispatch(long nowNanos, ActiveRequest request) {
+		if (failIfQuarantined(nowNanos, request)) {
 			return;
 		}
-		if (flight.info.claim().isRequired() && flight.claimOffset < 0) {
-			flight.claimPending = true;
-			this.activeRequests.addAction(new TrafficAction.Claim(flight.info.requestId(), flight.info));
+		if (request.info.claim().isRequired() && request.claimOffset < 0) {
+			request.claimPending = true;
+			this.activeRequests.addAction(new TrafficAction.Claim(request.info.requestId(), request.info));
 			return;
 		}
-		startOrEnqueue(nowNanos, flight);
+		startOrEnqueue(nowNanos, request);
 	}
 
-	private boolean failIfQuarantined(long nowNanos, ActiveRequest flight) {
-		final boolean quarantined = this.policies.quarantine().isQuarantined(flight.info.fingerprint());
+	private boolean failIfQuarantined(long nowNanos, ActiveRequest request) {
+		final boolean quarantined = this.policies.quarantine().isQuarantined(request.info.fingerprint());
 		if (quarantined) {
-			this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+			this.activeRequests.fail(nowNanos, request, ErrorKind.QUARANTINED, 0);
 		}
 		return quarantined;
 	}
 
 	/**
-	 * Starts a request's next attempt, or lets it wait for a target before the queue.
+	 * Starts a request's next attempt, or adds it to the redispatch queue if no target
+	 * can take it yet.
 	 * @param nowNanos the monotonic time
-	 * @param flight the request
+	 * @param request the request
 	 */
-	void startOrEnqueue(long nowNanos, ActiveRequest flight) {
-		if (failIfQuarantined(nowNanos, flight)) {
+	void startOrEnqueue(long nowNanos, ActiveRequest request) {
+		if (failIfQuarantined(nowNanos, request)) {
 			return;
 		}
-		final boolean mayStart = nowNanos - flight.earliestStartNanos >= 0;
-		final Optional<TargetLoad> chosen = mayStart ? this.selector.select(nowNanos, flight) : Optional.empty();
-		if (chosen.isPresent()) {
-			start(nowNanos, flight, chosen.get());
+		final boolean mayStart = nowNanos - request.earliestStartNanos >= 0;
+		final Optional<TargetLoad> selected = mayStart ? this.selector.select(nowNanos, request) : Optional.empty();
+		if (selected.isPresent()) {
+			start(nowNanos, request, selected.get());
 		}
 		else {
-			this.redispatchQueue.add(flight);
+			this.redispatchQueue.add(request);
 		}
 	}
 
-	private void start(long nowNanos, ActiveRequest flight, TargetLoad load) {
-		flight.startedAttempts++;
-		// Counted as sent before a byte can leave: a crash in between must not read as
-		// "not run".
-		flight.sentAttempts++;
-		flight.liveAttempt = new AttemptId(flight.info.requestId(), flight.startedAttempts);
-		flight.target = load.view();
-		flight.load = load;
-		flight.resumedFromTokens = flight.tokensDelivered;
-		flight.triedTargetIds.add(load.view().targetId());
-		flight.attemptStartedAtNanos = nowNanos;
-		flight.attemptHasOutput = false;
-		flight.progressAtNanos = nowNanos;
-		load.onStart(nowNanos, flight.info.costTokens());
-		this.isolation.onStart(flight);
-		this.targets.refresh(nowNanos, flight.info, load);
-		this.policies.placement().onPlaced(nowNanos, flight.info, load);
-		this.activeRequests.addAction(new TrafficAction.Start(flight.liveAttempt, load.view(), flight.tokensDelivered));
+	private void start(long nowNanos, ActiveRequest request, TargetLoad load) {
+		request.startedAttempts++;
+		// Counted as sent before any byte can leave the daemon, so that the request is
+		// never reported as "not run" when it may have run.
+		request.sentAttempts++;
+		request.liveAttempt = new AttemptId(request.info.requestId(), request.startedAttempts);
+		request.target = load.view();
+		request.load = load;
+		request.resumedFromTokens = request.tokensDelivered;
+		request.triedTargetIds.add(load.view().targetId());
+		request.attemptStartedAtNanos = nowNanos;
+		request.attemptHasOutput = false;
+		request.progressAtNanos = nowNanos;
+		load.onStart(nowNanos, request.info.costTokens());
+		this.isolation.onStart(request);
+		this.targets.refresh(nowNanos, request.info, load);
+		this.policies.placement().onPlaced(nowNanos, request.info, load);
+		this.activeRequests
+			.addAction(new TrafficAction.Start(request.liveAttempt, load.view(), request.tokensDelivered));
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/FastMigrationPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/FastMigrationPolicy.java
@@ -1,18 +1,19 @@
 package org.pistachioline.core.traffic;
 
 /**
- * Moves a stream as soon as its target has stood still for a fraction of a second.
+ * Migrates a stream as soon as its target has been silent for a fraction of a second.
  * <p>
- * Made for groups that lose a member every few seconds. Such a group keeps its
- * connections open and delivers nothing for seconds, until its engine notices the loss; a
- * caller gives up after about two seconds without an event. One request may be slow for
- * its own reasons, a long prompt before it or a preemption, so it is moved early only
- * where the whole target is silent: no request of this daemon got anything from there. At
- * {@value #TARGET_SILENCE_MILLIS} ms that is more than ten times the usual gap between
- * two events and leaves a caller who waits 2 s time for the prefill at another target. A
- * stream that alone stands still is moved after {@value #STREAM_SILENCE_MILLIS} ms, in
- * which a full engine reads the longest prompts. A target that takes no new work is given
- * the same times, as its work goes on while it drains.
+ * Intended for groups that lose a member every few seconds. Such a group keeps its
+ * connections open but delivers nothing for seconds, until its engine detects the loss,
+ * while callers give up after about 2 s without an event. A single stream may be slow for
+ * other reasons, such as a long prompt ahead of it or a preemption, so it is migrated
+ * early only if the target is silent for every request of this daemon. The bound for
+ * that, {@value #TARGET_SILENCE_MILLIS} ms, is more than ten times the usual interval
+ * between two events and leaves enough of the 2 s for the prefill at another target. A
+ * stream that is silent while its target serves others is migrated after
+ * {@value #STREAM_SILENCE_MILLIS} ms, in which a fully loaded engine processes the
+ * longest prompts. The same bounds apply to a target that accepts no new requests, as it
+ * keeps running its present ones while it drains.
  */
 public final class FastMigrationPolicy implements StreamMigrationPolicy {
 
@@ -29,12 +30,12 @@
 
 	@Override
 	public boolean shouldMigrate(long nowNanos, StreamProgress stream, Long notServingSinceNanos) {
-		final long silentNanos = nowNanos - stream.progressAtNanos();
-		final long targetSilentNanos = nowNanos - stream.targetProgressAtNanos();
-		if (silentNanos >= STREAM_SILENCE_MILLIS * NANOS_PER_MILLI && stream.attemptHasOutput()) {
+		final long streamSilenceNanos = nowNanos - stream.progressAtNanos();
+		final long targetSilenceNanos = nowNanos - stream.targetProgressAtNanos();
+		if (streamSilenceNanos >= STREAM_SILENCE_MILLIS * NANOS_PER_MILLI && stream.attemptHasOutput()) {
 			return true;
 		}
-		return Math.min(silentNanos, targetSilentNanos) >= TARGET_SILENCE_MILLIS * NANOS_PER_MILLI;
+		return Math.min(streamSilenceNanos, targetSilenceNanos) >= TARGET_SILENCE_MILLIS * NANOS_PER_MILLI;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RedispatchQueue.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RedispatchQueue.java
@@ -7,27 +7,28 @@
 import java.util.function.Predicate;
 
 /**
- * The requests that were admitted, left the queue once and wait for a target again.
+ * Holds requests that already left the admission queue and wait for a target again:
+ * streams to be resumed, suspects, and requests that hold a claim.
  * <p>
- * They are resumed streams, suspects and holders of a claim. Sent back through the queue,
- * a stream whose group died would be refused by its workspace's bound in just the moment
- * when all of the group's streams come back, and a claimed key would be given up for want
- * of room. They go before the queue; there are never more than were started, and each
- * leaves by its deadline.
+ * They don't go through the admission queue a second time. When a group crashes, all of
+ * its streams return at once, and the workspace's queue bound would refuse some of them;
+ * a request with a granted claim would be failed for lack of queue space. This queue is
+ * served before the admission queue. It holds no more requests than were dispatched
+ * before, and each of them leaves by its deadline.
  */
 final class RedispatchQueue {
 
 	private final Deque<ActiveRequest> waiting = new ArrayDeque<>();
 
-	void add(ActiveRequest flight) {
-		flight.awaitingRedispatch = true;
-		this.waiting.addLast(flight);
+	void add(ActiveRequest request) {
+		request.awaitingRedispatch = true;
+		this.waiting.addLast(request);
 	}
 
-	void remove(ActiveRequest flight) {
-		if (flight.awaitingRedispatch) {
-			flight.awaitingRedispatch = false;
-			this.waiting.remove(flight);
+	void remove(ActiveRequest request) {
+		if (request.awaitingRedispatch) {
+			request.awaitingRedispatch = false;
+			this.waiting.remove(request);
 		}
 	}
 
@@ -39,10 +40,10 @@
 		if (this.waiting.isEmpty()) {
 			return;
 		}
-		for (final ActiveRequest flight : List.copyOf(this.waiting)) {
-			if (flight.awaitingRedispatch && nowNanos - flight.earliestStartNanos >= 0 && placeable.test(flight)) {
-				remove(flight);
-				starter.accept(flight);
+		for (final ActiveRequest request : List.copyOf(this.waiting)) {
+			if (request.awaitingRedispatch && nowNanos - request.earliestStartNanos >= 0 && placeable.test(request)) {
+				remove(request);
+				starter.accept(request);
 			}
 		}
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RequestInfo.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RequestInfo.java
@@ -3,33 +3,35 @@
 import java.util.List;
 
 /**
- * What the decisions know of a request; never its text or its key.
+ * The properties of a request on which traffic decisions are based. It holds neither the
+ * request's text nor its idempotency key.
  *
- * @param requestId the id that this daemon gave it
+ * @param requestId the id that this daemon assigned to it
  * @param workspace the caller's workspace
- * @param targetKind whether it goes to a model or to a plain service
+ * @param targetKind whether it is for a model or for a plain service
  * @param name the model's or the service's name
  * @param promptTokens the estimated length of the prompt, in tokens
- * @param maxOutputTokens the most tokens that it may generate
- * @param priority a higher number goes first within its workspace
+ * @param maxOutputTokens the maximum number of tokens that it may generate
+ * @param priority its priority within its workspace; higher numbers go first
  * @param firstTokenDeadlineNanos when its first token is due, by the monotonic clock
  * @param totalDeadlineNanos when it must have ended, by the monotonic clock
  * @param idempotent whether it may be sent again
- * @param claim the claim that it needs; {@link ClaimRequirement#NONE} where it is
+ * @param claim the claim that it requires; {@link ClaimRequirement#NONE} if it is
  * idempotent
  * @param fingerprint the request's fingerprint
- * @param prefixHashes hashes of the prompt's growing prefixes, the shortest first
- * @param maxAttempts how many targets it may be sent to in all
- * @param softDeadlineNanos until when its first token is on time for its caller, by the
- * monotonic clock; after that it is still of some use up to its deadline
+ * @param prefixHashes hashes of the prompt's prefixes of increasing length, the shortest
+ * first
+ * @param maxAttempts the maximum number of targets that it may be sent to
+ * @param softDeadlineNanos until when its first token counts as on time, by the monotonic
+ * clock; a later one is still useful to the caller up to the first-token deadline
  */
 public record RequestInfo(long requestId, String workspace, TargetKind targetKind, String name, int promptTokens,
 		int maxOutputTokens, int priority, long firstTokenDeadlineNanos, long totalDeadlineNanos, boolean idempotent,
 		ClaimRequirement claim, String fingerprint, List<Long> prefixHashes, int maxAttempts, long softDeadlineNanos) {
 
 	/**
-	 * Bounds the prefill that is paid again when group after group drains or dies, where
-	 * the operator states no bound.
+	 * The limit of attempts if the operator configures none. It bounds the cost of
+	 * repeated prefills when one group after another drains or crashes.
 	 */
 	public static final int DEFAULT_MAX_ATTEMPTS = 6;
 
@@ -38,21 +40,22 @@
 	}
 
 	/**
-	 * Describes a request for which the operator states no bound on attempts, and no time
-	 * other than its deadline.
-	 * @param requestId the id that this daemon gave it
+	 * Creates a request with the default limit of attempts and without a soft deadline of
+	 * its own.
+	 * @param requestId the id that this daemon assigned to it
 	 * @param workspace the caller's workspace
-	 * @param targetKind whether it goes to a model or to a plain service
+	 * @param targetKind whether it is for a model or for a plain service
 	 * @param name the model's or the service's name
 	 * @param promptTokens the estimated length of the prompt, in tokens
-	 * @param maxOutputTokens the most tokens that it may generate
-	 * @param priority a higher number goes first within its workspace
+	 * @param maxOutputTokens the maximum number of tokens that it may generate
+	 * @param priority its priority within its workspace; higher numbers go first
 	 * @param firstTokenDeadlineNanos when its first token is due
 	 * @param totalDeadlineNanos when it must have ended
 	 * @param idempotent whether it may be sent again
-	 * @param claim the claim that it needs
+	 * @param claim the claim that it requires
 	 * @param fingerprint the request's fingerprint
-	 * @param prefixHashes hashes of the prompt's growing prefixes, the shortest first
+	 * @param prefixHashes hashes of the prompt's prefixes of increasing length, the
+	 * shortest first
 	 */
 	public RequestInfo(long requestId, String workspace, TargetKind targetKind, String name, int promptTokens,
 			int maxOutputTokens, int priority, long firstTokenDeadlineNanos, long totalDeadlineNanos,
@@ -63,18 +66,19 @@
 	}
 
 	/**
-	 * Describes a request of another daemon that only asks for a claim.
+	 * Creates a request that stands for another daemon's request for a claim and is never
+	 * dispatched.
 	 * @param workspace the caller's workspace
 	 * @param claim the claim
-	 * @return the request, as far as a claim needs it
+	 * @return the request, with only the properties that a claim requires
 	 */
 	public static RequestInfo forClaim(String workspace, ClaimRequirement claim) {
 		return new RequestInfo(0, workspace, TargetKind.SERVICE, "", 0, 0, 0, 0, 0, false, claim, "", List.of());
 	}
 
 	/**
-	 * Returns the tokens for which the request counts while it is in flight.
-	 * @return prompt and output together
+	 * Returns the number of tokens that the request counts for while it is in flight.
+	 * @return the prompt tokens and the maximum output tokens together
 	 */
 	public long costTokens() {
 		return (long) this.promptTokens + this.maxOutputTokens;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RequestMonitor.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RequestMonitor.java
@@ -3,7 +3,8 @@
 import org.pistachioline.core.error.ErrorKind;
 
 /**
- * Ends requests whose time is up and moves streams off targets that stand still or leave.
+ * Fails requests whose deadline has passed and migrates streams away from targets that
+ * have stalled or no longer serve.
  */
 final class RequestMonitor {
 
@@ -17,52 +18,54 @@
 
 	private final TrafficPolicies policies;
 
-	RequestMonitor(ActiveRequests flights, TargetRegistry targets, TargetSelector chooser, TrafficPolicies policies) {
+	RequestMonitor(ActiveRequests activeRequests, TargetRegistry targets, TargetSelector selector,
+			TrafficPolicies policies) {
 		this.policies = policies;
-		this.activeRequests = flights;
+		this.activeRequests = activeRequests;
 		this.targets = targets;
-		this.selector = chooser;
+		this.selector = selector;
 	}
 
 	void onTick(long nowNanos) {
-		for (final ActiveRequest flight : this.activeRequests.all()) {
-			if (nowNanos >= flight.info.totalDeadlineNanos()) {
-				this.activeRequests.fail(nowNanos, flight,
-						flight.mayHaveSentBytes() ? ErrorKind.DEADLINE_EXCEEDED : ErrorKind.DEADLINE_UNREACHABLE, 0);
+		for (final ActiveRequest request : this.activeRequests.all()) {
+			if (nowNanos >= request.info.totalDeadlineNanos()) {
+				this.activeRequests.fail(nowNanos, request,
+						request.mayHaveSentBytes() ? ErrorKind.DEADLINE_EXCEEDED : ErrorKind.DEADLINE_UNREACHABLE, 0);
 			}
-			else if (flight.awaitingRedispatch && !flight.mayHaveSentBytes()
-					&& nowNanos >= flight.info.firstTokenDeadlineNanos()) {
-				this.activeRequests.fail(nowNanos, flight, ErrorKind.DEADLINE_UNREACHABLE, RETRY_AFTER_MILLIS);
+			else if (request.awaitingRedispatch && !request.mayHaveSentBytes()
+					&& nowNanos >= request.info.firstTokenDeadlineNanos()) {
+				this.activeRequests.fail(nowNanos, request, ErrorKind.DEADLINE_UNREACHABLE, RETRY_AFTER_MILLIS);
 			}
 			else {
-				migrateIfDue(nowNanos, flight);
+				migrateIfDue(nowNanos, request);
 			}
 		}
 	}
 
-	private void migrateIfDue(long nowNanos, ActiveRequest flight) {
-		final boolean resumable = flight.info.targetKind() == TargetKind.MODEL && flight.info.idempotent();
-		if (!resumable || flight.liveAttempt == null || flight.migrating) {
+	private void migrateIfDue(long nowNanos, ActiveRequest request) {
+		final boolean resumable = request.info.targetKind() == TargetKind.MODEL && request.info.idempotent();
+		if (!resumable || request.liveAttempt == null || request.migrating) {
 			return;
 		}
-		final StreamProgress progress = new StreamProgress(flight.attemptHasOutput, flight.progressAtNanos,
-				flight.load.progressAtNanos());
-		final Long notServingSinceNanos = this.targets.notServingSinceNanos(flight.target.targetId());
+		final StreamProgress progress = new StreamProgress(request.attemptHasOutput, request.progressAtNanos,
+				request.load.progressAtNanos());
+		final Long notServingSinceNanos = this.targets.notServingSinceNanos(request.target.targetId());
 		if (!this.policies.migration().shouldMigrate(nowNanos, progress, notServingSinceNanos)) {
 			return;
 		}
-		if (this.policies.migration().reportsStalls() && notServingSinceNanos == null && !flight.stallReported) {
-			flight.stallReported = true;
+		if (this.policies.migration().reportsStalls() && notServingSinceNanos == null && !request.stallReported) {
+			request.stallReported = true;
 			this.activeRequests
-				.addAction(new TrafficAction.ReportStall(flight.info.requestId(), flight.target.targetId()));
+				.addAction(new TrafficAction.ReportStall(request.info.requestId(), request.target.targetId()));
 		}
-		if (flight.usedAttempts() < flight.info.maxAttempts() && this.selector.hasUntriedTarget(flight)
-				&& this.policies.retry().tryAcquireForMigration(nowNanos, flight.info)) {
-			// The next attempt starts when this one is reported as ended, with the exact
-			// count of the tokens that the caller has: never two at once, none lost.
-			flight.migrating = true;
-			flight.targetStalled = notServingSinceNanos == null;
-			this.activeRequests.addAction(new TrafficAction.Cancel(flight.liveAttempt));
+		if (request.usedAttempts() < request.info.maxAttempts() && this.selector.hasUntriedTarget(request)
+				&& this.policies.retry().tryAcquireForMigration(nowNanos, request.info)) {
+			// The next attempt starts only after this one is reported as ended, with the
+			// exact number of tokens that the caller received. So no two attempts run at
+			// once, and no token is lost or repeated.
+			request.migrating = true;
+			request.targetStalled = notServingSinceNanos == null;
+			this.activeRequests.addAction(new TrafficAction.Cancel(request.liveAttempt));
 		}
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RoutingPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RoutingPolicies.java
@@ -11,12 +11,12 @@
 import org.pistachioline.core.retry.SharedBudgetRetry;
 
 /**
- * Puts together the behaviours of a daemon that relays by routes, so that its tests run
- * the very same.
+ * Assembles the policies of a daemon that relays requests by configured routes. Tests use
+ * the same factory, so that they run the policies of production.
  */
 public final class RoutingPolicies {
 
-	/** Each waiting request holds its body; at a few KB each this is a few MB. */
+	/** Each queued request holds its body; at a few KB each, this is a few MB. */
 	private static final int MAX_QUEUED_REQUESTS = 2_000;
 
 	private RoutingPolicies() {
@@ -24,18 +24,19 @@
 
 	/**
 	 * Creates the policies of one daemon.
-	 * @param availabilityZone where the daemon runs
-	 * @param seed what makes its choices differ from those of other daemons
-	 * @param retryBudget the bound on repeats for all daemons together
-	 * @param daemons tells how many daemons share it
-	 * @param killer which requests are held to crash targets
+	 * @param availabilityZone the availability zone in which the daemon runs
+	 * @param seed the random seed, different on each daemon, so that daemons do not all
+	 * choose the same targets
+	 * @param retryBudget the limit on retries of all daemons together
+	 * @param daemonCount supplies the number of daemons that share the budget
+	 * @param quarantine the policy that identifies requests which crash targets
 	 * @return the policies
 	 */
 	public static TrafficPolicies create(String availabilityZone, long seed, RetryBudget retryBudget,
-			IntSupplier daemons, KillerPolicy killer) {
+			IntSupplier daemonCount, KillerPolicy quarantine) {
 		return new TrafficPolicies(new AdmitAll(), new FairQueue(MAX_QUEUED_REQUESTS, new OnTimeFirstOrder()),
-				new ExpectedWaitPlacement(availabilityZone, seed, true), new SharedBudgetRetry(retryBudget, daemons),
-				killer, new FastMigrationPolicy());
+				new ExpectedWaitPlacement(availabilityZone, seed, true),
+				new SharedBudgetRetry(retryBudget, daemonCount), quarantine, new FastMigrationPolicy());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardMigrationPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardMigrationPolicy.java
@@ -1,17 +1,18 @@
 package org.pistachioline.core.traffic;
 
 /**
- * Says when a running stream is taken off its target and resumed at another.
+ * Migrates a stream off a target that has stalled or has not finished it within the drain
+ * period.
  * <p>
- * Made for a group that drains, has lost a member or stands still without closing its
- * connections. Such a stream would wait for its deadline, or hold up a planned stop for
- * as long as its longest answer. A resume costs the prompt's prefill once more, so a
- * target that does not serve is given {@value #MAX_DRAIN_SECONDS} s to finish while
- * tokens flow, in which most answers end; one that gives no token for
- * {@value #STALL_TIMEOUT_SECONDS} s is not waited for, which is more than fifty times the
- * usual gap between tokens and twice the bound after which a silent member counts as
- * lost. A target that serves and has not given a first token may just be busy and is left
- * alone.
+ * Covers groups that drain, have lost a member, or stall without closing their
+ * connections. Without migration such a stream would run into its deadline, or delay a
+ * planned shutdown for the length of the longest response. A resume costs a second
+ * prefill of the prompt. A target that does not serve therefore gets
+ * {@value #MAX_DRAIN_SECONDS} s to finish while tokens flow, which is enough for most
+ * responses. A target that delivers no token for {@value #STALL_TIMEOUT_SECONDS} s counts
+ * as stalled; this is more than fifty times the usual interval between tokens and twice
+ * the timeout after which a silent member counts as lost. A serving target that has not
+ * delivered the first token may just be busy, so its stream is not migrated.
  */
 final class StandardMigrationPolicy implements StreamMigrationPolicy {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardPolicies.java
@@ -7,12 +7,12 @@
 import org.pistachioline.core.retry.BudgetedRetry;
 
 /**
- * Puts together the behaviours that a daemon runs, so that the trace replay measures the
- * very same.
+ * Assembles the standard policies of a daemon. The trace replay uses the same factory, so
+ * that it measures the policies of production.
  */
 public final class StandardPolicies {
 
-	/** How many requests may wait on one daemon: at 16 KB each, 160 MB of bodies. */
+	/** At 16 KB each, the bodies of the queued requests take 160 MB at most. */
 	private static final int MAX_QUEUED_REQUESTS = 10_000;
 
 	private StandardPolicies() {
@@ -20,8 +20,9 @@
 
 	/**
 	 * Creates the policies of one daemon.
-	 * @param availabilityZone where the daemon runs
-	 * @param seed what makes its choices differ from those of other daemons
+	 * @param availabilityZone the availability zone in which the daemon runs
+	 * @param seed the random seed, different on each daemon, so that daemons do not all
+	 * choose the same targets
 	 * @return the policies
 	 */
 	public static TrafficPolicies create(String availabilityZone, long seed) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StreamMigrationPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StreamMigrationPolicy.java
@@ -1,24 +1,24 @@
 package org.pistachioline.core.traffic;
 
 /**
- * Decides when a running stream is taken off its target and resumed at another.
+ * Decides when a running stream is taken off its target and resumed at another one.
  */
 public interface StreamMigrationPolicy {
 
 	/**
-	 * Decides for a stream that may be resumed elsewhere.
+	 * Decides whether to migrate a stream that can be resumed elsewhere.
 	 * @param nowNanos the monotonic time
-	 * @param stream how far the stream is
-	 * @param notServingSinceNanos since when its target takes no new work; null where it
-	 * does
-	 * @return whether the stream is moved
+	 * @param stream the progress of the stream and of its target
+	 * @param notServingSinceNanos since when its target has accepted no new requests;
+	 * null if it accepts them
+	 * @return whether to migrate the stream
 	 */
 	boolean shouldMigrate(long nowNanos, StreamProgress stream, Long notServingSinceNanos);
 
 	/**
-	 * Returns whether targets that stand still are reported, so that whoever keeps the
-	 * groups looks at them.
-	 * @return whether they are
+	 * Returns whether stalled targets are reported, so that the component that manages
+	 * the groups can check them.
+	 * @return whether to report them
 	 */
 	default boolean reportsStalls() {
 		return false;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StreamProgress.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StreamProgress.java
@@ -1,12 +1,12 @@
 package org.pistachioline.core.traffic;
 
 /**
- * How far a running stream and its target are.
+ * The most recent progress of a running stream and of its target.
  *
- * @param attemptHasOutput whether the present attempt delivered anything
- * @param progressAtNanos when the stream last delivered something, or when its attempt
- * was sent
- * @param targetProgressAtNanos when its target last delivered something to any request of
+ * @param attemptHasOutput whether the present attempt has delivered any output
+ * @param progressAtNanos when the stream last delivered output, or, before the first
+ * output, when its attempt was sent
+ * @param targetProgressAtNanos when the target last delivered output to any request of
  * this daemon
  */
 public record StreamProgress(boolean attemptHasOutput, long progressAtNanos, long targetProgressAtNanos) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectIsolation.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectIsolation.java
@@ -8,16 +8,20 @@
 import org.pistachioline.core.quarantine.KillerPolicy;
 
 /**
- * Keeps requests that may crash targets from doing so at several at once.
+ * Restricts the placement of requests that may crash targets, so that they do not crash
+ * several targets at once.
  * <p>
- * Made for the batch of a group that died: one of its requests may be the cause and would
- * take the next group along. If two suspects ran on one group, its death would condemn
- * both, so each target runs one suspect at a time; an idle target is taken first, and
- * other work goes elsewhere while there is room elsewhere. A group is not emptied for a
- * suspect: that would take its capacity away for as long as its longest stream, after
- * every plain crash. Copies of a request that has never completed go to the target that
- * runs the first one until that gives a token, so that a caller's hasty repeats cost one
- * group and not one each.
+ * When a group crashes, every request of its batch is a suspect, since any of them may be
+ * the cause and would crash the next group too. If two suspects ran on one group, its
+ * crash would count against both, so each target runs one suspect at a time. A suspect
+ * goes to an idle target if there is one, and other requests avoid targets that run a
+ * suspect while there is capacity elsewhere. Groups are not drained for a suspect: after
+ * every ordinary crash that would take a group's capacity away until its longest stream
+ * has ended.
+ * <p>
+ * Concurrent copies of a request that has never completed run on the target of the first
+ * copy until that one delivers a token. Copies that a caller sends in quick succession
+ * can thus crash one group instead of one group each.
  */
 final class SuspectIsolation {
 
@@ -27,61 +31,61 @@
 
 	private final Map<String, ActiveRequest> firstRunsByFingerprint = new HashMap<>();
 
-	SuspectIsolation(KillerPolicy killer) {
-		this.quarantine = killer;
+	SuspectIsolation(KillerPolicy quarantine) {
+		this.quarantine = quarantine;
 	}
 
 	boolean restricts(RequestInfo info) {
-		// Nearly always false, so that the usual request costs no look at every target.
+		// Almost always false, which spares ordinary requests a scan of all targets.
 		return !info.fingerprint().isEmpty() && (!this.suspectRequestIdsByTargetId.isEmpty()
 				|| this.firstRunsByFingerprint.containsKey(info.fingerprint())
 				|| this.quarantine.isSuspect(info.fingerprint()));
 	}
 
-	List<TargetLoad> filterAllowed(RequestInfo info, List<TargetLoad> open) {
-		if (info.fingerprint().isEmpty() || open.isEmpty()) {
-			return open;
+	List<TargetLoad> filterAllowed(RequestInfo info, List<TargetLoad> available) {
+		if (info.fingerprint().isEmpty() || available.isEmpty()) {
+			return available;
 		}
-		final ActiveRequest first = this.firstRunsByFingerprint.get(info.fingerprint());
+		final ActiveRequest firstRun = this.firstRunsByFingerprint.get(info.fingerprint());
 		final boolean suspect = this.quarantine.isSuspect(info.fingerprint());
-		if (first != null) {
-			return suspect ? List.of() : open.stream().filter((load) -> load == first.load).toList();
+		if (firstRun != null) {
+			return suspect ? List.of() : available.stream().filter((load) -> load == firstRun.load).toList();
 		}
-		final List<TargetLoad> free = open.stream().filter((load) -> !runsSuspect(load)).toList();
+		final List<TargetLoad> withoutSuspect = available.stream().filter((load) -> !runsSuspect(load)).toList();
 		if (suspect) {
-			final List<TargetLoad> idle = free.stream().filter((load) -> load.inFlight() == 0).toList();
-			return idle.isEmpty() ? free : idle;
+			final List<TargetLoad> idle = withoutSuspect.stream().filter((load) -> load.inFlight() == 0).toList();
+			return idle.isEmpty() ? withoutSuspect : idle;
 		}
-		return free.isEmpty() ? open : free;
+		return withoutSuspect.isEmpty() ? available : withoutSuspect;
 	}
 
 	private boolean runsSuspect(TargetLoad load) {
 		return this.suspectRequestIdsByTargetId.containsKey(load.view().targetId());
 	}
 
-	void onStart(ActiveRequest flight) {
-		final String fingerprint = flight.info.fingerprint();
+	void onStart(ActiveRequest request) {
+		final String fingerprint = request.info.fingerprint();
 		if (fingerprint.isEmpty()) {
 			return;
 		}
 		if (this.quarantine.isSuspect(fingerprint)) {
-			flight.isolated = true;
-			this.suspectRequestIdsByTargetId.put(flight.target.targetId(), flight.info.requestId());
+			request.isolated = true;
+			this.suspectRequestIdsByTargetId.put(request.target.targetId(), request.info.requestId());
 		}
 		if (!this.quarantine.isProven(fingerprint)) {
-			this.firstRunsByFingerprint.putIfAbsent(fingerprint, flight);
+			this.firstRunsByFingerprint.putIfAbsent(fingerprint, request);
 		}
 	}
 
-	void onOutput(ActiveRequest flight) {
-		this.firstRunsByFingerprint.remove(flight.info.fingerprint(), flight);
+	void onOutput(ActiveRequest request) {
+		this.firstRunsByFingerprint.remove(request.info.fingerprint(), request);
 	}
 
-	void release(ActiveRequest flight) {
-		onOutput(flight);
-		if (flight.isolated) {
-			flight.isolated = false;
-			this.suspectRequestIdsByTargetId.remove(flight.target.targetId(), flight.info.requestId());
+	void release(ActiveRequest request) {
+		onOutput(request);
+		if (request.isolated) {
+			request.isolated = false;
+			this.suspectRequestIdsByTargetId.remove(request.target.targetId(), request.info.requestId());
 		}
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectTracker.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectTracker.java
@@ -4,24 +4,28 @@
 import org.pistachioline.core.quarantine.KillerPolicy;
 
 /**
- * Tells which requests a group died under, and when one of them may run again.
+ * Reports the requests that were running on a group when it crashed, delays their next
+ * run, and clears those that get past the point of the crash.
  */
 final class SuspectTracker {
 
 	/**
-	 * More than the tokens that were generated, but lost on the way, when a group died.
+	 * A suspect is cleared after this many tokens beyond the point of the crash. The
+	 * number exceeds the tokens that a crashing group had generated but not delivered.
 	 */
 	private static final int TOKENS_TO_CLEAR_SUSPECT = 16;
 
 	/**
-	 * How long a suspect waits before its second run. A copy may have killed another
-	 * group at another daemon in the same moment; a few appends later both know.
+	 * The delay before a suspect runs a second time. A copy of the request may have
+	 * crashed another group at another daemon at the same moment; after a few appends to
+	 * the log both daemons know of both crashes.
 	 */
 	private static final long SUSPECT_WAIT_NANOS = 300_000_000L;
 
 	/**
-	 * How long a suspect that was giving tokens waits. Most killers crash a group before
-	 * their first token; tried first and found, they free the others.
+	 * The delay for a suspect that was already delivering tokens. Most crashing requests
+	 * crash a group before their first token, so suspects without output run first; when
+	 * one of them proves to be the cause, the others are cleared.
 	 */
 	private static final long UNLIKELY_SUSPECT_WAIT_NANOS = 1_000_000_000L;
 
@@ -31,35 +35,35 @@
 
 	private final ActiveRequests activeRequests;
 
-	SuspectTracker(KillerPolicy killer, SuspectIsolation isolation, ActiveRequests flights) {
-		this.quarantine = killer;
+	SuspectTracker(KillerPolicy quarantine, SuspectIsolation isolation, ActiveRequests activeRequests) {
+		this.quarantine = quarantine;
 		this.isolation = isolation;
-		this.activeRequests = flights;
+		this.activeRequests = activeRequests;
 	}
 
-	void onTokens(ActiveRequest flight) {
-		if (flight.tokensDelivered > flight.resumedFromTokens) {
-			this.isolation.onOutput(flight);
+	void onTokens(ActiveRequest request) {
+		if (request.tokensDelivered > request.resumedFromTokens) {
+			this.isolation.onOutput(request);
 		}
-		if (flight.isolated && flight.tokensDelivered >= flight.resumedFromTokens + TOKENS_TO_CLEAR_SUSPECT) {
-			this.quarantine.onSurvived(flight.info.fingerprint(), false);
-			this.isolation.release(flight);
+		if (request.isolated && request.tokensDelivered >= request.resumedFromTokens + TOKENS_TO_CLEAR_SUSPECT) {
+			this.quarantine.onSurvived(request.info.fingerprint(), false);
+			this.isolation.release(request);
 		}
 	}
 
-	void onBrokenAttempt(long nowNanos, ActiveRequest flight) {
-		if (flight.info.targetKind() != TargetKind.MODEL) {
+	void onBrokenAttempt(long nowNanos, ActiveRequest request) {
+		if (request.info.targetKind() != TargetKind.MODEL) {
 			return;
 		}
-		final DeathVerdict verdict = this.quarantine.onDeath(nowNanos, flight.info.fingerprint(),
-				flight.target.targetId());
+		final DeathVerdict verdict = this.quarantine.onDeath(nowNanos, request.info.fingerprint(),
+				request.target.targetId());
 		if (verdict != DeathVerdict.EXCUSED) {
-			this.activeRequests.addAction(new TrafficAction.ReportSuspect(flight.info.requestId(),
-					flight.info.fingerprint(), flight.target, verdict == DeathVerdict.QUARANTINED));
+			this.activeRequests.addAction(new TrafficAction.ReportSuspect(request.info.requestId(),
+					request.info.fingerprint(), request.target, verdict == DeathVerdict.QUARANTINED));
 		}
 		if (verdict == DeathVerdict.SUSPECTED) {
-			final boolean likely = flight.tokensDelivered == flight.resumedFromTokens;
-			flight.earliestStartNanos = nowNanos + (likely ? SUSPECT_WAIT_NANOS : UNLIKELY_SUSPECT_WAIT_NANOS);
+			final boolean likely = request.tokensDelivered == request.resumedFromTokens;
+			request.earliestStartNanos = nowNanos + (likely ? SUSPECT_WAIT_NANOS : UNLIKELY_SUSPECT_WAIT_NANOS);
 		}
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetBackoffs.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetBackoffs.java
@@ -5,7 +5,8 @@
 import org.pistachioline.core.backoff.BackoffReport;
 
 /**
- * Keeps away from the instances that want no requests of this daemon.
+ * Takes instances out of selection while they have asked for a backoff or are shutting
+ * down.
  */
 public final class TargetBackoffs {
 
@@ -13,42 +14,43 @@
 
 	private final DeadlineAdmission deadlineAdmission;
 
-	TargetBackoffs(TargetRegistry targets, DeadlineAdmission guard) {
+	TargetBackoffs(TargetRegistry targets, DeadlineAdmission deadlineAdmission) {
 		this.targets = targets;
-		this.deadlineAdmission = guard;
+		this.deadlineAdmission = deadlineAdmission;
 	}
 
 	/**
-	 * Takes word that an instance wants no requests for a while.
+	 * Records that an instance asked for no requests for some time.
 	 * @param nowNanos the monotonic time
 	 * @param instanceId the instance
-	 * @param forNanos for how long
-	 * @return whether it wanted requests before
+	 * @param forNanos the length of the backoff
+	 * @return whether the instance accepted requests before
 	 */
 	public boolean onBackoff(long nowNanos, String instanceId, long forNanos) {
 		return recheckQueued(nowNanos, this.targets.onBackoff(nowNanos, instanceId, forNanos));
 	}
 
 	/**
-	 * Takes word that an instance leaves.
+	 * Records that an instance is shutting down.
 	 * @param nowNanos the monotonic time
 	 * @param instanceId the instance
-	 * @return whether that is news
+	 * @return whether this was not known before
 	 */
 	public boolean onLeaving(long nowNanos, String instanceId) {
 		return recheckQueued(nowNanos, this.targets.onLeaving(nowNanos, instanceId));
 	}
 
-	// Where many requests are turned away at once, one look at those who wait is enough.
-	private boolean recheckQueued(long nowNanos, boolean news) {
-		if (news) {
+	// When an instance turns many requests away at once, only the first of them triggers
+	// a scan of the queue.
+	private boolean recheckQueued(long nowNanos, boolean changed) {
+		if (changed) {
 			this.deadlineAdmission.recheckQueued(nowNanos);
 		}
-		return news;
+		return changed;
 	}
 
 	/**
-	 * Describes the instances that want no requests, for operators.
+	 * Lists the instances that accept no requests at present, for operators.
 	 * @param nowNanos the monotonic time
 	 * @return the instances
 	 */
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetCrashes.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetCrashes.java
@@ -11,8 +11,8 @@
 import org.pistachioline.core.quarantine.TargetCrash;
 
 /**
- * Keeps requests that crash targets away from them, as far as this daemon has seen and
- * others have told.
+ * Quarantines requests that crash targets, based on crashes that this daemon observed and
+ * on reports from other daemons.
  */
 public final class TargetCrashes {
 
@@ -20,16 +20,16 @@
 
 	private final ActiveRequests activeRequests;
 
-	TargetCrashes(KillerPolicy killer, ActiveRequests flights) {
-		this.quarantine = killer;
-		this.activeRequests = flights;
+	TargetCrashes(KillerPolicy quarantine, ActiveRequests activeRequests) {
+		this.quarantine = quarantine;
+		this.activeRequests = activeRequests;
 	}
 
 	/**
-	 * Takes word that a target has died.
+	 * Records the crash of a target.
 	 * @param nowNanos the monotonic time
-	 * @param crash the target, and what it was running for this daemon
-	 * @return the requests that are quarantined since
+	 * @param crash the target, and the requests that it was running for this daemon
+	 * @return the fingerprints that this crash brought into quarantine
 	 */
 	public Set<String> onCrash(long nowNanos, TargetCrash crash) {
 		final Set<String> before = this.quarantine.quarantined();
@@ -38,27 +38,28 @@
 	}
 
 	/**
-	 * Takes what another daemon told of requests under which targets died.
+	 * Merges another daemon's report of requests that were running when targets crashed.
 	 * @param nowNanos the monotonic time
-	 * @param told the requests
-	 * @return the requests that are quarantined since
+	 * @param reported the requests
+	 * @return the fingerprints that this report brought into quarantine
 	 */
-	public Set<String> onPeerReports(long nowNanos, List<SuspectedRequest> told) {
+	public Set<String> onPeerReports(long nowNanos, List<SuspectedRequest> reported) {
 		final Set<String> before = this.quarantine.quarantined();
-		this.quarantine.onTold(nowNanos, told);
+		this.quarantine.onTold(nowNanos, reported);
 		return failNewlyQuarantined(nowNanos, before);
 	}
 
-	// A copy whose target has given nothing yet may still be on its way there, or wait in
-	// its queue: cut off, it does not crash it. One that is being answered may end well.
+	// A copy without output may still be on its way to the target or in the target's
+	// queue; cancelling it can prevent the crash. A copy that already produces output
+	// may complete and is left running.
 	private Set<String> failNewlyQuarantined(long nowNanos, Set<String> before) {
 		final Set<String> added = new HashSet<>(this.quarantine.quarantined());
 		added.removeAll(before);
 		if (!added.isEmpty()) {
-			for (final ActiveRequest flight : this.activeRequests.all()) {
-				final boolean answering = flight.liveAttempt != null && flight.attemptHasOutput;
-				if (added.contains(flight.info.fingerprint()) && !answering) {
-					this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+			for (final ActiveRequest request : this.activeRequests.all()) {
+				final boolean hasOutput = request.liveAttempt != null && request.attemptHasOutput;
+				if (added.contains(request.info.fingerprint()) && !hasOutput) {
+					this.activeRequests.fail(nowNanos, request, ErrorKind.QUARANTINED, 0);
 				}
 			}
 		}
@@ -74,7 +75,8 @@
 	}
 
 	/**
-	 * Returns what all other daemons are to be told at once, and forgets that they are.
+	 * Returns the reports that are due for an immediate broadcast to all other daemons,
+	 * and clears the list.
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
@@ -83,16 +85,16 @@
 	}
 
 	/**
-	 * Returns what the next heartbeat tells.
+	 * Returns the reports to be gossiped with the next heartbeat.
 	 * @param nowNanos the monotonic time
-	 * @return some requests
+	 * @return some of the known requests
 	 */
 	public List<SuspectedRequest> gossipSample(long nowNanos) {
 		return this.quarantine.sample(nowNanos);
 	}
 
 	/**
-	 * Returns what a daemon is told that has just started.
+	 * Returns the reports to be sent to a daemon that has just started.
 	 * @return the requests
 	 */
 	public List<SuspectedRequest> knownSuspects() {
@@ -100,7 +102,7 @@
 	}
 
 	/**
-	 * Describes the requests under which targets died, for operators.
+	 * Lists the requests that were running when targets crashed, for operators.
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetKind.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetKind.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.traffic;
 
 /**
- * What kind of target a request goes to.
+ * The kind of target that a request is sent to.
  */
 public enum TargetKind {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetLimits.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetLimits.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.limit.StatedLimit;
 
 /**
- * Keeps to the limits that targets name.
+ * Applies the request rate limits that targets state in their responses.
  */
 public final class TargetLimits {
 
@@ -15,19 +15,19 @@
 
 	private final DeadlineAdmission deadlineAdmission;
 
-	TargetLimits(TargetRegistry targets, DeadlineAdmission guard) {
+	TargetLimits(TargetRegistry targets, DeadlineAdmission deadlineAdmission) {
 		this.targets = targets;
-		this.deadlineAdmission = guard;
+		this.deadlineAdmission = deadlineAdmission;
 	}
 
 	/**
-	 * Takes what an instance's answer said of the requests that it takes from all
-	 * daemons.
+	 * Records the rate limit that an instance's response states. The limit applies to the
+	 * requests of all daemons together.
 	 * @param nowNanos the monotonic time
-	 * @param sentAtNanos when the answer's request was sent
+	 * @param sentAtNanos when the request of this response was sent
 	 * @param instanceId the instance
-	 * @param requestsPerSecond the limit that it names; empty where it names none
-	 * @return whether that changes anything
+	 * @param requestsPerSecond the stated limit; empty if the response states none
+	 * @return whether the known limit changed
 	 */
 	public boolean onResponse(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
 		final boolean changed = this.targets.onLimit(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
@@ -38,13 +38,13 @@
 	}
 
 	/**
-	 * Takes what another daemon told of instances' limits.
+	 * Merges the limits that another daemon learned from instances.
 	 * @param nowNanos the monotonic time
-	 * @param stated what instances said
-	 * @return those that change anything
+	 * @param reported the limits
+	 * @return the limits that differ from what was known
 	 */
-	public List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> stated) {
-		final List<StatedLimit> changed = this.targets.onPeerLimits(nowNanos, stated);
+	public List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> reported) {
+		final List<StatedLimit> changed = this.targets.onPeerLimits(nowNanos, reported);
 		if (!changed.isEmpty()) {
 			this.deadlineAdmission.recheckQueued(nowNanos);
 		}
@@ -52,16 +52,16 @@
 	}
 
 	/**
-	 * Returns what other daemons are to be told.
+	 * Returns the limits to be sent to other daemons.
 	 * @param nowNanos the monotonic time
-	 * @return what instances said last, the newest first
+	 * @return the last statement of each instance, the newest first
 	 */
 	public List<StatedLimit> latestLimits(long nowNanos) {
 		return this.targets.limits().stated(nowNanos);
 	}
 
 	/**
-	 * Describes the limits that hold, for operators.
+	 * Lists the limits in force, for operators.
 	 * @param nowNanos the monotonic time
 	 * @return the limits
 	 */
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
@@ -18,7 +18,8 @@
 import org.pistachioline.core.placement.TargetSet;
 
 /**
- * All targets that this daemon knows, with what it has in flight at each.
+ * Holds all targets that this daemon knows, grouped by model or service, with the load
+ * that this daemon places on each.
  */
 final class TargetRegistry {
 
@@ -67,7 +68,8 @@
 		this.backoffs.retain(nowNanos, instanceIds);
 	}
 
-	// A target that has said that it leaves takes no new work, whatever the list says.
+	// A target that has announced its shutdown accepts no new requests, even if the list
+	// still shows it as serving.
 	private TargetView withLeavingState(TargetView view) {
 		return this.backoffs.isLeaving(view.instanceId()) ? view.asNotServing() : view;
 	}
@@ -86,8 +88,9 @@
 		return known;
 	}
 
-	// A target may vanish and come back under attempts that are still in flight; with a
-	// new count it would be given more work than it has slots for.
+	// A target may be missing from the list for a while, although attempts are in flight
+	// there. If it came back with a count of zero, it would be sent more requests than it
+	// has slots.
 	private void retainBusyTargets(Map<String, TargetLoad> next) {
 		this.loads.forEach((targetId, load) -> {
 			if (load.inFlight() > 0) {
@@ -132,8 +135,8 @@
 		return changed;
 	}
 
-	List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> stated) {
-		final List<StatedLimit> changed = this.limits.onPeer(nowNanos, stated);
+	List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> reported) {
+		final List<StatedLimit> changed = this.limits.onPeer(nowNanos, reported);
 		if (!changed.isEmpty()) {
 			refresh(nowNanos);
 		}
@@ -141,19 +144,19 @@
 	}
 
 	boolean onBackoff(long nowNanos, String instanceId, long forNanos) {
-		final boolean news = this.backoffs.onBackoff(nowNanos, instanceId, forNanos);
-		if (news) {
+		final boolean changed = this.backoffs.onBackoff(nowNanos, instanceId, forNanos);
+		if (changed) {
 			refresh(nowNanos);
 		}
-		return news;
+		return changed;
 	}
 
 	boolean onLeaving(long nowNanos, String instanceId) {
-		final boolean news = this.backoffs.onLeaving(instanceId);
-		if (news) {
+		final boolean changed = this.backoffs.onLeaving(instanceId);
+		if (changed) {
 			update(nowNanos, this.lastViews);
 		}
-		return news;
+		return changed;
 	}
 
 	private void refresh(long nowNanos) {
@@ -194,7 +197,7 @@
 	/**
 	 * Returns the targets of a request's model or service.
 	 * @param info the request
-	 * @return the set; null where there is none
+	 * @return the set; null if no target is listed for the model or service
 	 */
 	TargetSet targetSet(RequestInfo info) {
 		return this.setsByName.get(nameKey(info.targetKind(), info.name()));
@@ -206,8 +209,9 @@
 
 	int freeSlots(RequestInfo info) {
 		final TargetSet set = targetSet(info);
-		// A suspect that may run nowhere yet counts too: taken out of the queue it waits
-		// apart, while at the head of the queue it would hold up everyone behind it.
+		// Slots count even for a suspect that no target may run yet: it then moves on to
+		// the redispatch queue, whereas at the head of the admission queue it would block
+		// all requests behind it.
 		return (set != null) ? set.freeSlots() : 0;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetSelector.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetSelector.java
@@ -10,8 +10,8 @@
 import org.pistachioline.core.placement.TargetSet;
 
 /**
- * Chooses a target for a request: by the placement policy, unless the request may crash
- * targets or runs beside one that may.
+ * Selects a target for a request by the placement policy, or by the rules of suspect
+ * isolation while those apply to the request.
  */
 final class TargetSelector {
 
@@ -27,52 +27,52 @@
 		this.placement = placement;
 	}
 
-	Optional<TargetLoad> select(long nowNanos, ActiveRequest flight) {
-		if (this.isolation.restricts(flight.info)) {
-			return candidates(flight).stream().min(Comparator.comparingInt(TargetLoad::inFlight));
+	Optional<TargetLoad> select(long nowNanos, ActiveRequest request) {
+		if (this.isolation.restricts(request.info)) {
+			return candidates(request).stream().min(Comparator.comparingInt(TargetLoad::inFlight));
 		}
-		final TargetSet set = this.targets.targetSet(flight.info);
-		return (set != null) ? this.placement.choose(nowNanos, flight.info, set, excludedTargetIds(flight))
+		final TargetSet set = this.targets.targetSet(request.info);
+		return (set != null) ? this.placement.choose(nowNanos, request.info, set, excludedTargetIds(request))
 				: Optional.empty();
 	}
 
-	boolean hasCandidate(ActiveRequest flight) {
-		return !candidates(flight).isEmpty();
+	boolean hasCandidate(ActiveRequest request) {
+		return !candidates(request).isEmpty();
 	}
 
-	boolean hasUntriedTarget(ActiveRequest flight) {
-		return this.targets.availableTargets(flight.info)
+	boolean hasUntriedTarget(ActiveRequest request) {
+		return this.targets.availableTargets(request.info)
 			.stream()
-			.anyMatch((load) -> !flight.triedTargetIds.contains(load.view().targetId()));
+			.anyMatch((load) -> !request.triedTargetIds.contains(load.view().targetId()));
 	}
 
 	/**
-	 * Returns whether some target that the request has not failed at serves, with room or
-	 * without, and takes an attempt before its time is up. With none it is given its
-	 * answer now; waiting for one would be waiting for ever.
-	 * @param flight the request
-	 * @return whether there is one
+	 * Returns whether some serving target that the request has not tried, full or not,
+	 * accepts an attempt before the request's deadline. If there is none, the request
+	 * must be failed now, as waiting cannot succeed.
+	 * @param request the request
+	 * @return whether there is such a target
 	 */
-	boolean canBePlaced(ActiveRequest flight) {
-		return this.targets.allTargets(flight.info)
+	boolean canBePlaced(ActiveRequest request) {
+		return this.targets.allTargets(request.info)
 			.stream()
-			.anyMatch((load) -> load.view().serving() && load.mayStart(flight.info.totalDeadlineNanos())
-					&& (flight.claimOffset >= 0 || !flight.triedTargetIds.contains(load.view().targetId())));
+			.anyMatch((load) -> load.view().serving() && load.mayStart(request.info.totalDeadlineNanos())
+					&& (request.claimOffset >= 0 || !request.triedTargetIds.contains(load.view().targetId())));
 	}
 
-	private List<TargetLoad> candidates(ActiveRequest flight) {
-		final Set<String> avoided = excludedTargetIds(flight);
-		return this.isolation.filterAllowed(flight.info, this.targets.availableTargets(flight.info))
+	private List<TargetLoad> candidates(ActiveRequest request) {
+		final Set<String> excluded = excludedTargetIds(request);
+		return this.isolation.filterAllowed(request.info, this.targets.availableTargets(request.info))
 			.stream()
-			.filter((load) -> !avoided.contains(load.view().targetId()))
+			.filter((load) -> !excluded.contains(load.view().targetId()))
 			.toList();
 	}
 
-	private Set<String> excludedTargetIds(ActiveRequest flight) {
-		// The holder of a claim is only tried again after a connection that was not made,
-		// which may succeed at the same instance when there is no other.
-		final boolean mayReturn = flight.claimOffset >= 0 && !hasUntriedTarget(flight);
-		return mayReturn ? Set.of() : flight.triedTargetIds;
+	private Set<String> excludedTargetIds(ActiveRequest request) {
+		// A request with a claim is only retried after a failure to connect, so it may
+		// return to the same instance if there is no other.
+		final boolean mayReturn = request.claimOffset >= 0 && !hasUntriedTarget(request);
+		return mayReturn ? Set.of() : request.triedTargetIds;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetView.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetView.java
@@ -1,19 +1,22 @@
 package org.pistachioline.core.traffic;
 
 /**
- * What this daemon knows of one target at a moment.
+ * A snapshot of what this daemon knows about one target.
  *
  * @param targetId the group's id with its epoch, or the instance's id
  * @param kind the kind of target
  * @param name the model or the service that it serves
- * @param address where calls go
+ * @param address the address that requests are sent to
  * @param epoch the group's epoch; 0 for a plain service
  * @param availabilityZone its availability zone
- * @param serving whether it may take new work: present as a whole and not draining
- * @param slots how many requests it runs at once
- * @param reportedRunning how many requests it said to be running, from all daemons
- * @param reportedWaiting how many requests it said to be waiting, from all daemons
- * @param reportedAtNanos when it said so, by the monotonic clock
+ * @param serving whether it accepts new requests: all members are present and it is not
+ * draining
+ * @param slots how many requests it runs concurrently
+ * @param reportedRunning the number of running requests that it last reported, from all
+ * daemons
+ * @param reportedWaiting the number of waiting requests that it last reported, from all
+ * daemons
+ * @param reportedAtNanos the time of that report, by the monotonic clock
  */
 public record TargetView(String targetId, TargetKind kind, String name, String address, long epoch,
 		String availabilityZone, boolean serving, int slots, int reportedRunning, int reportedWaiting,
@@ -22,8 +25,8 @@
 	private static final char EPOCH_SEPARATOR = '@';
 
 	/**
-	 * Returns the same target as one that takes no new work.
-	 * @return the view
+	 * Returns a copy of this view that accepts no new requests.
+	 * @return the copy
 	 */
 	TargetView asNotServing() {
 		return new TargetView(this.targetId, this.kind, this.name, this.address, this.epoch, this.availabilityZone,
@@ -31,9 +34,9 @@
 	}
 
 	/**
-	 * Returns the instance, or the group, without its epoch.
+	 * Returns the id of the instance or group that a target id names, without the epoch.
 	 * @param targetId a target's id
-	 * @return what stands before the epoch
+	 * @return the part before the epoch
 	 */
 	public static String instanceId(String targetId) {
 		final int separator = targetId.lastIndexOf(EPOCH_SEPARATOR);
@@ -41,8 +44,9 @@
 	}
 
 	/**
-	 * Returns the instance that takes its requests, or the group, without the epoch.
-	 * @return what stands before the epoch in its id
+	 * Returns the id of the instance that receives the target's requests, or of the
+	 * group, without the epoch.
+	 * @return the part of the target id before the epoch
 	 */
 	public String instanceId() {
 		return instanceId(this.targetId);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficAction.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficAction.java
@@ -4,12 +4,12 @@
 import org.pistachioline.core.error.RunState;
 
 /**
- * What the adapters must do next for a request.
+ * A side effect that the traffic core asks its caller to carry out for a request.
  */
 public sealed interface TrafficAction {
 
 	/**
-	 * Returns the request that it is about.
+	 * Returns the request that the action concerns.
 	 * @return the request's id
 	 */
 	long requestId();
@@ -19,7 +19,7 @@
 	 *
 	 * @param attempt the attempt
 	 * @param target the target
-	 * @param resumeFromTokens how many tokens the caller has already
+	 * @param resumeFromTokens how many tokens the caller has already received
 	 */
 	record Start(AttemptId attempt, TargetView target, int resumeFromTokens) implements TrafficAction {
 
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	 * Reports a target that stands still while it holds a request.
+	 * Reports a target that has stalled while it runs a request.
 	 *
 	 * @param requestId the request
 	 * @param targetId the target
@@ -67,14 +67,14 @@
 	 *
 	 * @param requestId the request
 	 * @param kind the error kind
-	 * @param runState whether it may have run
-	 * @param retryAfterMillis when the caller may come back; 0 where it is not said
+	 * @param runState whether the request may have run
+	 * @param retryAfterMillis after which delay the caller may retry; 0 if none is stated
 	 */
 	record Fail(long requestId, ErrorKind kind, RunState runState, long retryAfterMillis) implements TrafficAction {
 	}
 
 	/**
-	 * Claims the request's key on the log.
+	 * Claims the request's idempotency key on the log.
 	 *
 	 * @param requestId the request
 	 * @param info the request
@@ -83,17 +83,17 @@
 	}
 
 	/**
-	 * Gives back a claim under which no byte was sent.
+	 * Releases a claim under which no byte was sent.
 	 *
 	 * @param requestId the request
 	 * @param info the request
-	 * @param claimOffset the claim's offset
+	 * @param claimOffset the claim's offset on the log
 	 */
 	record Release(long requestId, RequestInfo info, long claimOffset) implements TrafficAction {
 	}
 
 	/**
-	 * Answers with the stored outcome of the first request with this key.
+	 * Responds with the stored outcome of the first request with this key.
 	 *
 	 * @param requestId the request
 	 * @param info the request
@@ -102,12 +102,12 @@
 	}
 
 	/**
-	 * Reports that a group died under a request.
+	 * Reports a request that was running on a group when the group crashed.
 	 *
 	 * @param requestId the request
 	 * @param fingerprint the request's fingerprint
-	 * @param target the target that died
-	 * @param quarantine whether the request is to be barred
+	 * @param target the target that crashed
+	 * @param quarantine whether the request is to be quarantined
 	 */
 	record ReportSuspect(long requestId, String fingerprint, TargetView target,
 			boolean quarantine) implements TrafficAction {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -13,11 +13,12 @@
 import org.pistachioline.core.placement.LiveDaemons;
 
 /**
- * Decides for every request on one daemon, without input, output or a clock.
+ * Makes all decisions about the requests on one daemon. It does no I/O and reads no
+ * clock: time is passed in.
  * <p>
- * The daemon and the trace replay call the same methods; each returns what must be done
- * next. One thread calls it. A request ends exactly once: by one {@code Finish},
- * {@code Fail} or {@code Replay}.
+ * The daemon and the trace replay call the same methods; each returns the actions to be
+ * carried out next. All calls must come from one thread. A request ends exactly once: by
+ * one {@code Finish}, {@code Fail} or {@code Replay}.
  */
 public final class TrafficCore {
 
@@ -57,7 +58,7 @@
 
 	/**
 	 * Creates a core without configuration and targets.
-	 * @param policies the behaviours that vary
+	 * @param policies the exchangeable policies
 	 */
 	public TrafficCore(TrafficPolicies policies) {
 		this.policies = policies;
@@ -78,10 +79,10 @@
 	}
 
 	/**
-	 * Takes over a configuration.
+	 * Applies a new configuration.
 	 * @param nowNanos the monotonic time
 	 * @param newManifest the manifest in force
-	 * @return what must be done next
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onManifest(long nowNanos, Manifest newManifest) {
 		this.manifest = newManifest;
@@ -91,10 +92,10 @@
 	}
 
 	/**
-	 * Takes over the targets as they are known now.
+	 * Replaces the known targets.
 	 * @param nowNanos the monotonic time
-	 * @param views every target, serving or not
-	 * @return what must be done next
+	 * @param views all targets, serving or not
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onTargets(long nowNanos, List<TargetView> views) {
 		this.targets.update(nowNanos, views);
@@ -103,11 +104,11 @@
 	}
 
 	/**
-	 * Takes over which daemons live and this one's shares of the limits.
+	 * Applies the set of live daemons and this daemon's shares of the workspace limits.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the live daemons
 	 * @param shareRatios this daemon's share of each workspace's limits, by workspace
-	 * @return what must be done next
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onShares(long nowNanos, LiveDaemons daemons, Map<String, Double> shareRatios) {
 		this.policies.admission().share(nowNanos, shareRatios);
@@ -116,27 +117,27 @@
 	}
 
 	/**
-	 * Takes over the quarantined and suspected requests that are agreed on the log.
+	 * Applies the quarantined and suspected requests that are recorded on the log.
 	 * @param nowNanos the monotonic time
 	 * @param quarantined the quarantined fingerprints
-	 * @param suspectTargetIds for each suspected fingerprint the target that died
-	 * @return what must be done next
+	 * @param suspectTargetIds the target that crashed, by suspected fingerprint
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onQuarantines(long nowNanos, Set<String> quarantined,
 			Map<String, String> suspectTargetIds) {
 		this.policies.quarantine().onAgreed(nowNanos, quarantined, suspectTargetIds);
-		for (final ActiveRequest flight : this.activeRequests.all()) {
-			if (flight.liveAttempt == null && quarantined.contains(flight.info.fingerprint())) {
-				this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+		for (final ActiveRequest request : this.activeRequests.all()) {
+			if (request.liveAttempt == null && quarantined.contains(request.info.fingerprint())) {
+				this.activeRequests.fail(nowNanos, request, ErrorKind.QUARANTINED, 0);
 			}
 		}
 		return dispatchReady(nowNanos);
 	}
 
 	/**
-	 * Takes word of what a target's prefix cache holds.
+	 * Records changes to the contents of a target's prefix cache.
 	 * @param nowNanos the monotonic time
-	 * @param events the events, late and perhaps with gaps
+	 * @param events the events, which may be late and incomplete
 	 */
 	public void onCacheEvents(long nowNanos, CacheEvents events) {
 		if (this.targets.isKnown(events.targetId())) {
@@ -145,27 +146,28 @@
 	}
 
 	/**
-	 * Takes a new request.
+	 * Admits and queues a new request, or refuses it.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @return what must be done next
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onRequest(long nowNanos, RequestInfo info) {
-		final ActiveRequest flight = new ActiveRequest(info, nowNanos);
+		final ActiveRequest request = new ActiveRequest(info, nowNanos);
 		final Optional<Refusal> refusal = checkAdmission(nowNanos, info);
 		if (refusal.isPresent()) {
 			this.activeRequests.addAction(new TrafficAction.Fail(info.requestId(), refusal.get().kind(),
 					RunState.NOT_RUN, refusal.get().retryAfterMillis()));
 			return this.activeRequests.drainActions();
 		}
-		this.activeRequests.add(flight);
+		this.activeRequests.add(request);
 		this.policies.retry().onArrival(nowNanos, info);
-		final Optional<Refusal> full = this.policies.queue().offer(nowNanos, info);
-		if (full.isPresent()) {
-			this.activeRequests.fail(nowNanos, flight, full.get().kind(), full.get().retryAfterMillis());
+		final Optional<Refusal> queueRefusal = this.policies.queue().offer(nowNanos, info);
+		if (queueRefusal.isPresent()) {
+			this.activeRequests.fail(nowNanos, request, queueRefusal.get().kind(),
+					queueRefusal.get().retryAfterMillis());
 			return dispatchReady(nowNanos);
 		}
-		flight.queued = true;
+		request.queued = true;
 		return dispatchReady(nowNanos);
 	}
 
@@ -183,66 +185,68 @@
 	}
 
 	/**
-	 * Takes the verdict on a claim.
+	 * Handles the result of a claim: starts the request, or ends it according to the
+	 * verdict.
 	 * @param nowNanos the monotonic time
 	 * @param requestId the request
 	 * @param verdict the verdict
-	 * @param claimOffset the claim's offset, where it was granted
-	 * @return what must be done next
+	 * @param claimOffset the claim's offset on the log, if it was granted
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onClaim(long nowNanos, long requestId, ClaimVerdict verdict, long claimOffset) {
-		final ActiveRequest flight = this.activeRequests.get(requestId);
-		if (flight == null || !flight.claimPending) {
+		final ActiveRequest request = this.activeRequests.get(requestId);
+		if (request == null || !request.claimPending) {
 			this.activeRequests.releaseAbandonedClaim(requestId, verdict, claimOffset);
 			return this.activeRequests.drainActions();
 		}
-		flight.claimPending = false;
+		request.claimPending = false;
 		switch (verdict) {
 			case GRANTED -> {
-				flight.claimOffset = claimOffset;
-				this.dispatcher.startOrEnqueue(nowNanos, flight);
+				request.claimOffset = claimOffset;
+				this.dispatcher.startOrEnqueue(nowNanos, request);
 			}
 			case SETTLED -> {
-				this.activeRequests.remove(nowNanos, flight);
-				this.activeRequests.addAction(new TrafficAction.Replay(requestId, flight.info));
+				this.activeRequests.remove(nowNanos, request);
+				this.activeRequests.addAction(new TrafficAction.Replay(requestId, request.info));
 			}
 			case IN_PROGRESS ->
-				this.activeRequests.fail(nowNanos, flight, ErrorKind.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS);
-			case UNKNOWN -> this.activeRequests.fail(nowNanos, flight, ErrorKind.OUTCOME_UNKNOWN, 0);
-			case REUSED -> this.activeRequests.fail(nowNanos, flight, ErrorKind.KEY_REUSED, 0);
-			case EXPIRED -> this.activeRequests.fail(nowNanos, flight, ErrorKind.KEY_EXPIRED, 0);
+				this.activeRequests.fail(nowNanos, request, ErrorKind.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS);
+			case UNKNOWN -> this.activeRequests.fail(nowNanos, request, ErrorKind.OUTCOME_UNKNOWN, 0);
+			case REUSED -> this.activeRequests.fail(nowNanos, request, ErrorKind.KEY_REUSED, 0);
+			case EXPIRED -> this.activeRequests.fail(nowNanos, request, ErrorKind.KEY_EXPIRED, 0);
 			case UNAVAILABLE ->
-				this.activeRequests.fail(nowNanos, flight, ErrorKind.CLAIM_UNAVAILABLE, RETRY_AFTER_MILLIS);
-			case LIMBO -> this.activeRequests.failInLimbo(nowNanos, flight);
+				this.activeRequests.fail(nowNanos, request, ErrorKind.CLAIM_UNAVAILABLE, RETRY_AFTER_MILLIS);
+			case LIMBO -> this.activeRequests.failInLimbo(nowNanos, request);
 		}
 		return dispatchReady(nowNanos);
 	}
 
 	/**
-	 * Notes how many tokens the caller has.
+	 * Records the output that an attempt has delivered to the caller. Ended attempts are
+	 * ignored.
 	 * @param nowNanos the monotonic time
 	 * @param attempt the attempt
-	 * @param tokensDelivered the tokens delivered in all
+	 * @param tokensDelivered the total number of tokens delivered for the request
 	 */
 	public void onProgress(long nowNanos, AttemptId attempt, int tokensDelivered) {
-		final ActiveRequest flight = this.activeRequests.findLive(attempt);
-		if (flight == null) {
+		final ActiveRequest request = this.activeRequests.findLive(attempt);
+		if (request == null) {
 			return;
 		}
-		final boolean first = !flight.attemptHasOutput;
+		final boolean first = !request.attemptHasOutput;
 		if (first) {
-			this.policies.queue().onFirstToken(nowNanos, flight.info, nowNanos - flight.attemptStartedAtNanos);
+			this.policies.queue().onFirstToken(nowNanos, request.info, nowNanos - request.attemptStartedAtNanos);
 		}
-		flight.hasRun = true;
-		flight.attemptHasOutput = true;
-		flight.load.onTokens(nowNanos, flight.progressAtNanos, tokensDelivered - flight.tokensDelivered, first);
-		flight.progressAtNanos = nowNanos;
-		flight.tokensDelivered = Math.max(flight.tokensDelivered, tokensDelivered);
-		this.suspectTracker.onTokens(flight);
+		request.hasRun = true;
+		request.attemptHasOutput = true;
+		request.load.onTokens(nowNanos, request.progressAtNanos, tokensDelivered - request.tokensDelivered, first);
+		request.progressAtNanos = nowNanos;
+		request.tokensDelivered = Math.max(request.tokensDelivered, tokensDelivered);
+		this.suspectTracker.onTokens(request);
 	}
 
 	/**
-	 * Returns the limits that instances name, to which this core keeps.
+	 * Returns the rate limits that targets have stated and that this core applies.
 	 * @return the limits
 	 */
 	public TargetLimits targetLimits() {
@@ -250,55 +254,57 @@
 	}
 
 	/**
-	 * Returns the instances that want no requests, from which this core keeps away.
-	 * @return the instances
+	 * Returns the instances that asked for a backoff or are shutting down.
+	 * @return the backoffs
 	 */
 	public TargetBackoffs targetBackoffs() {
 		return this.targetBackoffs;
 	}
 
 	/**
-	 * Returns what is known of requests that crash targets.
-	 * @return the targets that crashed, and under what
+	 * Returns the crashes of targets and the requests that are suspected of causing them.
+	 * @return the crashes
 	 */
 	public TargetCrashes targetCrashes() {
 		return this.targetCrashes;
 	}
 
 	/**
-	 * Takes the end of an attempt.
+	 * Handles the end of an attempt. Attempts that ended before are ignored.
 	 * @param nowNanos the monotonic time
 	 * @param attempt the attempt
-	 * @param how how it ended
-	 * @param tokensDelivered the tokens that the caller has in all
-	 * @return what must be done next
+	 * @param outcome how the attempt ended
+	 * @param tokensDelivered the total number of tokens that the caller has received
+	 * @return the actions to carry out
 	 */
-	public List<TrafficAction> onAttemptEnd(long nowNanos, AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
-		final ActiveRequest flight = this.activeRequests.findLive(attempt);
-		if (flight != null) {
-			this.outcomes.onAttemptEnd(nowNanos, flight, how, tokensDelivered);
+	public List<TrafficAction> onAttemptEnd(long nowNanos, AttemptId attempt, AttemptOutcome outcome,
+			int tokensDelivered) {
+		final ActiveRequest request = this.activeRequests.findLive(attempt);
+		if (request != null) {
+			this.outcomes.onAttemptEnd(nowNanos, request, outcome, tokensDelivered);
 		}
 		return dispatchReady(nowNanos);
 	}
 
 	/**
-	 * Takes word that a caller went away.
+	 * Cancels a request whose caller has disconnected.
 	 * @param nowNanos the monotonic time
 	 * @param requestId the request
-	 * @return what must be done next
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onCallerDisconnected(long nowNanos, long requestId) {
-		final ActiveRequest flight = this.activeRequests.get(requestId);
-		if (flight != null) {
-			this.activeRequests.fail(nowNanos, flight, ErrorKind.CALLER_GONE, 0);
+		final ActiveRequest request = this.activeRequests.get(requestId);
+		if (request != null) {
+			this.activeRequests.fail(nowNanos, request, ErrorKind.CALLER_GONE, 0);
 		}
 		return dispatchReady(nowNanos);
 	}
 
 	/**
-	 * Lets time pass: deadlines, queues, limits.
+	 * Applies the passage of time to deadlines, queues, limits, backoffs and stalled
+	 * streams.
 	 * @param nowNanos the monotonic time
-	 * @return what must be done next
+	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onTick(long nowNanos) {
 		this.targets.onTick(nowNanos);
@@ -310,14 +316,15 @@
 	}
 
 	/**
-	 * Stops taking new requests; those held are finished.
+	 * Refuses new requests from now on; active requests run to their end.
 	 */
 	public void stopAdmission() {
 		this.leaving = true;
 	}
 
 	/**
-	 * Returns the demand for which this daemon wants its shares of the limits.
+	 * Returns this daemon's demand, by which its shares of the workspace limits are
+	 * determined.
 	 * @param nowNanos the monotonic time
 	 * @return the demand, by workspace
 	 */
@@ -326,16 +333,17 @@
 	}
 
 	/**
-	 * Returns how many requests are held.
-	 * @return the number of requests that have not ended
+	 * Returns the number of requests that have been admitted and have not ended.
+	 * @return the number of requests
 	 */
 	public int activeRequestCount() {
 		return this.activeRequests.size();
 	}
 
 	/**
-	 * Returns how many requests wait in the queue.
-	 * @return the number of queued requests
+	 * Returns the number of requests that wait for a target, for the first time or for a
+	 * redispatch.
+	 * @return the number of requests
 	 */
 	public int queuedRequestCount() {
 		return this.policies.queue().size() + this.redispatchQueue.size();
@@ -355,9 +363,9 @@
 	}
 
 	/**
-	 * Returns whether an attempt is still waited for.
+	 * Returns whether an attempt has not ended, so that its response is still expected.
 	 * @param attempt the attempt
-	 * @return whether its answer counts
+	 * @return whether the attempt is live
 	 */
 	public boolean isLive(AttemptId attempt) {
 		return this.activeRequests.findLive(attempt) != null;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
@@ -7,25 +7,25 @@
 import org.pistachioline.core.retry.RetryPolicy;
 
 /**
- * The behaviours that vary, one interface each.
+ * The exchangeable policies of a traffic core.
  *
- * @param admission who may enter
- * @param queue who waits and who goes next
- * @param placement which target a request goes to
- * @param retry whether a failed attempt is followed by another
- * @param quarantine which requests are suspected of crashing targets
- * @param migration when a running stream is moved to another target
+ * @param admission decides which requests are admitted
+ * @param queue holds the admitted requests and decides their order
+ * @param placement selects the target of a request
+ * @param retry decides whether a failed attempt is retried
+ * @param quarantine identifies requests that crash targets
+ * @param migration decides when a running stream is moved to another target
  */
 public record TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement,
 		RetryPolicy retry, KillerPolicy quarantine, StreamMigrationPolicy migration) {
 
 	/**
-	 * Puts together policies with the usual rules for moving streams.
-	 * @param admission who may enter
-	 * @param queue who waits and who goes next
-	 * @param placement which target a request goes to
-	 * @param retry whether a failed attempt is followed by another
-	 * @param quarantine which requests are suspected of crashing targets
+	 * Creates policies with the standard rules for stream migration.
+	 * @param admission decides which requests are admitted
+	 * @param queue holds the admitted requests and decides their order
+	 * @param placement selects the target of a request
+	 * @param retry decides whether a failed attempt is retried
+	 * @param quarantine identifies requests that crash targets
 	 */
 	public TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement, RetryPolicy retry,
 			KillerPolicy quarantine) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The life of each request on one daemon: admitted, queued, placed, tried, ended once.
+ * The life cycle of requests on one daemon: admission, queueing, placement, attempts and
+ * retries, until each request ends exactly once.
  */
 package org.pistachioline.core.traffic;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/FastMigrationPolicyTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/FastMigrationPolicyTests.java
@@ -6,14 +6,14 @@
 
 class FastMigrationPolicyTests {
 
-	private static final long MILLI = 1_000_000L;
+	private static final long NANOS_PER_MILLI = 1_000_000L;
 
 	private final FastMigrationPolicy policy = new FastMigrationPolicy();
 
 	/**
-	 * A group loses a member; its head keeps all connections open and sends nothing for
-	 * six seconds. A caller who hears nothing for two leaves, so the stream has to move
-	 * first.
+	 * Guards against callers that give up during a stall. A group that loses a member
+	 * keeps all connections open and sends nothing for six seconds; callers disconnect
+	 * after two seconds without an event, so the stream has to be migrated earlier.
 	 */
 	@Test
 	void aStreamLeavesATargetThatIsSilentAsAWhole() {
@@ -23,25 +23,27 @@
 	}
 
 	/**
-	 * A long prompt is read before this one at a busy target that serves all its other
-	 * requests. Moved away, the request would wait for its prefill twice.
+	 * Guards against needless migration. A busy target processes a long prompt before
+	 * this request while it serves all others. After a migration the request would wait
+	 * for its prefill a second time.
 	 */
 	@Test
-	void aRequestThatHasNotBegunWaitsWhileItsTargetWorks() {
+	void aRequestWithoutOutputWaitsWhileItsTargetMakesProgress() {
 		assertThat(shouldMigrate(1_400, 50, false)).isFalse();
 		assertThat(shouldMigrate(5_000, 50, false)).isFalse();
 	}
 
 	@Test
-	void aStreamThatAloneStandsStillIsMovedLater() {
+	void aStreamThatStallsAloneIsMigratedLater() {
 		assertThat(shouldMigrate(1_400, 50, true)).isFalse();
 		assertThat(shouldMigrate(1_500, 50, true)).isTrue();
 	}
 
-	private boolean shouldMigrate(long silentMillis, long targetSilentMillis, boolean ran) {
-		final long nowNanos = 10_000 * MILLI;
-		return this.policy.shouldMigrate(nowNanos,
-				new StreamProgress(ran, nowNanos - silentMillis * MILLI, nowNanos - targetSilentMillis * MILLI), null);
+	private boolean shouldMigrate(long streamSilenceMillis, long targetSilenceMillis, boolean attemptHasOutput) {
+		final long nowNanos = 10_000 * NANOS_PER_MILLI;
+		return this.policy.shouldMigrate(nowNanos, new StreamProgress(attemptHasOutput,
+				nowNanos - streamSilenceMillis * NANOS_PER_MILLI, nowNanos - targetSilenceMillis * NANOS_PER_MILLI),
+				null);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/RequestQuarantineTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/RequestQuarantineTests.java
@@ -26,12 +26,12 @@
 
 	private static final int SUBMISSIONS = 12;
 
-	private static final String CRASHING_REQUEST = "killer";
+	private static final String CRASHING_REQUEST = "crashing";
 
-	// One request crashes each group that runs it, and its caller sends it again, each
-	// time to another daemon. Users of all other requests would see group after group go.
+	// Guards against the loss of one group after another: a request crashes each group
+	// that runs it, and its caller resubmits it, each time to another daemon.
 	@Test
-	void aKillerRepeatedAtEveryDaemonCostsTwoGroups() {
+	void aCrashingRequestResubmittedToEveryDaemonCostsTwoGroups() {
 		final Fleet fleet = new Fleet(4, 6, DeathCounter::new);
 		fleet.startBystanders(3);
 		for (int i = 0; i < SUBMISSIONS; i++) {
@@ -44,9 +44,9 @@
 		assertThat(fleet.incompleteBystanders()).isZero();
 	}
 
-	// The same caller against the baseline without quarantine shows what is at stake.
+	// The baseline without quarantine, which shows that the scenario does crash groups.
 	@Test
-	void withoutQuarantineEachRepeatCostsAGroup() {
+	void withoutQuarantineEachSubmissionCostsAGroup() {
 		final Fleet fleet = new Fleet(4, 6, NoQuarantine::new);
 		for (int i = 0; i < SUBMISSIONS; i++) {
 			fleet.submitCrashingRequest(i % 4);
@@ -54,8 +54,9 @@
 		assertThat(fleet.groupsLost).isGreaterThanOrEqualTo(SUBMISSIONS);
 	}
 
-	// A hasty caller sends three copies to one daemon before the first group has died.
-	// Spread over three groups they would take all three before anything is known.
+	// A caller sends three copies to one daemon before the first group has crashed. If
+	// they were spread over three groups, all three would crash before the request is a
+	// suspect.
 	@Test
 	void copiesSentAtOnceToOneDaemonRunOnOneGroup() {
 		final Fleet fleet = new Fleet(1, 4, DeathCounter::new);
@@ -68,8 +69,8 @@
 		assertThat(fleet.groupsLost).isEqualTo(2);
 	}
 
-	// Copies reach two daemons in the same instant, so that each learns of the other's
-	// dead group only afterwards. Two groups are lost, and no third.
+	// Copies arrive at two daemons at the same time, so each daemon learns of the other's
+	// crash only afterwards. Two groups are lost, but no third.
 	@Test
 	void copiesSentAtOnceToTwoDaemonsCostTwoGroups() {
 		final Fleet fleet = new Fleet(2, 6, DeathCounter::new);
@@ -83,13 +84,14 @@
 		assertThat(fleet.groupsLost).isEqualTo(2);
 	}
 
-	// The killer's batch had not given a token yet, so any of it may be the cause. Run
-	// again together on the next group they would die together, and all be condemned.
+	// Guards against the quarantine of bystanders. The batch of the crashing request had
+	// delivered no token yet, so each of its requests may be the cause. If they all ran
+	// together on the next group, its crash would quarantine all of them.
 	@Test
-	void suspectsOfOneBatchAreNotCondemnedTogether() {
+	void suspectsOfOneBatchAreNotQuarantinedTogether() {
 		final Fleet fleet = new Fleet(1, 2, DeathCounter::new);
 		for (int i = 0; i < 2 * TrafficSimulation.SLOTS - 1; i++) {
-			fleet.arrive(0, "innocent-" + i);
+			fleet.arrive(0, "bystander-" + i);
 		}
 		fleet.arrive(0, CRASHING_REQUEST);
 		for (int i = 0; i < SUBMISSIONS; i++) {
@@ -103,10 +105,11 @@
 		assertThat(fleet.incompleteBystanders()).isZero();
 	}
 
-	// A rack goes dark and takes group after group from under the same callers. They must
-	// get their answers from what still works, not be told that their requests crash it.
+	// Guards against the quarantine of ordinary requests during a rolling outage, in
+	// which a failing rack takes down one group after another under the same requests.
+	// They must complete on the remaining groups.
 	@Test
-	void aRollingOutageQuarantinesNobodyWhoRunsOn() {
+	void aRollingOutageQuarantinesNoRequestThatRunsOn() {
 		final Fleet fleet = new Fleet(2, 8, DeathCounter::new);
 		fleet.startBystanders(8);
 		for (int group = 0; group < 5; group++) {
@@ -120,7 +123,7 @@
 		assertThat(fleet.incompleteBystanders()).isZero();
 	}
 
-	/** Daemons that share groups and the agreed table, without sockets. */
+	/** Simulated daemons that share groups and the state of the log, without sockets. */
 	private static final class Fleet {
 
 		private final List<TrafficSimulation> daemons = new ArrayList<>();
@@ -135,9 +138,9 @@
 
 		private long nextRequestId = 1;
 
-		Fleet(int daemonCount, int groupCount, Supplier<KillerPolicy> killer) {
+		Fleet(int daemonCount, int groupCount, Supplier<KillerPolicy> quarantine) {
 			for (int i = 0; i < daemonCount; i++) {
-				this.daemons.add(new TrafficSimulation(killer.get()));
+				this.daemons.add(new TrafficSimulation(quarantine.get()));
 			}
 			for (int i = 0; i < groupCount; i++) {
 				this.groupEpochs.put("g" + i, 1);
@@ -148,7 +151,7 @@
 		void startBystanders(int perDaemon) {
 			for (int daemon = 0; daemon < this.daemons.size(); daemon++) {
 				for (int i = 0; i < perDaemon; i++) {
-					arrive(daemon, "innocent-" + daemon + "-" + i);
+					arrive(daemon, "bystander-" + daemon + "-" + i);
 				}
 			}
 			progressAll(20);
@@ -173,14 +176,14 @@
 		}
 
 		private void crashTargetsOfCrashingRequest() {
-			final List<String> doomed = new ArrayList<>();
+			final List<String> targetIds = new ArrayList<>();
 			for (final TrafficSimulation daemon : this.daemons) {
 				daemon.liveAttempts.values()
 					.stream()
 					.filter((attempt) -> attempt.request.info.fingerprint().equals(CRASHING_REQUEST))
-					.forEach((attempt) -> doomed.add(attempt.targetId));
+					.forEach((attempt) -> targetIds.add(attempt.targetId));
 			}
-			doomed.stream().distinct().forEach(this::crashTarget);
+			targetIds.stream().distinct().forEach(this::crashTarget);
 		}
 
 		void crashTarget(String targetId) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/StreamMigrationTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/StreamMigrationTests.java
@@ -26,11 +26,12 @@
 		return onlyAttempt();
 	}
 
-	// A group stands still without closing its connections: a member was paused. The
-	// caller would wait for its deadline. The stream is resumed elsewhere, but only once
-	// the old attempt is known to have ended, with the tokens that still came.
+	// Guards against callers that wait for their deadline when a group stalls without
+	// closing its connections, as it does when a member is paused. The stream is resumed
+	// elsewhere, but only after the old attempt is known to have ended, with the tokens
+	// that it delivered until then.
 	@Test
-	void aStreamOnAGroupThatStandsStillIsResumedElsewhere() {
+	void aStreamOnAStalledGroupIsResumedElsewhere() {
 		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true),
 				TrafficSimulation.model("g1@1", true));
 		this.simulation.advance(5_000);
@@ -44,10 +45,11 @@
 		assertThat(old.request.finalAction).isInstanceOf(TrafficAction.Finish.class);
 	}
 
-	// A drained group goes on with what it has. Only answers that are still running after
-	// half a minute move, so that a planned stop neither cuts nor waits for the longest.
+	// Guards against a planned shutdown that interrupts streams or waits for the longest
+	// one. A draining group continues its streams, and only those that still run after
+	// 30 seconds are migrated.
 	@Test
-	void aStreamOnADrainingGroupMovesOnlyAfterTheBound() {
+	void aStreamOnADrainingGroupIsMigratedOnlyAfterTheDrainPeriod() {
 		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true));
 		this.simulation.targets(TrafficSimulation.model("g0@1", false), TrafficSimulation.model("g1@1", true));
 		for (int second = 1; second < 30; second++) {
@@ -59,20 +61,21 @@
 		assertThat(old.cancelled).isTrue();
 	}
 
-	// The last group of a model drains. There is nowhere to go, so nothing is cut.
+	// Guards against the interruption of a stream that no other target can resume: the
+	// last group of a model drains.
 	@Test
-	void aStreamWithNowhereToGoIsLeftAlone() {
+	void aStreamWithoutAnotherTargetIsNotInterrupted() {
 		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true));
 		this.simulation.targets(TrafficSimulation.model("g0@1", false));
 		this.simulation.advance(60_000);
 		assertThat(old.cancelled).isFalse();
 	}
 
-	// The only group dies and no other serves. The caller is told at once that the
-	// request
-	// may have run and when to come back, and is not held until its deadline.
+	// Guards against a caller that is held until its deadline when the only group crashes
+	// and no other serves. It is told at once that the request may have run and when to
+	// retry.
 	@Test
-	void aStreamThatNoGroupCanResumeEndsAtOnce() {
+	void aStreamThatNoGroupCanResumeFailsAtOnce() {
 		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true));
 		this.simulation.end(old.id, AttemptOutcome.BROKEN);
 		assertThat(old.request.finalAction)
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TargetSlowStartTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TargetSlowStartTests.java
@@ -11,18 +11,20 @@
 
 class TargetSlowStartTests {
 
-	private static final long SECOND = 1_000_000_000L;
+	private static final long SECOND_NANOS = 1_000_000_000L;
 
 	private static final RequestInfo REQUEST = new RequestInfo(1, "workspace", TargetKind.MODEL, "pool/large", 100, 100,
-			0, 100 * SECOND, 100 * SECOND, true, ClaimRequirement.NONE, "", List.of(), 2, 100 * SECOND);
+			0, 100 * SECOND_NANOS, 100 * SECOND_NANOS, true, ClaimRequirement.NONE, "", List.of(), 2,
+			100 * SECOND_NANOS);
 
 	/**
-	 * A group breaks and its survivors form another within a second. Its engines ran all
-	 * the while. Were it given work as slowly as a machine that just started, callers
-	 * would wait in the queue while half of its slots are free.
+	 * Guards against a slow start of a group whose engines are already warm. When a group
+	 * breaks, its remaining members form a new one within a second. If the new group were
+	 * loaded as slowly as a machine that has just started, callers would be queued while
+	 * half of its slots are free.
 	 */
 	@Test
-	void aGroupThatIsFormedAnewOffersAllItsSlotsAtOnce() {
+	void aReformedGroupOffersAllItsSlotsAtOnce() {
 		assertThat(freeSlots(new ExpectedWaitPlacement("zone", 1, true))).isEqualTo(24);
 	}
 
@@ -31,13 +33,13 @@
 		assertThat(freeSlots(new ExpectedWaitPlacement("zone", 1, false))).isEqualTo(13);
 	}
 
-	// A group that served before, and one that was formed anew this moment.
+	// Counts the slots of a group that has served for a while and of a newly formed one.
 	private static int freeSlots(ExpectedWaitPlacement placement) {
-		final TargetRegistry book = new TargetRegistry(placement);
-		book.onLiveDaemons(0, LiveDaemons.ALONE);
-		book.update(SECOND, List.of(view("a@1", SECOND)));
-		book.update(10 * SECOND, List.of(view("a@1", 10 * SECOND), view("b@2", 10 * SECOND)));
-		return book.freeSlots(REQUEST);
+		final TargetRegistry registry = new TargetRegistry(placement);
+		registry.onLiveDaemons(0, LiveDaemons.ALONE);
+		registry.update(SECOND_NANOS, List.of(view("a@1", SECOND_NANOS)));
+		registry.update(10 * SECOND_NANOS, List.of(view("a@1", 10 * SECOND_NANOS), view("b@2", 10 * SECOND_NANOS)));
+		return registry.freeSlots(REQUEST);
 	}
 
 	private static TargetView view(String targetId, long nowNanos) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficInvariantTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficInvariantTests.java
@@ -30,157 +30,164 @@
 
 	private long nextOffset = 1;
 
-	// Targets die, drain, vanish and come back, answers are late, doubled or foreign,
-	// claims land after their request ended, callers hang up, all at any moment. A user
-	// would notice a booking that ran after a refusal, a doubled token, or an answer that
-	// never comes. The history checks each step; here all must have ended in the end.
+	// Guards against a non-idempotent request that ran although it was reported as not
+	// run, a repeated token, and a request that never ends. Targets crash, drain, vanish
+	// and return, responses are late, duplicated or foreign, claims are granted after
+	// their request ended, and callers disconnect, in random order. The simulation checks
+	// the invariants at each step; the property checks that every request has ended.
 	@Property(seed = "7201", tries = 400, shrinking = ShrinkingMode.OFF)
-	void whateverHappensEachRequestEndsOnceAndTruthfully(@ForAll long seed) {
+	void eachRequestEndsOnceWithACorrectRunState(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final TrafficSimulation history = new TrafficSimulation(new DeathCounter());
-		views(history, random);
+		final TrafficSimulation simulation = new TrafficSimulation(new DeathCounter());
+		changeTargets(simulation, random);
 		for (int step = 0; step < STEPS; step++) {
-			step(history, random);
+			step(simulation, random);
 		}
-		history.nowNanos += 500_000_000_000L;
-		history.advance(1);
-		for (final long requestId : List.copyOf(history.pendingClaims.keySet())) {
-			history.claim(requestId, ClaimVerdict.GRANTED, this.nextOffset++);
+		simulation.nowNanos += 500_000_000_000L;
+		simulation.advance(1);
+		for (final long requestId : List.copyOf(simulation.pendingClaims.keySet())) {
+			simulation.claim(requestId, ClaimVerdict.GRANTED, this.nextOffset++);
 		}
-		assertThat(history.requests.values()).allMatch((request) -> request.ended);
-		assertThat(history.core.activeRequestCount()).isZero();
-		assertThat(history.core.queuedRequestCount()).isZero();
-		assertThat(history.heldClaims.keySet())
-			.allMatch((requestId) -> history.requests.get(requestId).possibleRuns > 0);
+		assertThat(simulation.requests.values()).allMatch((request) -> request.ended);
+		assertThat(simulation.core.activeRequestCount()).isZero();
+		assertThat(simulation.core.queuedRequestCount()).isZero();
+		assertThat(simulation.heldClaims.keySet())
+			.allMatch((requestId) -> simulation.requests.get(requestId).possibleRuns > 0);
 	}
 
 	/**
-	 * Guards against the same with the policies of a daemon that relays by routes: a
-	 * booking that is sent twice or ran after a refusal, a request that is sent though it
-	 * is barred, and one that never ends.
+	 * Guards against the same faults with the policies of a daemon that relays requests
+	 * by configured routes: a non-idempotent request that is sent twice or ran after it
+	 * was refused, a quarantined request that is sent, and one that never ends.
 	 */
 	@Property(seed = "7202", tries = 400, shrinking = ShrinkingMode.OFF)
-	void whateverHappensEachRelayedRequestEndsOnceAndTruthfully(@ForAll long seed) {
+	void eachRelayedRequestEndsOnceWithACorrectRunState(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final TrafficSimulation history = new TrafficSimulation(RoutingPolicies.create("a", seed,
+		final TrafficSimulation simulation = new TrafficSimulation(RoutingPolicies.create("a", seed,
 				new RetryBudget(0.2, 100, 10_000_000_000L), () -> 2, new SharedDeaths()));
-		views(history, random);
+		changeTargets(simulation, random);
 		for (int step = 0; step < STEPS; step++) {
-			relayedStep(history, random);
+			relayedStep(simulation, random);
 		}
-		history.nowNanos += 500_000_000_000L;
-		history.advance(1);
-		assertThat(history.requests.values()).allMatch((request) -> request.ended);
-		assertThat(history.core.activeRequestCount()).isZero();
-		assertThat(history.core.queuedRequestCount()).isZero();
+		simulation.nowNanos += 500_000_000_000L;
+		simulation.advance(1);
+		assertThat(simulation.requests.values()).allMatch((request) -> request.ended);
+		assertThat(simulation.core.activeRequestCount()).isZero();
+		assertThat(simulation.core.queuedRequestCount()).isZero();
 	}
 
-	private void relayedStep(TrafficSimulation history, Random random) {
+	private void relayedStep(TrafficSimulation simulation, Random random) {
 		switch (random.nextInt(12)) {
 			case 0, 1,
 					2 ->
-				history.arriveUnclaimed(this.nextRequestId++,
+				simulation.arriveUnclaimed(this.nextRequestId++,
 						random.nextBoolean() ? TargetKind.MODEL : TargetKind.SERVICE, "f" + random.nextInt(12),
 						random.nextInt(3) > 0);
-			case 3, 4 -> answer(history, random);
-			case 5 -> history.advance(random.nextInt(4_000));
-			case 6 -> views(history, random);
-			case 7 -> told(history, random);
-			case 8 -> history.apply(history.core.onCallerDisconnected(history.nowNanos, 1 + random.nextLong(10)));
-			case 9 -> late(history, random);
-			case 10 -> crash(history, random);
-			default -> ended(history, random);
+			case 3, 4 -> deliverTokens(simulation, random);
+			case 5 -> simulation.advance(random.nextInt(4_000));
+			case 6 -> changeTargets(simulation, random);
+			case 7 -> reportPeerCrash(simulation, random);
+			case 8 ->
+				simulation.apply(simulation.core.onCallerDisconnected(simulation.nowNanos, 1 + random.nextLong(10)));
+			case 9 -> deliverStaleEvents(simulation, random);
+			case 10 -> crashAndReport(simulation, random);
+			default -> endAttempt(simulation, random);
 		}
 	}
 
-	private static void crash(TrafficSimulation history, Random random) {
+	private static void crashAndReport(TrafficSimulation simulation, Random random) {
 		final String targetId = random.nextBoolean() ? "g" + random.nextInt(3) + "@1" : "s" + random.nextInt(3);
-		final Set<String> ran = history.liveAttempts.values()
+		final Set<String> fingerprints = simulation.liveAttempts.values()
 			.stream()
 			.filter((attempt) -> attempt.targetId.equals(targetId))
 			.map((attempt) -> attempt.request.info.fingerprint())
 			.collect(Collectors.toSet());
-		history.crashTarget(targetId);
-		history.core.targetCrashes()
-			.onCrash(history.nowNanos, new TargetCrash(targetId + "-" + history.nowNanos, ran, Set.of()));
-		history.advance(1);
+		simulation.crashTarget(targetId);
+		simulation.core.targetCrashes()
+			.onCrash(simulation.nowNanos,
+					new TargetCrash(targetId + "-" + simulation.nowNanos, fingerprints, Set.of()));
+		simulation.advance(1);
 	}
 
-	private static void told(TrafficSimulation history, Random random) {
-		final TargetDeath death = new TargetDeath("elsewhere-" + random.nextInt(20), history.nowNanos,
+	private static void reportPeerCrash(TrafficSimulation simulation, Random random) {
+		final TargetDeath death = new TargetDeath("elsewhere-" + random.nextInt(20), simulation.nowNanos,
 				random.nextBoolean() ? DeathPhase.BEGINNING : DeathPhase.UNDER_WAY, random.nextInt(4) == 0);
-		history.core.targetCrashes()
-			.onPeerReports(history.nowNanos, List.of(new SuspectedRequest("f" + random.nextInt(12), List.of(death))));
-		history.advance(1);
+		simulation.core.targetCrashes()
+			.onPeerReports(simulation.nowNanos,
+					List.of(new SuspectedRequest("f" + random.nextInt(12), List.of(death))));
+		simulation.advance(1);
 	}
 
-	private void step(TrafficSimulation history, Random random) {
+	private void step(TrafficSimulation simulation, Random random) {
 		switch (random.nextInt(12)) {
-			case 0, 1, 2 -> arrive(history, random);
-			case 3, 4 -> answer(history, random);
-			case 5 -> history.advance(random.nextInt(4_000));
-			case 6 -> views(history, random);
-			case 7 -> claim(history, random);
-			case 8 -> history.apply(history.core.onCallerDisconnected(history.nowNanos, 1 + random.nextLong(10)));
-			case 9 -> late(history, random);
-			case 10 -> history.crashTarget("g" + random.nextInt(3) + "@1");
-			default -> ended(history, random);
+			case 0, 1, 2 -> arrive(simulation, random);
+			case 3, 4 -> deliverTokens(simulation, random);
+			case 5 -> simulation.advance(random.nextInt(4_000));
+			case 6 -> changeTargets(simulation, random);
+			case 7 -> answerClaim(simulation, random);
+			case 8 ->
+				simulation.apply(simulation.core.onCallerDisconnected(simulation.nowNanos, 1 + random.nextLong(10)));
+			case 9 -> deliverStaleEvents(simulation, random);
+			case 10 -> simulation.crashTarget("g" + random.nextInt(3) + "@1");
+			default -> endAttempt(simulation, random);
 		}
 	}
 
-	private void arrive(TrafficSimulation history, Random random) {
+	private void arrive(TrafficSimulation simulation, Random random) {
 		final boolean keyed = random.nextInt(3) == 0;
 		final TargetKind kind = (keyed || random.nextInt(4) == 0) ? TargetKind.SERVICE : TargetKind.MODEL;
 		final String fingerprint = (kind == TargetKind.MODEL) ? "f" + random.nextInt(8) : "";
-		history.arrive(this.nextRequestId++, kind, fingerprint, keyed);
+		simulation.arrive(this.nextRequestId++, kind, fingerprint, keyed);
 	}
 
-	private void answer(TrafficSimulation history, Random random) {
-		final List<AttemptId> ids = new ArrayList<>(history.liveAttempts.keySet());
+	private void deliverTokens(TrafficSimulation simulation, Random random) {
+		final List<AttemptId> ids = new ArrayList<>(simulation.liveAttempts.keySet());
 		if (!ids.isEmpty()) {
-			history.progress(ids.get(random.nextInt(ids.size())), 1 + random.nextInt(20));
+			simulation.progress(ids.get(random.nextInt(ids.size())), 1 + random.nextInt(20));
 		}
 	}
 
-	private void ended(TrafficSimulation history, Random random) {
-		final List<AttemptId> ids = new ArrayList<>(history.liveAttempts.keySet());
+	private void endAttempt(TrafficSimulation simulation, Random random) {
+		final List<AttemptId> ids = new ArrayList<>(simulation.liveAttempts.keySet());
 		if (ids.isEmpty()) {
 			return;
 		}
 		final AttemptId id = ids.get(random.nextInt(ids.size()));
-		final AttemptOutcome[] ends = AttemptOutcome.values();
-		final TrafficSimulation.Attempt attempt = history.liveAttempts.get(id);
-		AttemptOutcome how = ends[random.nextInt(ends.length)];
-		if (attempt.cancelled && how != AttemptOutcome.COMPLETE) {
-			how = AttemptOutcome.CANCELLED;
+		final AttemptOutcome[] outcomes = AttemptOutcome.values();
+		final TrafficSimulation.Attempt attempt = simulation.liveAttempts.get(id);
+		AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
+		if (attempt.cancelled && outcome != AttemptOutcome.COMPLETE) {
+			outcome = AttemptOutcome.CANCELLED;
 		}
-		else if (how == AttemptOutcome.NOT_CONNECTED && attempt.request.deliveredTokens > 0) {
-			how = AttemptOutcome.BROKEN;
+		else if (outcome == AttemptOutcome.NOT_CONNECTED && attempt.request.deliveredTokens > 0) {
+			outcome = AttemptOutcome.BROKEN;
 		}
-		else if (how == AttemptOutcome.WITHHELD && attempt.request.deliveredTokens > attempt.deliveredTokensAtStart) {
-			how = AttemptOutcome.BROKEN;
+		else if (outcome == AttemptOutcome.WITHHELD
+				&& attempt.request.deliveredTokens > attempt.deliveredTokensAtStart) {
+			outcome = AttemptOutcome.BROKEN;
 		}
-		history.end(id, how);
+		simulation.end(id, outcome);
 	}
 
-	private void late(TrafficSimulation history, Random random) {
-		final AttemptId stranger = history.endedAttempts.isEmpty() ? new AttemptId(99_999, 1)
-				: history.endedAttempts.get(random.nextInt(history.endedAttempts.size()));
-		history.core.onProgress(history.nowNanos, stranger, 1_000);
-		history.apply(history.core.onAttemptEnd(history.nowNanos, stranger, AttemptOutcome.COMPLETE, 1_000));
-		history.apply(history.core.onClaim(history.nowNanos, stranger.requestId(), ClaimVerdict.SETTLED, -1));
+	// Delivers events for an attempt that has ended or never existed.
+	private void deliverStaleEvents(TrafficSimulation simulation, Random random) {
+		final AttemptId stale = simulation.endedAttempts.isEmpty() ? new AttemptId(99_999, 1)
+				: simulation.endedAttempts.get(random.nextInt(simulation.endedAttempts.size()));
+		simulation.core.onProgress(simulation.nowNanos, stale, 1_000);
+		simulation.apply(simulation.core.onAttemptEnd(simulation.nowNanos, stale, AttemptOutcome.COMPLETE, 1_000));
+		simulation.apply(simulation.core.onClaim(simulation.nowNanos, stale.requestId(), ClaimVerdict.SETTLED, -1));
 	}
 
-	private void claim(TrafficSimulation history, Random random) {
-		final List<Long> ids = new ArrayList<>(history.pendingClaims.keySet());
+	private void answerClaim(TrafficSimulation simulation, Random random) {
+		final List<Long> ids = new ArrayList<>(simulation.pendingClaims.keySet());
 		if (!ids.isEmpty()) {
 			final boolean granted = random.nextBoolean();
-			history.claim(ids.get(random.nextInt(ids.size())),
+			simulation.claim(ids.get(random.nextInt(ids.size())),
 					granted ? ClaimVerdict.GRANTED : VERDICTS[random.nextInt(VERDICTS.length)], this.nextOffset++);
 		}
 	}
 
-	private void views(TrafficSimulation history, Random random) {
+	private void changeTargets(TrafficSimulation simulation, Random random) {
 		final List<TargetView> views = new ArrayList<>();
 		for (int i = 0; i < 3; i++) {
 			if (random.nextInt(4) > 0) {
@@ -190,7 +197,7 @@
 				views.add(TrafficSimulation.service("s" + i, random.nextInt(3) > 0));
 			}
 		}
-		history.targets(views.toArray(new TargetView[0]));
+		simulation.targets(views.toArray(new TargetView[0]));
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficSimulation.java
@@ -17,8 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Stands between a core and its targets in virtual time, carries out each action and
- * checks every promise at the moment when it could break.
+ * Simulates the callers, targets and log of a traffic core in virtual time. It applies
+ * each action of the core and asserts the core's invariants at every step.
  */
 final class TrafficSimulation {
 
@@ -40,8 +40,9 @@
 
 	long nowNanos;
 
-	TrafficSimulation(KillerPolicy killer) {
-		this(new TrafficPolicies(new AdmitAll(), new FifoQueue(100), new LeastInFlight(), new BudgetedRetry(), killer));
+	TrafficSimulation(KillerPolicy quarantine) {
+		this(new TrafficPolicies(new AdmitAll(), new FifoQueue(100), new LeastInFlight(), new BudgetedRetry(),
+				quarantine));
 	}
 
 	TrafficSimulation(TrafficPolicies policies) {
@@ -66,9 +67,9 @@
 	}
 
 	/**
-	 * Lets a request arrive that needs no claim, whether it may be sent again or not.
+	 * Submits a request that requires no claim, even if it is not idempotent.
 	 * @param requestId its id
-	 * @param kind where it goes
+	 * @param kind the kind of its target
 	 * @param fingerprint its fingerprint
 	 * @param idempotent whether it may be sent again
 	 * @return the request
@@ -96,16 +97,16 @@
 		this.core.onProgress(this.nowNanos, id, attempt.request.deliveredTokens);
 	}
 
-	void end(AttemptId id, AttemptOutcome how) {
+	void end(AttemptId id, AttemptOutcome outcome) {
 		final Attempt attempt = this.liveAttempts.remove(id);
 		this.endedAttempts.add(id);
-		final boolean declined = how == AttemptOutcome.DECLINED
+		final boolean declined = outcome == AttemptOutcome.DECLINED
 				&& attempt.request.deliveredTokens == attempt.deliveredTokensAtStart;
-		if (how == AttemptOutcome.NOT_CONNECTED || how == AttemptOutcome.WITHHELD || declined) {
+		if (outcome == AttemptOutcome.NOT_CONNECTED || outcome == AttemptOutcome.WITHHELD || declined) {
 			attempt.request.possibleRuns--;
 		}
 		attempt.request.liveAttempt = null;
-		apply(this.core.onAttemptEnd(this.nowNanos, id, how, attempt.request.deliveredTokens));
+		apply(this.core.onAttemptEnd(this.nowNanos, id, outcome, attempt.request.deliveredTokens));
 	}
 
 	void crashTarget(String targetId) {
@@ -136,10 +137,10 @@
 
 	void apply(List<TrafficAction> actions) {
 		actions.forEach(this::apply);
-		final Map<String, Long> perTarget = this.liveAttempts.values()
+		final Map<String, Long> attemptsPerTarget = this.liveAttempts.values()
 			.stream()
 			.collect(Collectors.groupingBy((attempt) -> attempt.targetId, Collectors.counting()));
-		assertThat(perTarget.values()).allMatch((count) -> count <= SLOTS);
+		assertThat(attemptsPerTarget.values()).allMatch((count) -> count <= SLOTS);
 	}
 
 	private void apply(TrafficAction action) {
@@ -155,11 +156,11 @@
 			this.pendingClaims.put(action.requestId(), request);
 		}
 		else if (action instanceof TrafficAction.Release release) {
-			assertThat(request.possibleRuns).as("a claim under which bytes left is kept").isZero();
+			assertThat(request.possibleRuns).as("a claim is released only if no byte was sent").isZero();
 			assertThat(this.heldClaims.remove(action.requestId())).isEqualTo(release.claimOffset());
 		}
-		else if (action instanceof TrafficAction.ReportSuspect suspect) {
-			this.suspectReports.add(suspect);
+		else if (action instanceof TrafficAction.ReportSuspect report) {
+			this.suspectReports.add(report);
 		}
 		else if (!(action instanceof TrafficAction.ReportStall)) {
 			finish(request, action);
@@ -168,15 +169,15 @@
 
 	private void start(Request request, TrafficAction.Start start) {
 		assertThat(request.ended).isFalse();
-		assertThat(request.liveAttempt).as("never two live attempts").isNull();
-		assertThat(start.resumeFromTokens()).as("no token lost or doubled").isEqualTo(request.deliveredTokens);
+		assertThat(request.liveAttempt).as("a request has at most one live attempt").isNull();
+		assertThat(start.resumeFromTokens()).as("no token is lost or repeated").isEqualTo(request.deliveredTokens);
 		if (!request.info.idempotent()) {
-			assertThat(request.possibleRuns).as("never sent again").isZero();
+			assertThat(request.possibleRuns).as("a non-idempotent request is not sent again").isZero();
 		}
 		if (request.info.claim().isRequired()) {
 			assertThat(this.heldClaims).containsKey(request.info.requestId());
 		}
-		assertThat(this.core.targetCrashes().quarantined()).as("nothing that is barred is sent")
+		assertThat(this.core.targetCrashes().quarantined()).as("a quarantined request is not sent")
 			.doesNotContain(request.info.fingerprint());
 		request.possibleRuns++;
 		request.liveAttempt = start.attempt();
@@ -184,16 +185,16 @@
 	}
 
 	private void finish(Request request, TrafficAction action) {
-		assertThat(request.ended).as("ends once").isFalse();
+		assertThat(request.ended).as("a request ends only once").isFalse();
 		request.ended = true;
 		request.finalAction = action;
 		if (action instanceof TrafficAction.Fail fail && fail.runState() == RunState.NOT_RUN) {
-			assertThat(request.possibleRuns).as("not-run is true").isZero();
+			assertThat(request.possibleRuns).as("a request reported as not run has not run").isZero();
 			assertThat(this.heldClaims).doesNotContainKey(request.info.requestId());
 		}
 		if (request.liveAttempt != null) {
 			final Attempt attempt = this.liveAttempts.remove(request.liveAttempt);
-			assertThat(attempt.cancelled).as("no work is left behind").isTrue();
+			assertThat(attempt.cancelled).as("the live attempt of an ended request is cancelled").isTrue();
 			this.endedAttempts.add(request.liveAttempt);
 		}
 	}
