--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/BudgetedRetry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/BudgetedRetry.java
@@ -4,15 +4,17 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Retries within a budget that successes earn.
+ * Retries within a budget that is replenished by successful requests.
  * <p>
- * Made for an outage at load: if every failure is tried again, the targets that still
- * work get twice the work and fail too. A tenth of a retry is earned by each success, so
- * retries add at most 10 % to the traffic in the long run. As many may be saved up as one
- * daemon has streams on one large group, so that all of them are resumed when it dies on
- * an otherwise quiet day; with ten saved, two thirds of them were given up. An attempt
- * count bounds what one request may take of it, and callers are told when to come back,
- * so that their own retries do not multiply ours.
+ * The budget guards against retry storms: if every failure were retried during an outage
+ * under load, the remaining targets would receive twice the load and fail as well. Each
+ * success earns {@value #EARNED_RETRIES_PER_SUCCESS} retries, so retries add at most 10 %
+ * to the traffic in the long run. The budget can save up {@value #MAX_SAVED_RETRIES}
+ * retries, about as many as one daemon has streams on one large group, so that all of
+ * these can be resumed when the group crashes; with a maximum of 10, two thirds of them
+ * were given up. The limit of attempts bounds how much of the budget a single request may
+ * consume. Callers are given a retry delay, so that their own retries do not multiply
+ * those of the daemon.
  */
 public final class BudgetedRetry implements RetryPolicy {
 
@@ -25,7 +27,7 @@
 	private double availableRetries = MAX_SAVED_RETRIES;
 
 	@Override
-	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how) {
+	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome outcome) {
 		if (attempts >= MAX_ATTEMPTS || nowNanos >= info.totalDeadlineNanos() || this.availableRetries < 1) {
 			return RetryDecision.GIVE_UP;
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/RetryDecision.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/RetryDecision.java
@@ -1,14 +1,14 @@
 package org.pistachioline.core.retry;
 
 /**
- * What follows a failed attempt.
+ * Whether a request whose attempt failed is attempted again.
  */
 public enum RetryDecision {
 
 	/** Another attempt is made. */
 	RETRY,
 
-	/** The request ends with a failure. */
+	/** The request fails. */
 	GIVE_UP
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/RetryPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/RetryPolicy.java
@@ -4,41 +4,42 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Decides whether a failed attempt is followed by another.
+ * Decides whether a failed attempt is retried.
  */
 public interface RetryPolicy {
 
 	/**
-	 * Decides after a failure of a request that may be sent again.
+	 * Decides whether to retry a request that may safely be sent again.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @param attempts how many attempts were made
-	 * @param how how the last one ended
+	 * @param attempts the number of attempts made so far
+	 * @param outcome how the last attempt ended
 	 * @return the decision
 	 */
-	RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how);
+	RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome outcome);
 
 	/**
-	 * Decides whether a running stream may be moved to another target.
+	 * Takes one attempt from the budget for the migration of a running stream, if the
+	 * budget allows it.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @return whether the budget has room for another attempt; it is taken where it has
+	 * @return whether the stream may be migrated
 	 */
 	default boolean tryAcquireForMigration(long nowNanos, RequestInfo info) {
 		return true;
 	}
 
 	/**
-	 * Notes a request that arrived.
+	 * Records the arrival of a request.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 */
 	default void onArrival(long nowNanos, RequestInfo info) {
-		// A budget that successes earn needs no arrivals.
+		// A budget that depends on successes does not count arrivals.
 	}
 
 	/**
-	 * Notes a request that ended well.
+	 * Records the successful end of a request.
 	 * @param nowNanos the monotonic time
 	 */
 	void onSuccess(long nowNanos);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/SharedBudgetRetry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/SharedBudgetRetry.java
@@ -8,19 +8,19 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Retries within a bound that the operators set for all daemons together.
+ * Retries within a budget that operators configure for all daemons together.
  * <p>
- * Made for a fleet that loses a group every few seconds and may send only a part of its
- * traffic twice. The daemons do not tell each other in time what they spend, so each
- * keeps to its own share: an equal part of the allowed burst, and the allowed ratio of
- * the requests that came to itself. The sum of the shares stays under the bound whatever
- * each does, since a little of both is left unused ({@value #SPENDABLE_RATIO} is spent):
- * a daemon that has just started does not know yet how many others there are. Every
- * attempt beyond the first counts, also one that the target declines.
+ * Intended for fleets that lose a group every few seconds and may repeat only a limited
+ * part of their traffic. Daemons cannot exchange their consumption fast enough, so each
+ * one limits itself to its share: an equal part of the allowed burst, and the allowed
+ * ratio of the requests that arrived at this daemon. Each daemon uses only
+ * {@value #SPENDABLE_RATIO} of its share, which keeps the sum within the budget even
+ * while a daemon that has just started does not know yet how many others there are. Every
+ * attempt beyond the first counts, including attempts that the target declines.
  */
 public final class SharedBudgetRetry implements RetryPolicy {
 
-	/** The part of a daemon's share that it spends. */
+	/** The fraction of its share that a daemon may use. */
 	private static final double SPENDABLE_RATIO = 0.75;
 
 	private final RetryBudget fleetBudget;
@@ -31,16 +31,16 @@
 
 	/**
 	 * Creates the policy.
-	 * @param bound the bound for all daemons together
-	 * @param daemons tells how many daemons share it
+	 * @param fleetBudget the budget of all daemons together
+	 * @param daemonCount supplies the number of daemons that share the budget
 	 */
-	public SharedBudgetRetry(RetryBudget bound, IntSupplier daemons) {
-		this.fleetBudget = bound;
-		this.daemonCount = daemons;
+	public SharedBudgetRetry(RetryBudget fleetBudget, IntSupplier daemonCount) {
+		this.fleetBudget = fleetBudget;
+		this.daemonCount = daemonCount;
 	}
 
 	@Override
-	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how) {
+	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome outcome) {
 		if (attempts >= info.maxAttempts() || nowNanos >= info.totalDeadlineNanos()) {
 			return RetryDecision.GIVE_UP;
 		}
@@ -59,16 +59,16 @@
 
 	@Override
 	public void onSuccess(long nowNanos) {
-		// The budget follows arrivals; what came of them does not matter.
+		// The budget depends on arrivals only, whatever their outcome.
 	}
 
 	private ServiceBudget budgetOf(long nowNanos, RequestInfo info) {
-		final double most = SPENDABLE_RATIO * this.fleetBudget.burstAttempts()
+		final double maxAttempts = SPENDABLE_RATIO * this.fleetBudget.burstAttempts()
 				/ Math.max(1, this.daemonCount.getAsInt());
-		final ServiceBudget account = this.budgetsByService.computeIfAbsent(serviceOf(info),
-				(name) -> new ServiceBudget(most, nowNanos));
-		account.refill(nowNanos, most);
-		return account;
+		final ServiceBudget budget = this.budgetsByService.computeIfAbsent(serviceOf(info),
+				(name) -> new ServiceBudget(maxAttempts, nowNanos));
+		budget.refill(nowNanos, maxAttempts);
+		return budget;
 	}
 
 	// All models of a service share the service's budget.
@@ -78,8 +78,9 @@
 	}
 
 	/**
-	 * One service's budget. The burst comes back over two windows: a whole burst in one
-	 * window and another in the next would be twice the bound in a window between them.
+	 * The budget of one service. The burst is refilled at a quarter per window: if a
+	 * whole burst were used in one window and another in the next, a window that overlaps
+	 * both would contain twice the allowed burst.
 	 */
 	private final class ServiceBudget {
 
@@ -87,20 +88,20 @@
 
 		private long refilledAtNanos;
 
-		ServiceBudget(double left, long nowNanos) {
-			this.availableAttempts = left;
+		ServiceBudget(double availableAttempts, long nowNanos) {
+			this.availableAttempts = availableAttempts;
 			this.refilledAtNanos = nowNanos;
 		}
 
-		void refill(long nowNanos, double most) {
+		void refill(long nowNanos, double maxAttempts) {
 			final double windows = (double) (nowNanos - this.refilledAtNanos)
 					/ SharedBudgetRetry.this.fleetBudget.windowNanos();
 			this.refilledAtNanos = nowNanos;
-			this.availableAttempts = Math.min(most, this.availableAttempts + windows * most / 4);
+			this.availableAttempts = Math.min(maxAttempts, this.availableAttempts + windows * maxAttempts / 4);
 		}
 
-		void add(double amount) {
-			this.availableAttempts += amount;
+		void add(double attempts) {
+			this.availableAttempts += attempts;
 		}
 
 		boolean tryAcquire() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Whether a failed attempt is followed by another.
+ * Policies and budgets for the retry of failed attempts.
  */
 package org.pistachioline.core.retry;
