--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/AppendBudget.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/AppendBudget.java
@@ -1,14 +1,16 @@
 package org.pistachioline.core.stream;
 
 /**
- * Holds one daemon to its share of the appends that the log takes from all.
+ * Limits one daemon to its share of the append rate that the log accepts from all daemons
+ * together.
  * <p>
- * The log takes several hundred appends a second from everybody together. In a storm, say
- * of non-idempotent requests, daemons that append as fast as they can get refusals, and
- * the planner's record that would mend a group waits among them. Each daemon therefore
- * takes an equal share, and what does not fit waits and goes out in a larger batch, so
- * that records a second are not held down, only appends. The burst lets a quiet daemon's
- * first records go at once.
+ * The log accepts several hundred appends a second in total. Under overload, for example
+ * by non-idempotent requests, daemons that append without a limit would be refused, and
+ * the planner's records that repair groups would have to compete with those appends. Each
+ * daemon is therefore limited to an equal share. Records over the limit wait and are
+ * appended in a larger batch, so only the rate of appends is limited, not the rate of
+ * records. The burst lets a daemon that has been idle append its first records
+ * immediately.
  */
 public final class AppendBudget {
 
@@ -24,26 +26,26 @@
 
 	/**
 	 * Creates a full budget.
-	 * @param allPerSecond the appends a second of all daemons together
-	 * @param burst how many appends may go at once after a quiet time
+	 * @param fleetAppendsPerSecond the allowed appends a second of all daemons together
+	 * @param burstAppends how many appends are allowed at once after an idle period
 	 * @param nowNanos the monotonic time
 	 */
-	public AppendBudget(double allPerSecond, double burst, long nowNanos) {
-		this.fleetAppendsPerSecond = allPerSecond;
-		this.burstAppends = burst;
-		this.availableAppends = burst;
+	public AppendBudget(double fleetAppendsPerSecond, double burstAppends, long nowNanos) {
+		this.fleetAppendsPerSecond = fleetAppendsPerSecond;
+		this.burstAppends = burstAppends;
+		this.availableAppends = burstAppends;
 		this.refilledAtNanos = nowNanos;
 	}
 
 	/**
-	 * Takes one append from the budget.
-	 * @param daemons how many daemons share it
+	 * Takes one append from the budget, if one is available.
+	 * @param daemonCount how many daemons share the log
 	 * @param nowNanos the monotonic time
-	 * @return whether it may go now
+	 * @return whether the append is allowed now
 	 */
-	public boolean tryAcquire(int daemons, long nowNanos) {
-		final double share = this.fleetAppendsPerSecond / Math.max(1, daemons);
-		final double earned = (nowNanos - this.refilledAtNanos) / NANOS_PER_SECOND * share;
+	public boolean tryAcquire(int daemonCount, long nowNanos) {
+		final double sharePerSecond = this.fleetAppendsPerSecond / Math.max(1, daemonCount);
+		final double earned = (nowNanos - this.refilledAtNanos) / NANOS_PER_SECOND * sharePerSecond;
 		this.availableAppends = Math.min(this.burstAppends, this.availableAppends + earned);
 		this.refilledAtNanos = nowNanos;
 		if (this.availableAppends < 1) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/Backoff.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/Backoff.java
@@ -1,13 +1,14 @@
 package org.pistachioline.core.stream;
 
 /**
- * Spaces repeated tries: each wait doubles up to a limit and is spread by jitter.
+ * Computes the delays between retries by exponential backoff with jitter, up to a maximum
+ * step.
  * <p>
- * Made for an outage of the log that hits all daemons at once. Without growth 370 daemons
- * would keep up hundreds of failing calls a second; without jitter they would all come
- * back in the same moment and press the log down again. A wait lies between a half and
- * one and a half times the current step; the longest step keeps the return to a log that
- * works again within a few seconds.
+ * During an outage of the log, all daemons fail at once. Without exponential growth, 370
+ * daemons would keep making hundreds of failing calls a second; without jitter they would
+ * all retry at the same moment and overload the log again. Each delay lies between half
+ * and one and a half times the current step. The maximum step keeps the time until the
+ * daemons notice that the log has recovered to a few seconds.
  */
 public final class Backoff {
 
@@ -18,19 +19,19 @@
 	private long baseDelayMillis;
 
 	/**
-	 * Creates a back-off with no failure yet.
-	 * @param firstMillis the first step
-	 * @param longestMillis the longest step
+	 * Creates a backoff without failures.
+	 * @param initialDelayMillis the first step, before jitter
+	 * @param maxDelayMillis the maximum step, before jitter
 	 */
-	public Backoff(long firstMillis, long longestMillis) {
-		this.initialDelayMillis = firstMillis;
-		this.maxDelayMillis = longestMillis;
+	public Backoff(long initialDelayMillis, long maxDelayMillis) {
+		this.initialDelayMillis = initialDelayMillis;
+		this.maxDelayMillis = maxDelayMillis;
 	}
 
 	/**
-	 * Notes a failure and returns how long to wait.
+	 * Records a failure and returns the delay before the next try.
 	 * @param jitterRatio a random number from 0 to 1
-	 * @return the wait
+	 * @return the delay, in milliseconds
 	 */
 	public long nextDelayMillis(double jitterRatio) {
 		this.baseDelayMillis = Math.min(this.maxDelayMillis,
@@ -39,7 +40,7 @@
 	}
 
 	/**
-	 * Notes a success.
+	 * Records a success, after which the next delay is an initial one again.
 	 */
 	public void reset() {
 		this.baseDelayMillis = 0;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/CheckpointCoverage.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/CheckpointCoverage.java
@@ -1,11 +1,13 @@
 package org.pistachioline.core.stream;
 
 /**
- * How far the newest whole checkpoint on a stream reaches.
+ * The part of a stream that its newest complete checkpoint covers.
  *
- * @param throughOffset the last offset that it covers; -1 without a checkpoint
- * @param oldestUncoveredMillis when the oldest entry that it does not cover was appended,
- * by the log's clock and never too late; 0 where there is none
+ * @param throughOffset the last offset that the checkpoint covers; -1 without a
+ * checkpoint
+ * @param oldestUncoveredMillis when the oldest entry that the checkpoint does not cover
+ * was appended, by the log's clock; an estimate that may be too early but never too late;
+ * 0 if there is no such entry
  */
 public record CheckpointCoverage(long throughOffset, long oldestUncoveredMillis) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamAssignment.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamAssignment.java
@@ -6,19 +6,22 @@
 import org.pistachioline.core.planner.Rendezvous;
 
 /**
- * Which daemons look after a stream.
+ * Assigns daemons to streams by rendezvous hashing: which daemons follow a stream, and in
+ * which order they write its checkpoints.
  * <p>
- * Made for claims at 370 daemons: if each daemon followed each partition, the bytes that
- * one reads would grow with everybody's bookings. In a small fleet all follow all, so
- * that a booking costs no way over a peer and no dead daemon is waited for; in a larger
- * one the first two of the rendezvous order do, the second one so that a partition's
- * state is there at once when the first one dies. The same order says who writes
- * checkpoints, so that those who follow a stream also carry it over its retention.
+ * If each of 370 daemons followed every claims partition, the bytes that each one reads
+ * would grow with the claims of the whole fleet. In a small fleet all daemons follow all
+ * partitions, so that a claim needs no call to a peer and never waits for a failed
+ * daemon. In a larger fleet only the first two in the rendezvous order do; the second one
+ * has the partition's state available immediately when the first one fails. Checkpoints
+ * are written in the same order, so the daemons that follow a stream also preserve it
+ * beyond the log's retention.
  */
 public final class StreamAssignment {
 
 	/**
-	 * The largest fleet in which all follow all: today's customers have 6 to 8 daemons.
+	 * The largest number of daemons at which all of them follow all streams. Typical
+	 * fleets have 6 to 8 daemons.
 	 */
 	public static final int MAX_DAEMONS_ALL_FOLLOW = 8;
 
@@ -28,24 +31,24 @@
 	}
 
 	/**
-	 * Returns all daemons in the order in which they look after a stream.
+	 * Returns all daemons in the order of their rank for a stream.
 	 * @param stream the stream
 	 * @param daemonIds the live daemons
-	 * @return the daemons, the first choice first
+	 * @return the daemons, the first-ranked one first
 	 */
 	public static List<String> rankedDaemons(String stream, Collection<String> daemonIds) {
 		return Rendezvous.first("checkpoint/" + stream, daemonIds, daemonIds.size());
 	}
 
 	/**
-	 * Returns who follows a stream with claims.
+	 * Returns the daemons that follow a claims stream.
 	 * @param stream the stream
 	 * @param daemonIds the live daemons
-	 * @return the daemons that follow it, the first choice first
+	 * @return the daemons that follow it, the first-ranked one first
 	 */
 	public static List<String> followers(String stream, Collection<String> daemonIds) {
-		final List<String> order = rankedDaemons(stream, daemonIds);
-		return (order.size() <= MAX_DAEMONS_ALL_FOLLOW) ? order : order.subList(0, FOLLOWERS_PER_STREAM);
+		final List<String> ranked = rankedDaemons(stream, daemonIds);
+		return (ranked.size() <= MAX_DAEMONS_ALL_FOLLOW) ? ranked : ranked.subList(0, FOLLOWERS_PER_STREAM);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamCondition.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamCondition.java
@@ -1,20 +1,26 @@
 package org.pistachioline.core.stream;
 
 /**
- * What a follower's state is worth.
+ * How completely a follower's state reflects its stream.
  */
 public enum StreamCondition {
 
-	/** Nothing was read yet, so nothing is known. */
+	/** Nothing has been read yet, so nothing is known. */
 	UNREAD,
 
-	/** Every record below the next offset is in the state. */
+	/** The state includes every record below the next offset. */
 	WHOLE,
 
-	/** Records expired unread; what is absent from the state may exist all the same. */
+	/**
+	 * Records expired before they were read; what is absent from the state may exist
+	 * nevertheless.
+	 */
 	LIMBO,
 
-	/** A record of a newer schema stands at the next offset; the state ends before it. */
+	/**
+	 * The record at the next offset has a newer schema, which this version cannot read;
+	 * the state ends before it.
+	 */
 	HALTED
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decisions about following the log's streams and appending to them.
+ * Policies for following the log's streams, appending to them and checkpointing them.
  */
 package org.pistachioline.core.stream;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/stream/BackoffTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/stream/BackoffTests.java
@@ -6,10 +6,10 @@
 
 class BackoffTests {
 
-	// The log is down for hours. When it returns, daemons must notice within seconds and
-	// not all in the same moment.
+	// After an outage of hours, daemons must notice within seconds that the log has
+	// recovered, but must not all retry at the same moment.
 	@Test
-	void waitsGrowToALimitAreSpreadByJitterAndStartAfreshAfterASuccess() {
+	void delaysGrowToAMaximumAreSpreadByJitterAndStartAgainAfterASuccess() {
 		final Backoff backoff = new Backoff(50, 2_000);
 		assertThat(backoff.nextDelayMillis(0)).isEqualTo(25);
 		assertThat(backoff.nextDelayMillis(1)).isEqualTo(150);
