--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
@@ -79,8 +79,8 @@
 		if (known == null) {
 			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.of(view.instanceId()),
 					this.backoffs.of(view.instanceId()));
-			if (view.kind() == TargetKind.MODEL && this.placement.groupsStartWarm()) {
-				added.warm();
+			if (view.kind() == TargetKind.MODEL && this.placement.newGroupsSkipSlowStart()) {
+				added.skipSlowStart();
 			}
 			return added;
 		}
@@ -97,7 +97,7 @@
 				next.putIfAbsent(targetId, load);
 			}
 			else if (!next.containsKey(targetId)) {
-				this.placement.forget(targetId);
+				this.placement.removeTarget(targetId);
 			}
 		});
 	}
@@ -111,7 +111,7 @@
 			return gone;
 		});
 		byName.forEach((name, members) -> this.setsByName
-			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.guardsTargets()))
+			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.protectsTargets()))
 			.replace(nowNanos, members, this.daemonRank));
 	}
 
@@ -204,7 +204,7 @@
 	}
 
 	boolean hasPacedTargets(long nowNanos) {
-		return this.setsByName.values().stream().anyMatch((set) -> set.pacedSupply(nowNanos).isPresent());
+		return this.setsByName.values().stream().anyMatch((set) -> set.throttledCapacity(nowNanos).isPresent());
 	}
 
 	int freeSlots(RequestInfo info) {
@@ -217,7 +217,7 @@
 
 	List<TargetLoad> availableTargets(RequestInfo info) {
 		final TargetSet set = targetSet(info);
-		return (set != null) ? set.open() : List.of();
+		return (set != null) ? set.available() : List.of();
 	}
 
 	List<TargetLoad> allTargets(RequestInfo info) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -111,7 +111,7 @@
 	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onShares(long nowNanos, LiveDaemons daemons, Map<String, Double> shareRatios) {
-		this.policies.admission().share(nowNanos, shareRatios);
+		this.policies.admission().updateShares(nowNanos, shareRatios);
 		this.targets.onLiveDaemons(nowNanos, daemons);
 		return dispatchReady(nowNanos);
 	}
