--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SupplyGuard.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SupplyGuard.java
@@ -6,8 +6,8 @@
 
 import org.pistachioline.core.admission.Refusal;
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.placement.PacedSupply;
 import org.pistachioline.core.placement.TargetSet;
+import org.pistachioline.core.placement.ThrottledCapacity;
 
 /**
  * Refuses the requests whose turn cannot come in time since all their targets take less
@@ -38,7 +38,7 @@
 	 * @return the refusal; empty where it can, or nothing stands in its way
 	 */
 	Optional<Refusal> refuse(long nowNanos, RequestInfo info) {
-		final Optional<PacedSupply> supply = supply(nowNanos, info);
+		final Optional<ThrottledCapacity> supply = supply(nowNanos, info);
 		if (supply.isEmpty()) {
 			return Optional.empty();
 		}
@@ -54,7 +54,7 @@
 		final Map<String, Integer> waiting = waiting();
 		final Map<String, Integer> ahead = new HashMap<>();
 		for (final Flight flight : this.flights.all()) {
-			final Optional<PacedSupply> supply = flight.queued ? supply(nowNanos, flight.info) : Optional.empty();
+			final Optional<ThrottledCapacity> supply = flight.queued ? supply(nowNanos, flight.info) : Optional.empty();
 			if (supply.isPresent()) {
 				final String name = nameOf(flight.info);
 				final Optional<Refusal> refusal = refuse(nowNanos, flight.info, supply.get(),
@@ -92,9 +92,9 @@
 			.orElse(usualMillis);
 	}
 
-	private Optional<PacedSupply> supply(long nowNanos, RequestInfo info) {
+	private Optional<ThrottledCapacity> supply(long nowNanos, RequestInfo info) {
 		final TargetSet set = this.targets.set(info);
-		return (set != null) ? set.pacedSupply(nowNanos) : Optional.empty();
+		return (set != null) ? set.throttledCapacity(nowNanos) : Optional.empty();
 	}
 
 	private Map<String, Integer> waiting() {
@@ -112,19 +112,19 @@
 
 	// Whoever is late while others wait is overtaken by those who are on time; where a
 	// target takes all that waits as soon as its rest is over, nobody is.
-	private static Optional<Refusal> refuse(long nowNanos, RequestInfo info, PacedSupply supply, int ahead,
+	private static Optional<Refusal> refuse(long nowNanos, RequestInfo info, ThrottledCapacity supply, int ahead,
 			int others) {
 		final long halfNanos = (info.firstTokenDeadlineNanos() - nowNanos) / 2;
 		final long allowedNanos = (others > 0) ? info.onTimeNanos() - nowNanos : halfNanos;
-		if (supply.openWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
+		if (supply.backoffWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
 			return Optional.empty();
 		}
 		return Optional.of(spread(info, supply, ahead));
 	}
 
-	private static Refusal spread(RequestInfo info, PacedSupply supply, int ahead) {
-		final double millis = Math.max(FlightBook.LEAST_RETRY_MILLIS, supply.returnNanos(ahead) / NANOS_PER_MILLI);
-		return Refusal.spread(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MOST_RETRY_MILLIS);
+	private static Refusal spread(RequestInfo info, ThrottledCapacity supply, int ahead) {
+		final double millis = Math.max(FlightBook.LEAST_RETRY_MILLIS, supply.retryAfterNanos(ahead) / NANOS_PER_MILLI);
+		return Refusal.withJitter(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MOST_RETRY_MILLIS);
 	}
 
 }
