--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEvent.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEvent.java
@@ -1,26 +1,26 @@
 package org.pistachioline.core.placement;
 
 /**
- * One change of an engine's prefix cache.
+ * A single change of an engine's prefix cache.
  *
- * @param sequence rises by one with each change of the engine
- * @param kind what happened
- * @param hash the prefix; 0 where the whole cache was emptied
+ * @param sequence the engine's sequence number, which rises by one with each change
+ * @param kind the kind of change
+ * @param hash the hash of the prefix; 0 where the whole cache was cleared
  */
 public record CacheEvent(long sequence, Kind kind, long hash) {
 
 	/**
-	 * What happened to a prefix.
+	 * The kinds of cache change.
 	 */
 	public enum Kind {
 
-		/** It was stored. */
+		/** A prefix was stored. */
 		STORED,
 
-		/** It was given up. */
+		/** A prefix was evicted. */
 		EVICTED,
 
-		/** All were given up. */
+		/** The whole cache was cleared. */
 		CLEARED
 
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEventPage.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEventPage.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /**
- * The changes of an engine's prefix cache from a sequence on, as far as it still has
- * them.
+ * The changes of an engine's prefix cache from a requested sequence number on, as far as
+ * the engine still retains them.
  *
- * @param nextSequence the sequence of its next change
+ * @param nextSequence the sequence number that the engine will give its next change
  * @param events the changes in order
  */
 public record CacheEventPage(long nextSequence, List<CacheEvent> events) {
@@ -18,10 +18,10 @@
 	}
 
 	/**
-	 * Sums the changes up.
-	 * @param targetId the target whose cache it is
-	 * @param fromSequence the first sequence that was asked for
-	 * @return what the cache holds and gave up, and whether changes were lost
+	 * Reduces the changes to their net effect.
+	 * @param targetId the target that owns the cache
+	 * @param fromSequence the first sequence number that was requested
+	 * @return the prefixes stored and evicted, and whether changes were lost
 	 */
 	public CacheEvents summarize(String targetId, long fromSequence) {
 		final Set<Long> stored = new LinkedHashSet<>();
@@ -44,7 +44,8 @@
 				}
 			}
 		}
-		// An engine that started anew counts from 0 again; its old events mean nothing.
+		// A restarted engine numbers its changes from 0 again, and its earlier changes no
+		// longer describe its cache. So any difference is a gap, also a lower number.
 		final long firstSequence = this.events.isEmpty() ? this.nextSequence : this.events.get(0).sequence();
 		final boolean gap = firstSequence != fromSequence;
 		return new CacheEvents(targetId, gap, cleared, List.copyOf(stored), List.copyOf(evicted));
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEvents.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEvents.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What an engine said of its prefix cache since it was last asked.
+ * The net changes of an engine's prefix cache since it was last read.
  *
- * @param targetId the target whose cache it is
+ * @param targetId the target that owns the cache
  * @param gap whether events before these were lost
- * @param cleared whether the cache was emptied before the events that follow
- * @param storedHashes the prefixes that it holds now
- * @param evictedHashes the prefixes that it gave up
+ * @param cleared whether the cache was cleared before the remaining changes
+ * @param storedHashes the prefixes that were stored and not evicted again
+ * @param evictedHashes the prefixes that were evicted
  */
 public record CacheEvents(String targetId, boolean gap, boolean cleared, List<Long> storedHashes,
 		List<Long> evictedHashes) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/DaemonRank.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/DaemonRank.java
@@ -3,25 +3,26 @@
 import java.util.Collection;
 
 /**
- * Where this daemon stands among the live ones, so that all can divide something without
- * a message.
+ * The position of a daemon among the live ones, by which all daemons divide a quantity
+ * consistently without exchanging messages.
  *
- * @param rank this daemon's place in the order of their names, from 0
- * @param count how many daemons there are
+ * @param rank this daemon's position in the order of daemon ids, from 0
+ * @param count the number of daemons
  */
 public record DaemonRank(int rank, int count) {
 
-	/** A daemon that knows of no other. */
+	/** The rank of a daemon that knows no other daemon. */
 	public static final DaemonRank ALONE = new DaemonRank(0, 1);
 
 	/**
-	 * Finds a daemon's place among live ones.
+	 * Computes a daemon's position among the live ones.
 	 * <p>
-	 * Silent daemons are left out: if one of them lives, an engine queues a little, while
-	 * slots set aside for the dead would stand idle at the worst time.
+	 * Daemons that have fallen silent are left out. If one of them is alive after all, an
+	 * engine queues a few requests; slots reserved for dead daemons would stay idle when
+	 * capacity is scarcest.
 	 * @param selfId the daemon
-	 * @param liveIds the live daemons, this one included or not
-	 * @return its place
+	 * @param liveIds the live daemons, with or without this one
+	 * @return its rank
 	 */
 	public static DaemonRank among(String selfId, Collection<String> liveIds) {
 		int before = 0;
@@ -34,18 +35,20 @@
 	}
 
 	/**
-	 * Returns this daemon's equal part of something, such that all parts add up to it.
+	 * Returns this daemon's equal share of a quantity, such that the shares of all
+	 * daemons add up to the whole.
 	 * <p>
-	 * Rounded up, three daemons would send nine requests to an engine with eight slots,
-	 * and each ninth one would wait inside the engine, out of reach of any fairness. The
-	 * remainder falls to other daemons for each name, so that none gets more in all.
-	 * @param whole what is divided
-	 * @param name what it belongs to
-	 * @return the part
+	 * Shares are not rounded up: three daemons would then send nine requests to an engine
+	 * with eight slots, and the ninth would wait inside the engine, where fair queueing
+	 * does not apply. Which daemons receive the remainder depends on the name, so that no
+	 * daemon gets more over many names.
+	 * @param whole the quantity to divide
+	 * @param name the name of what the quantity belongs to
+	 * @return the share
 	 */
 	public int equalShare(int whole, String name) {
-		final int turn = Math.floorMod(this.rank + name.hashCode(), this.count);
-		return whole / this.count + ((turn < whole % this.count) ? 1 : 0);
+		final int position = Math.floorMod(this.rank + name.hashCode(), this.count);
+		return whole / this.count + ((position < whole % this.count) ? 1 : 0);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/ExpectedWaitPlacement.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/ExpectedWaitPlacement.java
@@ -9,62 +9,74 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Chooses the target with the shortest expected wait among a few.
+ * Chooses the target with the lowest expected wait among a few candidates.
  * <p>
- * Made for several daemons that all see the same reports, a second old. If each chose the
- * best of all targets, they would choose the same one and overrun it; the best of six
- * drawn by chance, those that hold the prompt's prefix, and the prefix's home is nearly
- * as good and differs from daemon to daemon. The cost of a decision does not depend on
- * how many targets there are.
+ * All daemons see the same load reports, which are about a second old. If each daemon
+ * chose the best of all targets, all would choose the same one and overload it. The
+ * candidates are therefore six targets drawn at random, the known holders of the prompt's
+ * prefix, and the target that the prefix is assigned to: the best of these is nearly as
+ * good and differs from daemon to daemon. The cost of a decision does not depend on the
+ * number of targets.
  * <p>
- * A group that has lost a member takes requests and delivers nothing for seconds. Until
- * the loss is known each request sent there waits in vain. So for as long as a target has
- * been silent beyond the usual while requests of this daemon run there, so much longer a
- * new one is expected to wait; it goes elsewhere after a fraction of a second. That is
- * for pools whose groups break every few seconds. Where they seldom do, most silence is a
- * long prefill, and leaving a prefix's home for it brought the cache hits of a trace from
- * above 0.7 to 0.699.
+ * A group that has lost a member accepts requests and produces no output for seconds,
+ * until the loss is detected. Where groups fail frequently, the time for which a target
+ * has made no progress beyond a normal pause, while it runs requests of this daemon, is
+ * therefore added to its expected wait, so that new requests avoid it after a fraction of
+ * a second. Where groups seldom fail this is disabled: most pauses are then long
+ * prefills, and avoiding a prefix's assigned target because of them lowered the cache hit
+ * ratio of a trace from above 0.7 to 0.699.
  */
 public final class ExpectedWaitPlacement implements PlacementPolicy {
 
 	private static final int SAMPLED_TARGETS = 6;
 
-	/** At most this many prefixes are remembered: 64 tokens each, about 8 MB in all. */
+	/**
+	 * The bound on remembered prefixes of 64 tokens each; together they take about 8 MB.
+	 */
 	private static final int MAX_PREFIXES = 65_536;
 
-	/** What a full target costs: batches grow, and the next request may find no slot. */
+	/**
+	 * The penalty of a full target: larger batches are slower, and the next request may
+	 * find no free slot.
+	 */
 	private static final double FULL_TARGET_PENALTY_MILLIS = 60;
 
 	private static final double PREFILL_TOKENS_PER_MILLI = 10;
 
-	/** One way between two availability zones and back. */
+	/** The round-trip time between two availability zones. */
 	private static final double CROSS_ZONE_ROUND_TRIP_MILLIS = 3;
 
-	/** How many tokens a caller waits for before it can begin to read. */
+	/** The number of output tokens that a caller needs before it can start to read. */
 	private static final double INITIAL_OUTPUT_TOKENS = 32;
 
-	/** How far a prefix's home counts as a holder of it before it is known to be one. */
+	/**
+	 * The part of a prompt's prefix that its assigned target is expected to hold, even
+	 * before it is known to hold any.
+	 */
 	private static final double ASSIGNED_HIT_RATIO = 0.9;
 
 	/**
-	 * How far another holder counts: each use there keeps a second copy in a small cache,
-	 * which costs some other prefix its place.
+	 * The weight of prefix blocks that another target holds. Each use there keeps a
+	 * second copy in a small cache, which evicts some other prefix.
 	 */
 	private static final double OTHER_HOLDER_HIT_RATIO = 0.5;
 
-	/** The longest pass of an engine that reads long prompts beside its streams. */
+	/**
+	 * The longest pause in the output of a healthy engine that prefills long prompts
+	 * between the steps of its streams.
+	 */
 	private static final double NORMAL_PAUSE_MILLIS = 150;
 
 	/**
-	 * What one millisecond of silence beyond the usual counts, as a dead target's ends
-	 * late.
+	 * The weight of a millisecond without progress beyond a normal pause. It exceeds 1
+	 * since the stall of a dead target lasts long.
 	 */
 	private static final double STALL_WEIGHT = 2;
 
 	/**
-	 * What each failure in a row counts. A group that was closed declines everything
-	 * until the list shows it, about a second later; each request that is sent there uses
-	 * up one of its attempts.
+	 * The penalty of each consecutive failure. A group that was closed declines all
+	 * requests until the instance list shows it, about a second later, and each request
+	 * that is sent there uses up one of its attempts.
 	 */
 	private static final double FAILURE_PENALTY_MILLIS = 300;
 
@@ -85,9 +97,9 @@
 	private final PrefixIndex.Matches prefixMatches = new PrefixIndex.Matches();
 
 	/**
-	 * Creates a policy.
-	 * @param availabilityZone where this daemon runs
-	 * @param seed what makes this daemon's choices differ from the others'
+	 * Creates a policy for fleets in which groups seldom fail.
+	 * @param availabilityZone the availability zone of this daemon
+	 * @param seed the random seed, which must differ between daemons
 	 */
 	public ExpectedWaitPlacement(String availabilityZone, long seed) {
 		this(availabilityZone, seed, false);
@@ -95,10 +107,10 @@
 
 	/**
 	 * Creates a policy.
-	 * @param availabilityZone where this daemon runs
-	 * @param seed what makes this daemon's choices differ from the others'
-	 * @param frequentGroupFailures whether groups break every few seconds: their silence
-	 * and refusals count then, and a new group is at its full speed at once
+	 * @param availabilityZone the availability zone of this daemon
+	 * @param seed the random seed, which must differ between daemons
+	 * @param frequentGroupFailures whether groups fail every few seconds; stalls and
+	 * failures of targets then count as expected wait, and new groups skip the slow start
 	 */
 	public ExpectedWaitPlacement(String availabilityZone, long seed, boolean frequentGroupFailures) {
 		this.frequentGroupFailures = frequentGroupFailures;
@@ -113,13 +125,13 @@
 			return Optional.empty();
 		}
 		this.prefixes.findMatches(info.prefixHashes(), this.prefixMatches);
-		final TargetLoad home = assignedTarget(info, targets);
+		final TargetLoad assigned = assignedTarget(info, targets);
 		TargetLoad best = null;
 		double bestMillis = Double.MAX_VALUE;
 		for (int i = 0; i <= SAMPLED_TARGETS + this.prefixMatches.count(); i++) {
-			final TargetLoad load = candidate(i, targets, home);
+			final TargetLoad load = candidate(i, targets, assigned);
 			if (load != null && targets.isAvailable(load) && !triedTargetIds.contains(load.view().targetId())) {
-				final double waitMillis = expectedWaitMillis(info, targets, load, load == home)
+				final double waitMillis = expectedWaitMillis(info, targets, load, load == assigned)
 						+ faultPenaltyMillis(nowNanos, load);
 				if (waitMillis < bestMillis) {
 					best = load;
@@ -134,37 +146,37 @@
 		if (info.prefixHashes().isEmpty()) {
 			return null;
 		}
-		final Long root = info.prefixHashes().get(0);
-		final TargetLoad first = targets.byHash(root, false);
-		final TargetLoad second = targets.byHash(root, true);
+		final Long rootHash = info.prefixHashes().get(0);
+		final TargetLoad first = targets.byHash(rootHash, false);
+		final TargetLoad second = targets.byHash(rootHash, true);
 		final String firstId = first.view().targetId();
 		final String secondId = second.view().targetId();
-		return this.assignments.prefersSecond(root, firstId, secondId, this.prefixMatches.cachedBlocks(firstId) > 0,
+		return this.assignments.prefersSecond(rootHash, firstId, secondId, this.prefixMatches.cachedBlocks(firstId) > 0,
 				this.prefixMatches.cachedBlocks(secondId) > 0) ? second : first;
 	}
 
-	private TargetLoad candidate(int index, TargetSet targets, TargetLoad home) {
+	private TargetLoad candidate(int index, TargetSet targets, TargetLoad assigned) {
 		if (index < SAMPLED_TARGETS) {
 			return targets.available().get(this.random.nextInt(targets.available().size()));
 		}
 		if (index < SAMPLED_TARGETS + this.prefixMatches.count()) {
 			return targets.byId(this.prefixMatches.targetId(index - SAMPLED_TARGETS));
 		}
-		return home;
+		return assigned;
 	}
 
-	private double expectedWaitMillis(RequestInfo info, TargetSet targets, TargetLoad load, boolean isHome) {
-		final int heldBlocks = this.prefixMatches.cachedBlocks(load.view().targetId());
-		final double trusted = isHome ? ASSIGNED_HIT_RATIO * info.prefixHashes().size()
-				: OTHER_HOLDER_HIT_RATIO * heldBlocks;
-		final double heldTokens = trusted * PrefixHashes.BLOCK_TOKENS;
-		final double prefillMillis = Math.max(0, info.promptTokens() - heldTokens) / PREFILL_TOKENS_PER_MILLI;
-		final double full = load.utilizationRatio(targets.daemonCount());
+	private double expectedWaitMillis(RequestInfo info, TargetSet targets, TargetLoad load, boolean isAssigned) {
+		final int cachedBlocks = this.prefixMatches.cachedBlocks(load.view().targetId());
+		final double expectedBlocks = isAssigned ? ASSIGNED_HIT_RATIO * info.prefixHashes().size()
+				: OTHER_HOLDER_HIT_RATIO * cachedBlocks;
+		final double cachedTokens = expectedBlocks * PrefixHashes.BLOCK_TOKENS;
+		final double prefillMillis = Math.max(0, info.promptTokens() - cachedTokens) / PREFILL_TOKENS_PER_MILLI;
+		final double utilization = load.utilizationRatio(targets.daemonCount());
 		final double tokenNanos = (load.interTokenLatency().samples() > 0) ? load.interTokenLatency().meanNanos()
 				: targets.medianInterTokenNanos();
 		final double zoneMillis = load.view().availabilityZone().equals(this.availabilityZone) ? 0
 				: CROSS_ZONE_ROUND_TRIP_MILLIS;
-		return prefillMillis + FULL_TARGET_PENALTY_MILLIS * full * full
+		return prefillMillis + FULL_TARGET_PENALTY_MILLIS * utilization * utilization
 				+ INITIAL_OUTPUT_TOKENS * tokenNanos / NANOS_PER_MILLI + zoneMillis;
 	}
 
@@ -172,8 +184,8 @@
 		if (load.inFlight() == 0) {
 			return 0;
 		}
-		final double silentMillis = (nowNanos - load.progressAtNanos()) / NANOS_PER_MILLI;
-		return STALL_WEIGHT * Math.max(0, silentMillis - NORMAL_PAUSE_MILLIS);
+		final double stalledMillis = (nowNanos - load.progressAtNanos()) / NANOS_PER_MILLI;
+		return STALL_WEIGHT * Math.max(0, stalledMillis - NORMAL_PAUSE_MILLIS);
 	}
 
 	private double faultPenaltyMillis(long nowNanos, TargetLoad load) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/InterTokenLatency.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/InterTokenLatency.java
@@ -1,11 +1,15 @@
 package org.pistachioline.core.placement;
 
 /**
- * The mean time between two tokens of a target.
+ * The mean time between two output tokens of a target, as an exponentially weighted
+ * moving average.
  */
 final class InterTokenLatency {
 
-	/** Weighs one sample of many, so that a single slow reader does not move the mean. */
+	/**
+	 * The weight of one sample, low enough that a single slow reader does not move the
+	 * mean.
+	 */
 	private static final double SAMPLE_WEIGHT = 0.2;
 
 	private double meanNanos;
@@ -25,14 +29,14 @@
 
 	/**
 	 * Returns the mean time between two tokens.
-	 * @return the time, in nanoseconds; 0 where no sample came
+	 * @return the time, in nanoseconds; 0 where there is no sample
 	 */
 	double meanNanos() {
 		return this.meanNanos;
 	}
 
 	/**
-	 * Returns how many measurements the mean rests on.
+	 * Returns the number of samples since the last reset.
 	 * @return the number of samples
 	 */
 	int samples() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/LeastInFlight.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/LeastInFlight.java
@@ -6,7 +6,8 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Chooses the target with the fewest attempts of this daemon; the usual baseline.
+ * Chooses the target with the fewest in-flight attempts of this daemon; a common
+ * load-balancing baseline.
  */
 public final class LeastInFlight implements PlacementPolicy {
 
@@ -14,8 +15,8 @@
 	public Optional<TargetLoad> choose(long nowNanos, RequestInfo info, TargetSet targets, Set<String> triedTargetIds) {
 		TargetLoad best = null;
 		for (final TargetLoad load : targets.available()) {
-			final boolean usable = !triedTargetIds.contains(load.view().targetId());
-			if (usable && (best == null || load.inFlight() < best.inFlight())) {
+			final boolean untried = !triedTargetIds.contains(load.view().targetId());
+			if (untried && (best == null || load.inFlight() < best.inFlight())) {
 				best = load;
 			}
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/LiveDaemons.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/LiveDaemons.java
@@ -5,14 +5,14 @@
 import java.util.TreeSet;
 
 /**
- * The daemons that this one knows to live, by their names.
+ * The daemons that this one considers alive.
  *
- * @param selfId this daemon
- * @param ids all of them, this one included
+ * @param selfId the id of this daemon
+ * @param ids the ids of all live daemons, including this one
  */
 public record LiveDaemons(String selfId, Set<String> ids) {
 
-	/** A daemon that knows of no other. */
+	/** The view of a daemon that knows no other daemon. */
 	public static final LiveDaemons ALONE = new LiveDaemons("", Set.of(""));
 
 	public LiveDaemons {
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * Puts together what a daemon knows of others.
-	 * @param selfId the daemon
-	 * @param liveIds the live daemons, this one included or not
-	 * @return all of them
+	 * Adds this daemon to those that it considers alive.
+	 * @param selfId the id of this daemon
+	 * @param liveIds the ids of the live daemons, with or without this one
+	 * @return all live daemons
 	 */
 	public static LiveDaemons of(String selfId, Collection<String> liveIds) {
 		final Set<String> ids = new TreeSet<>(liveIds);
@@ -32,8 +32,8 @@
 	}
 
 	/**
-	 * Finds this daemon's place among them.
-	 * @return its place
+	 * Computes this daemon's position among the live ones.
+	 * @return its rank
 	 */
 	public DaemonRank rank() {
 		return DaemonRank.among(this.selfId, this.ids);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PeerInFlightEstimate.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PeerInFlightEstimate.java
@@ -3,12 +3,12 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * How many attempts other daemons have in flight at a target, by its reports: what it
- * said to have, without this daemon's own attempts at that time.
+ * Estimates how many attempts other daemons have in flight at a target: the load that the
+ * target reported, less this daemon's own attempts at the time of the report.
  */
 final class PeerInFlightEstimate {
 
-	/** Weighs one report of several, since each shows a moment only. */
+	/** The smoothing weight of one report, since each shows a single moment. */
 	private static final double REPORT_WEIGHT = 0.3;
 
 	private static final int HISTORY = 16;
@@ -31,16 +31,16 @@
 	}
 
 	/**
-	 * Takes over a newer view.
+	 * Updates the estimate from a newer view.
 	 * @param view the view
 	 * @param nowNanos the monotonic time
-	 * @param ownInFlight this daemon's attempts there now
+	 * @param ownInFlight the number of attempts that this daemon has in flight there now
 	 */
 	void update(TargetView view, long nowNanos, int ownInFlight) {
 		if (view.reportedAtNanos() != this.reportedAtNanos) {
 			final int reported = view.reportedRunning() + view.reportedWaiting();
-			final int others = Math.max(0, reported - ownInFlightAt(view.reportedAtNanos()));
-			this.attempts += REPORT_WEIGHT * (others - this.attempts);
+			final int peers = Math.max(0, reported - ownInFlightAt(view.reportedAtNanos()));
+			this.attempts += REPORT_WEIGHT * (peers - this.attempts);
 		}
 		this.reportedAtNanos = view.reportedAtNanos();
 		this.historyNanos[this.historyNext % HISTORY] = nowNanos;
@@ -59,8 +59,8 @@
 	}
 
 	/**
-	 * Returns their attempts.
-	 * @return the mean over the last reports
+	 * Returns the estimated number of attempts of other daemons.
+	 * @return the moving average over the reports
 	 */
 	double attempts() {
 		return this.attempts;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PlacementPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PlacementPolicy.java
@@ -6,66 +6,67 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Chooses a target for a request.
+ * A policy that chooses the target of each request.
  */
 public interface PlacementPolicy {
 
 	/**
-	 * Chooses a target with room.
+	 * Chooses a target with free capacity.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 * @param targets the targets of the model or service
-	 * @param triedTargetIds the targets that failed this request before, to be avoided
-	 * @return the target; empty where none has room
+	 * @param triedTargetIds the targets at which this request failed before, which are
+	 * avoided
+	 * @return the target; empty where none has capacity
 	 */
 	Optional<TargetLoad> choose(long nowNanos, RequestInfo info, TargetSet targets, Set<String> triedTargetIds);
 
 	/**
-	 * Returns whether targets are guarded: stragglers ejected, slots shared between
-	 * daemons.
-	 * @return whether they are; the plain baselines do without
+	 * Returns whether targets are protected from overload and callers from stragglers:
+	 * slots are shared between daemons, and slow or failing targets are ejected.
+	 * @return whether they are; false for the plain baselines
 	 */
 	default boolean protectsTargets() {
 		return false;
 	}
 
 	/**
-	 * Returns whether a group that was formed anew takes its full share of work at once.
+	 * Returns whether a newly formed group receives its full share of requests at once.
 	 * <p>
-	 * Where groups break every few seconds and their survivors serve again as other
-	 * groups, the slow start of a new target would leave half of a model's slots unused
-	 * just when the fewest groups serve.
-	 * @return whether it does; otherwise each new target starts slowly
+	 * Where groups fail every few seconds and their surviving instances form new groups,
+	 * a slow start would leave half of a model's slots unused just when the fewest groups
+	 * serve.
+	 * @return whether it does; otherwise each new target goes through a slow start
 	 */
 	default boolean newGroupsSkipSlowStart() {
 		return false;
 	}
 
 	/**
-	 * Notes where a request went.
+	 * Handles the placement of a request.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 * @param load the target
 	 */
 	default void onPlaced(long nowNanos, RequestInfo info, TargetLoad load) {
-		// A policy without memory needs no feedback.
+		// Stateless policies need no feedback.
 	}
 
 	/**
-	 * Takes word of what a target's prefix cache holds.
+	 * Handles changes of a target's prefix cache.
 	 * @param nowNanos the monotonic time
-	 * @param events the events, late and perhaps with gaps
+	 * @param events the changes, which arrive late and may have gaps
 	 */
 	default void onCacheEvents(long nowNanos, CacheEvents events) {
-		// A policy that ignores caches needs no events.
+		// Policies that ignore caches need no events.
 	}
 
 	/**
-	 * Forgets a target that is gone.
+	 * Drops the state of a target that no longer exists.
 	 * @param targetId the target
 	 */
 	default void removeTarget(String targetId) {
-		// A policy without memory has nothing to forget.
+		// Stateless policies have nothing to drop.
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixAssignments.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixAssignments.java
@@ -5,13 +5,14 @@
 import java.util.Map;
 
 /**
- * Gives each shared prefix a home: one of two targets that its hash names.
+ * Assigns each shared prefix to one of the two targets that its hash selects.
  * <p>
- * Made for many prefixes before small caches. With one target a hash, some targets get
- * twice as many prefixes as the mean and evict each other's; the one of two with fewer
- * homes so far keeps them nearly level. All daemons compute the same two, and whichever
- * of them already holds the prefix is taken, so that daemons agree without a message. The
- * table is bounded, the least recently used home is forgotten first.
+ * With a single target for each hash, some targets get twice as many prefixes as the
+ * mean, and these evict each other from caches that are small for the number of prefixes.
+ * Choosing the one of two targets with fewer prefixes so far keeps them nearly balanced.
+ * All daemons compute the same two targets, and the one that already holds the prefix is
+ * preferred, so that daemons agree without exchanging messages. The table is bounded and
+ * drops its least recently used assignment first.
  */
 final class PrefixAssignments {
 
@@ -21,21 +22,21 @@
 
 	private final Map<String, Integer> assignedCounts = new HashMap<>();
 
-	PrefixAssignments(int maxHomes) {
-		this.maxAssignments = maxHomes;
+	PrefixAssignments(int maxAssignments) {
+		this.maxAssignments = maxAssignments;
 	}
 
 	/**
-	 * Chooses the home of a prefix.
-	 * @param root the hash of the prompt's first block
-	 * @param first the first target that the hash names
-	 * @param second the second
-	 * @param firstHolds whether the first is known to hold the prefix
-	 * @param secondHolds whether the second is
-	 * @return whether the second is the home
+	 * Assigns a prefix to one of its two targets.
+	 * @param rootHash the hash of the prompt's first block
+	 * @param first the first target that the hash selects
+	 * @param second the second target that the hash selects
+	 * @param firstHolds whether the first target is known to hold the prefix
+	 * @param secondHolds whether the second target is known to hold the prefix
+	 * @return whether the prefix is assigned to the second target
 	 */
-	boolean prefersSecond(Long root, String first, String second, boolean firstHolds, boolean secondHolds) {
-		final String known = this.targetByPrefix.get(root);
+	boolean prefersSecond(Long rootHash, String first, String second, boolean firstHolds, boolean secondHolds) {
+		final String previous = this.targetByPrefix.get(rootHash);
 		final boolean isSecond;
 		if (firstHolds != secondHolds) {
 			isSecond = secondHolds;
@@ -43,13 +44,13 @@
 		else if (firstHolds) {
 			isSecond = false;
 		}
-		else if (known != null) {
-			isSecond = known.equals(second);
+		else if (previous != null) {
+			isSecond = previous.equals(second);
 		}
 		else {
 			isSecond = assignedCount(second) < assignedCount(first);
 		}
-		assign(root, known, isSecond ? second : first);
+		assign(rootHash, previous, isSecond ? second : first);
 		return isSecond;
 	}
 
@@ -57,15 +58,15 @@
 		return this.assignedCounts.getOrDefault(targetId, 0);
 	}
 
-	private void assign(Long root, String known, String home) {
-		if (home.equals(known)) {
+	private void assign(Long rootHash, String previous, String targetId) {
+		if (targetId.equals(previous)) {
 			return;
 		}
-		if (known != null) {
-			decrementCount(known);
+		if (previous != null) {
+			decrementCount(previous);
 		}
-		this.targetByPrefix.put(root, home);
-		this.assignedCounts.merge(home, 1, Integer::sum);
+		this.targetByPrefix.put(rootHash, targetId);
+		this.assignedCounts.merge(targetId, 1, Integer::sum);
 		if (this.targetByPrefix.size() > this.maxAssignments) {
 			decrementCount(this.targetByPrefix.remove(this.targetByPrefix.keySet().iterator().next()));
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixHashes.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixHashes.java
@@ -7,14 +7,15 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Hashes the growing prefixes of a prompt, block by block.
+ * Computes chained hashes of a prompt's prefixes, block by block, by which prompts with a
+ * common beginning are recognized.
  */
 public final class PrefixHashes {
 
-	/** How many tokens one block stands for. */
+	/** The length of a block, in tokens. */
 	public static final int BLOCK_TOKENS = 64;
 
-	/** How many blocks are hashed; longer prompts are compared by these alone. */
+	/** The bound on hashed blocks; longer prompts are compared by these alone. */
 	public static final int MAX_BLOCKS = 64;
 
 	private static final int BYTES_PER_TOKEN = 4;
@@ -23,7 +24,7 @@
 	}
 
 	/**
-	 * Hashes a prompt.
+	 * Hashes the prefixes of a prompt.
 	 * @param prompt the prompt's text
 	 * @return the hash of each prefix of whole blocks, the shortest first
 	 */
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixIndex.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixIndex.java
@@ -8,15 +8,16 @@
 /**
  * Remembers which targets were seen to hold which prompt prefixes.
  * <p>
- * Made for prompts that share their beginning, before engines whose caches are small and
- * whose events come late and with gaps. It is a hint and never a promise: an entry that
- * is wrong costs one prefill. It is bounded in two ways, since prompts come from callers:
- * the prefixes are dropped least recently used first, and each names a few targets only.
+ * Prompts often share their beginning, while the engines' caches are small and their
+ * events arrive late and with gaps. The index is only a hint: a wrong entry costs one
+ * prefill. Since prompts come from callers, it is bounded in two ways: the least recently
+ * used prefixes are dropped first, and each prefix has a few holders only.
  */
 final class PrefixIndex {
 
 	/**
-	 * How many holders of one prefix are kept; more would spread it over small caches.
+	 * The bound on remembered holders of one prefix; more would spread the prefix over
+	 * several small caches.
 	 */
 	static final int MAX_HOLDERS = 4;
 
@@ -51,9 +52,9 @@
 	}
 
 	void apply(long nowNanos, CacheEvents events) {
-		// A gap is passed over: an eviction that was missed costs one prefill and is
-		// found
-		// out by the next placement, while dropping what is known costs one a prefix.
+		// Gaps are ignored. A missed eviction costs one prefill, and the next placement
+		// corrects the entry; dropping all entries of the target would cost one prefill
+		// for each prefix.
 		if (events.cleared()) {
 			this.invalidBeforeNanos.put(events.targetId(), nowNanos);
 		}
@@ -74,19 +75,19 @@
 	}
 
 	/**
-	 * Finds the targets that hold most of a prompt.
+	 * Finds the targets that hold the longest prefixes of a prompt.
 	 * @param hashes the prompt's prefixes, the shortest first
-	 * @param found takes the targets, the one that holds most first
+	 * @param matches receives the targets, the one with the longest prefix first
 	 */
-	void findMatches(List<Long> hashes, Matches found) {
-		found.count = 0;
-		for (int i = hashes.size() - 1; i >= 0 && found.count < MAX_HOLDERS; i--) {
+	void findMatches(List<Long> hashes, Matches matches) {
+		matches.count = 0;
+		for (int i = hashes.size() - 1; i >= 0 && matches.count < MAX_HOLDERS; i--) {
 			final Holders holders = this.prefixes.get(hashes.get(i));
 			if (holders != null) {
 				for (int j = 0; j < holders.count; j++) {
 					if (holders.seenAtNanos[j] >= this.invalidBeforeNanos.getOrDefault(holders.targetIds[j],
 							Long.MIN_VALUE)) {
-						found.add(holders.targetIds[j], i + 1);
+						matches.add(holders.targetIds[j], i + 1);
 					}
 				}
 			}
@@ -98,7 +99,7 @@
 	}
 
 	/**
-	 * The result of a search, used again for the next one.
+	 * The result of a search, which is reused for the next one.
 	 */
 	static final class Matches {
 
@@ -108,10 +109,10 @@
 
 		private int count;
 
-		private void add(String targetId, int heldBlocks) {
+		private void add(String targetId, int matchingBlocks) {
 			if (this.count < MAX_HOLDERS && cachedBlocks(targetId) == 0) {
 				this.targetIds[this.count] = targetId;
-				this.blocks[this.count] = heldBlocks;
+				this.blocks[this.count] = matchingBlocks;
 				this.count++;
 			}
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/RoundRobin.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/RoundRobin.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Chooses one target after the other; a baseline that knows nothing of load.
+ * Chooses the targets in turn, regardless of load; a baseline.
  */
 public final class RoundRobin implements PlacementPolicy {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/StragglerEjector.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/StragglerEjector.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * Takes targets out of use that are far slower than their like, that stall or that fail
- * again and again.
+ * Ejects targets that are much slower than the rest of their pool, that stall or that
+ * fail repeatedly.
  * <p>
- * Made for one target at a tenth of its speed: it looks half idle to a daemon that counts
- * attempts, so work keeps going there and every n-th caller waits ten times as long. The
- * measure is the time between tokens against the median of the pool, since that depends
- * on the target alone and not on queues or prompts. Never more than a third of a pool is
- * out at once: if most seem slow, the cause is the load or this daemon's own network, and
- * emptying the pool would turn slowness into an outage. A target comes back after 10 s by
- * a slow start; each further ejection doubles the time up to 160 s, so that one that
- * flaps is used ever more rarely, and half a minute of good behaviour takes one doubling
- * back.
+ * A target at a tenth of its speed looks half idle to a daemon that counts attempts, so
+ * that it keeps receiving requests and one caller in n waits ten times as long. Slowness
+ * is measured by the time between tokens relative to the pool's median, which depends on
+ * the target alone and not on queues or prompts. At most a third of a pool is ejected at
+ * once: if most targets seem slow, the cause is the load or this daemon's own network,
+ * and ejecting them would turn slowness into an outage. An ejected target returns after
+ * 10 s with a slow start. Each further ejection doubles the time, up to 160 s, so that a
+ * flapping target is used ever more rarely; one doubling is taken back for each 30 s
+ * without ejection.
  */
 final class StragglerEjector {
 
 	private static final double SLOW_RATIO = 2.5;
 
-	/** A measurement of fewer samples than this is not acted on. */
+	/** The number of samples below which a measurement is not used. */
 	static final int MIN_SAMPLES = 2;
 
 	private static final int MAX_CONSECUTIVE_FAILURES = 3;
@@ -35,7 +35,8 @@
 	private static final long MIN_STALL_NANOS = 2_000_000_000L;
 
 	/**
-	 * A target is silent for this many of the pool's token times before it is stalled.
+	 * The number of the pool's token intervals without progress after which a target
+	 * counts as stalled.
 	 */
 	private static final double STALL_TOKENS = 100;
 
@@ -49,15 +50,15 @@
 
 	void eject(long nowNanos, List<TargetLoad> members) {
 		this.medianInterTokenNanos = median(members);
-		int out = 0;
+		int ejected = 0;
 		for (final TargetLoad load : members) {
-			out += load.isEjected(nowNanos) ? 1 : 0;
+			ejected += load.isEjected(nowNanos) ? 1 : 0;
 		}
-		int left = members.size() / MAX_EJECTED_DIVISOR - out;
+		int remaining = members.size() / MAX_EJECTED_DIVISOR - ejected;
 		for (final TargetLoad load : members) {
-			if (left > 0 && load.view().serving() && !load.isEjected(nowNanos) && isOutlier(nowNanos, load)) {
+			if (remaining > 0 && load.view().serving() && !load.isEjected(nowNanos) && isOutlier(nowNanos, load)) {
 				load.eject(nowNanos, BASE_EJECTION_NANOS, MAX_DOUBLINGS);
-				left--;
+				remaining--;
 			}
 		}
 		if (nowNanos - this.decayedAtNanos >= EJECTION_DECAY_NANOS) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
@@ -7,24 +7,27 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * What one daemon has in flight at a target and how fast it found the target to be,
- * beside the target's last view.
+ * The attempts that this daemon has in flight at a target, and the health of the target
+ * as this daemon observed it, beside the target's last view.
  * <p>
- * Made for several daemons before one target, each with a report that is a second old. A
- * daemon that trusted the report alone would send all its work where the report says
- * "idle", together with all others, and the work would wait in the engine, where no
- * fairness holds. So a daemon may always use an equal part of the slots, and more as far
- * as the report, without its own work at that time, leaves them free; the older the
- * report, the less counts what it leaves free.
+ * Several daemons send requests to one target, each with a load report that is about a
+ * second old. If daemons relied on the report alone, all of them would send their
+ * requests to the targets reported idle, and the requests would wait inside the engines,
+ * where fair queueing does not apply. Each daemon may therefore always use an equal share
+ * of the slots, and more as far as the report, less this daemon's own attempts at that
+ * time, shows them unused. The older the report, the less its unused slots count.
  */
 public final class TargetLoad {
 
 	private static final long REPORT_VALIDITY_NANOS = 3_000_000_000L;
 
-	/** By then the list shows a group that was closed, and a failure says little. */
+	/**
+	 * The time by which the instance list shows that a group was closed, so that a
+	 * failure no longer says much.
+	 */
 	private static final long FAILURE_VALIDITY_NANOS = 1_500_000_000L;
 
-	/** A target that just came takes its full share of work only after this time. */
+	/** The time over which the share of a new target rises to its full value. */
 	private static final long SLOW_START_NANOS = 4_000_000_000L;
 
 	private final InstanceLimit limit;
@@ -58,7 +61,7 @@
 	private boolean onProbation;
 
 	/**
-	 * Creates the load of a target that was just learnt of and asks for nothing.
+	 * Creates the load of a new target without a limit or backoff.
 	 * @param view the target's view
 	 * @param nowNanos the monotonic time
 	 */
@@ -68,11 +71,11 @@
 	}
 
 	/**
-	 * Creates the load of a target that was just learnt of.
+	 * Creates the load of a new target.
 	 * @param view the target's view
 	 * @param nowNanos the monotonic time
 	 * @param limit the limit of its instance
-	 * @param backoff the backoff that its instance asks for
+	 * @param backoff the backoff of its instance
 	 */
 	public TargetLoad(TargetView view, long nowNanos, InstanceLimit limit, InstanceBackoff backoff) {
 		this.limit = limit;
@@ -84,7 +87,7 @@
 	}
 
 	/**
-	 * Takes over a newer view.
+	 * Replaces the target's view by a newer one.
 	 * @param newView the view
 	 * @param nowNanos the monotonic time
 	 */
@@ -97,7 +100,7 @@
 	}
 
 	/**
-	 * Skips the slow start, for a target that is at its full speed already.
+	 * Skips the slow start, for a target that is warm already.
 	 */
 	public void skipSlowStart() {
 		this.servingSinceNanos -= SLOW_START_NANOS;
@@ -106,7 +109,7 @@
 	/**
 	 * Counts an attempt that starts.
 	 * @param nowNanos the monotonic time
-	 * @param costTokens the request's cost
+	 * @param costTokens the cost of the request, in tokens
 	 */
 	public void onStart(long nowNanos, long costTokens) {
 		if (this.inFlight == 0) {
@@ -119,10 +122,10 @@
 	}
 
 	/**
-	 * Notes tokens that an attempt delivered after its first.
+	 * Records progress of an attempt, and the time between its tokens after the first.
 	 * @param nowNanos the monotonic time
-	 * @param sinceNanos when the attempt's last tokens were noted
-	 * @param tokens how many tokens came since
+	 * @param sinceNanos when the attempt's previous tokens were recorded
+	 * @param tokens the number of tokens received since then
 	 * @param first whether the attempt's first token is among them
 	 */
 	public void onTokens(long nowNanos, long sinceNanos, int tokens, boolean first) {
@@ -141,8 +144,8 @@
 	/**
 	 * Counts an attempt that ends.
 	 * @param nowNanos the monotonic time
-	 * @param costTokens the request's cost
-	 * @param how how it ended
+	 * @param costTokens the cost of the request, in tokens
+	 * @param how how the attempt ended
 	 */
 	public void onEnd(long nowNanos, long costTokens, AttemptEnd how) {
 		this.inFlight--;
@@ -161,41 +164,40 @@
 	}
 
 	/**
-	 * Returns how many attempts this daemon may have there.
+	 * Returns how many attempts this daemon may have in flight at the target.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the daemons that share the target
 	 * @return the number of attempts
 	 */
-	int limit(long nowNanos, DaemonRank daemons) {
+	int attemptLimit(long nowNanos, DaemonRank daemons) {
 		final int slots = this.view.slots();
-		final int equal = daemons.equalShare(slots, this.view.targetId());
+		final int equalShare = daemons.equalShare(slots, this.view.targetId());
 		final double unused = slots - this.peerInFlight.attempts() - ((this.peerInFlight.attempts() > 0) ? 1 : 0);
-		// An engine that queues has more than its slots already, whatever the figures
-		// say.
-		final double left = (this.view.reportedWaiting() > 0) ? equal : Math.max(equal, unused);
+		// An engine with queued requests has no free slot, whatever its figures say.
+		final double available = (this.view.reportedWaiting() > 0) ? equalShare : Math.max(equalShare, unused);
 		final double trustRatio = Math.max(0,
 				1 - (double) (nowNanos - this.view.reportedAtNanos()) / REPORT_VALIDITY_NANOS);
-		final double limit = equal + trustRatio * (left - equal);
+		final double trustedLimit = equalShare + trustRatio * (available - equalShare);
 		if (this.onProbation) {
 			return 1;
 		}
 		final double warmRatio = Math.min(1, (double) (nowNanos - this.servingSinceNanos) / SLOW_START_NANOS);
-		return (int) Math.round((limit < 1) ? limit : Math.max(1, limit * warmRatio));
+		return (int) Math.round((trustedLimit < 1) ? trustedLimit : Math.max(1, trustedLimit * warmRatio));
 	}
 
 	/**
-	 * Returns how many attempts this daemon may start there now.
+	 * Returns how many attempts this daemon may start at the target now.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the daemons that share the target
-	 * @return the free slots
+	 * @return the number of attempts
 	 */
 	int freeSlots(long nowNanos, DaemonRank daemons) {
 		if (!this.view.serving() || isEjected(nowNanos)) {
 			return 0;
 		}
-		// Whoever may start one where a limit holds may have no part of the slots.
-		final int most = this.limit.isLimited() ? maxAttemptsUnderLimit() : limit(nowNanos, daemons);
-		return clampToLimit(nowNanos, most - this.inFlight);
+		// Where a limit applies, a daemon with a permit may have no share of the slots.
+		final int maxAttempts = this.limit.isLimited() ? maxAttemptsUnderLimit() : attemptLimit(nowNanos, daemons);
+		return clampToLimit(nowNanos, maxAttempts - this.inFlight);
 	}
 
 	private int maxAttemptsUnderLimit() {
@@ -203,46 +205,48 @@
 	}
 
 	private int clampToLimit(long nowNanos, int free) {
-		final int most = this.limit.isLimited() ? 1 : Integer.MAX_VALUE;
-		return mayStart(nowNanos) ? Math.max(0, Math.min(most, free)) : 0;
+		final int maxAttempts = this.limit.isLimited() ? 1 : Integer.MAX_VALUE;
+		return mayStart(nowNanos) ? Math.max(0, Math.min(maxAttempts, free)) : 0;
 	}
 
 	/**
-	 * Returns whether the target's instance lets this daemon start an attempt there, with
-	 * room or without.
-	 * @param atNanos the moment, by the monotonic clock
-	 * @return whether it may be started then, as far as is known
+	 * Returns whether the limit and the backoff of the target's instance allow an
+	 * attempt, regardless of free slots.
+	 * @param atNanos the monotonic time of the attempt
+	 * @return whether they do, as far as is known now
 	 */
 	public boolean mayStart(long atNanos) {
 		return this.limit.mayStart(atNanos) && !this.backoff.holds(atNanos);
 	}
 
 	/**
-	 * Returns whether the target's instance takes less than it has room for.
+	 * Returns whether the target's instance has a limit or is in backoff, so that it
+	 * accepts less than its slots allow.
 	 * @param nowNanos the monotonic time
-	 * @return whether it names a limit or wants nothing for a while, or any more
+	 * @return whether it is throttled; also true for an instance that is leaving
 	 */
 	boolean isThrottled(long nowNanos) {
 		return this.limit.isLimited() || this.backoff.holds(nowNanos);
 	}
 
 	/**
-	 * Returns whether one attempt may go there though this daemon has no part of the
-	 * slots: it has none there yet, and nothing that it heard lately speaks against it.
+	 * Returns whether one attempt may be sent to the target although this daemon has no
+	 * share of its slots. This requires that it has none in flight there and that no
+	 * recent report or failure speaks against it.
 	 * @param nowNanos the monotonic time
 	 * @return whether one may
 	 */
 	boolean acceptsExcessAttempt(long nowNanos) {
 		final boolean usable = this.view.serving() && !isEjected(nowNanos) && !this.onProbation
 				&& !isThrottled(nowNanos);
-		final boolean heardFull = nowNanos - this.view.reportedAtNanos() < REPORT_VALIDITY_NANOS
+		final boolean reportedFull = nowNanos - this.view.reportedAtNanos() < REPORT_VALIDITY_NANOS
 				&& this.view.reportedRunning() + this.view.reportedWaiting() >= this.view.slots();
-		return usable && this.inFlight == 0 && !heardFull && !failedRecently(nowNanos);
+		return usable && this.inFlight == 0 && !reportedFull && !failedRecently(nowNanos);
 	}
 
 	/**
-	 * Returns whether the last attempts there failed, and so lately that the list may not
-	 * show yet why.
+	 * Returns whether the last attempts failed so recently that the instance list may not
+	 * show the cause yet.
 	 * @param nowNanos the monotonic time
 	 * @return whether they did
 	 */
@@ -251,75 +255,76 @@
 	}
 
 	/**
-	 * Returns how many attempts this daemon has there beyond its part.
+	 * Returns how many attempts this daemon has in flight at the target beyond its share.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the daemons that share the target
 	 * @return the number of attempts
 	 */
 	int excessAttempts(long nowNanos, DaemonRank daemons) {
-		return this.limit.isLimited() ? 0 : Math.max(0, this.inFlight - limit(nowNanos, daemons));
+		return this.limit.isLimited() ? 0 : Math.max(0, this.inFlight - attemptLimit(nowNanos, daemons));
 	}
 
 	/**
-	 * Returns how many slots this daemon has not filled, as though it were alone.
+	 * Returns how many attempts this daemon may start at the target now if no other
+	 * daemon uses it.
 	 * @param nowNanos the monotonic time
-	 * @return the free slots
+	 * @return the number of attempts
 	 */
-	int freeSlots(long nowNanos) {
+	int unsharedFreeSlots(long nowNanos) {
 		return this.view.serving() ? clampToLimit(nowNanos, this.view.slots() - this.inFlight) : 0;
 	}
 
 	/**
-	 * Returns the limit that the target's instance names, if it does.
-	 * @return the limit
+	 * Returns the limit of the target's instance.
+	 * @return the limit, which is unlimited until the instance states one
 	 */
 	public InstanceLimit limit() {
 		return this.limit;
 	}
 
 	/**
-	 * Returns the backoff that the target's instance asks for, if it does.
-	 * @return the backoff
+	 * Returns the backoff of the target's instance.
+	 * @return the backoff, which is inactive unless the instance asks for one
 	 */
 	public InstanceBackoff backoff() {
 		return this.backoff;
 	}
 
 	/**
-	 * Takes the target out of use for a while; longer each time.
+	 * Ejects the target for a time that doubles with each ejection.
 	 * @param nowNanos the monotonic time
-	 * @param baseNanos how long the first time
-	 * @param mostDoublings how often the time doubles at most
+	 * @param baseNanos the time of the first ejection, in nanoseconds
+	 * @param maxDoublings the bound on doublings
 	 */
-	void eject(long nowNanos, long baseNanos, int mostDoublings) {
-		this.ejectedUntilNanos = nowNanos + (baseNanos << Math.min(mostDoublings, this.ejections));
+	void eject(long nowNanos, long baseNanos, int maxDoublings) {
+		this.ejectedUntilNanos = nowNanos + (baseNanos << Math.min(maxDoublings, this.ejections));
 		this.ejections++;
 		this.interTokenLatency.reset();
 		this.consecutiveFailures = 0;
-		// The way back begins with one attempt at a time: while it is not known whether
-		// the target is well again, each further one would be another caller who waits.
+		// After the ejection, one attempt at a time is allowed until the target has
+		// proved healthy: each further one would be another caller who waits.
 		this.onProbation = true;
 		this.progressAtNanos = this.ejectedUntilNanos;
 	}
 
 	/**
-	 * Forgives one ejection, for a target that has behaved since.
+	 * Takes back one ejection, for a target that is not ejected now.
 	 */
 	void decayEjections() {
 		this.ejections = Math.max(0, this.ejections - 1);
 	}
 
 	/**
-	 * Returns whether the target is out of use.
+	 * Returns whether the target is ejected.
 	 * @param nowNanos the monotonic time
-	 * @return whether it is ejected
+	 * @return whether it is
 	 */
 	public boolean isEjected(long nowNanos) {
 		return this.ejectedUntilNanos != 0 && nowNanos < this.ejectedUntilNanos;
 	}
 
 	/**
-	 * Returns how often the target was ejected without being forgiven.
+	 * Returns the number of ejections that have not decayed.
 	 * @return the number of ejections
 	 */
 	public int ejections() {
@@ -327,37 +332,39 @@
 	}
 
 	/**
-	 * Returns when the target last delivered anything to this daemon.
-	 * @return the monotonic time, in nanoseconds
+	 * Returns when the target last made progress on an attempt of this daemon.
+	 * @return the monotonic time, in nanoseconds; the end of the ejection where the
+	 * target was ejected since
 	 */
 	public long progressAtNanos() {
 		return this.progressAtNanos;
 	}
 
 	/**
-	 * Returns the time between two tokens, as this daemon saw it.
-	 * @return the pace since the target was last taken out of use
+	 * Returns the time between two tokens, as observed by this daemon.
+	 * @return the latency since the last ejection
 	 */
 	InterTokenLatency interTokenLatency() {
 		return this.interTokenLatency;
 	}
 
 	/**
-	 * Returns how full the target is, as far as this daemon can know.
-	 * @param daemonCount how many daemons share the target
-	 * @return its own and the others' attempts for each slot
+	 * Returns the estimated utilization of the target's slots.
+	 * @param daemonCount the number of daemons that share the target
+	 * @return the attempts of all daemons, divided by the slots
 	 */
 	double utilizationRatio(int daemonCount) {
-		// What others have is known late; that they do as this daemon does is a guess
-		// without noise. Half of each keeps the small differences exact.
+		// The reported attempts of other daemons are late. The assumption that others
+		// have as many as this daemon is inexact but free of noise. The mean of both
+		// keeps small differences visible.
 		final double byReport = this.inFlight + this.peerInFlight.attempts();
 		final double byOwn = (double) this.inFlight * daemonCount;
 		return (byReport + byOwn) / 2 / this.view.slots();
 	}
 
 	/**
-	 * Returns where the target stands in its set; the set keeps it.
-	 * @return the place
+	 * Returns the target's bookkeeping in its set, which the set maintains.
+	 * @return the entry
 	 */
 	TargetSetEntry setEntry() {
 		return this.setEntry;
@@ -372,7 +379,7 @@
 	}
 
 	/**
-	 * Returns how many attempts of this daemon are in flight there.
+	 * Returns how many attempts this daemon has in flight at the target.
 	 * @return the number of attempts
 	 */
 	public int inFlight() {
@@ -380,15 +387,15 @@
 	}
 
 	/**
-	 * Returns the cost of this daemon's attempts there.
-	 * @return the cost in tokens
+	 * Returns the cost of this daemon's attempts in flight at the target.
+	 * @return the cost, in tokens
 	 */
 	public long inFlightTokens() {
 		return this.inFlightTokens;
 	}
 
 	/**
-	 * Returns how many attempts failed there in a row.
+	 * Returns how many attempts have failed in a row.
 	 * @return the number of failures
 	 */
 	public int consecutiveFailures() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetSet.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetSet.java
@@ -8,25 +8,25 @@
 import java.util.Optional;
 
 /**
- * The targets of one model or service, with those apart that have room.
+ * The targets of one model or service, indexed by whether they have free capacity.
  * <p>
- * A decision must cost the same before 63 and before 1,600 targets, so the targets with
- * room are kept in a list of their own, in which one is added or taken out in constant
- * time; only a new view and the slow beat of the ejector look at all of them.
+ * A decision must cost the same with 63 and with 1,600 targets. The available targets are
+ * therefore kept in a list of their own with constant-time insertion and removal; only a
+ * new view and the periodic refresh visit all targets.
  * <p>
- * Where there are more daemons than a target has slots, most daemons have no part of it.
- * One that has none anywhere, or has used up all of its parts, would keep its callers
- * waiting beside idle targets: of a plain service with thirty slots two thirds of 95
- * daemons had nothing, and callers were refused while a twentieth of the slots was in
- * use. So a daemon may have some attempts beyond its parts, one at a target and an eighth
- * of its fair share in all, where it heard of nothing against it. All daemons together
- * fill the slots by an eighth too many at most, and engines queue that much.
+ * With more daemons than a target has slots, most daemons have no share of it. A daemon
+ * without any share, or with all of its shares in use, would keep its callers waiting
+ * beside idle targets: for a service with thirty slots and 95 daemons, two thirds of the
+ * daemons had no share, and callers were refused while a twentieth of the slots was in
+ * use. A daemon may therefore have some attempts beyond its shares: one for each target
+ * and an eighth of its fair share in all, where no report or failure speaks against it.
+ * All daemons together exceed the slots by at most an eighth, which the engines queue.
  */
 public final class TargetSet {
 
 	private static final long REFRESH_NANOS = 200_000_000L;
 
-	/** One attempt in so many of the fair share may go beyond this daemon's parts. */
+	/** One attempt in this many of the fair share may exceed this daemon's shares. */
 	private static final double EXCESS_DIVISOR = 8;
 
 	private static final long SECOND_HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -64,21 +64,21 @@
 	/**
 	 * Creates an empty set.
 	 * @param protectsTargets whether stragglers are ejected and slots are shared with
-	 * other daemons; the plain baselines do without
+	 * other daemons; false for the plain baselines
 	 */
 	public TargetSet(boolean protectsTargets) {
 		this.protectsTargets = protectsTargets;
 	}
 
 	/**
-	 * Takes over the members.
+	 * Replaces the members of the set.
 	 * @param nowNanos the monotonic time
-	 * @param newMembers every target of the model or service, serving or not
+	 * @param newMembers all targets of the model or service, serving or not
 	 * @param daemons the daemons that share them
 	 */
 	public void replace(long nowNanos, List<TargetLoad> newMembers, DaemonRank daemons) {
 		if (!this.initialized) {
-			// A daemon that starts finds targets that were warm before it.
+			// The targets that a starting daemon finds were warm before it started.
 			newMembers.forEach(TargetLoad::skipSlowStart);
 			this.initialized = true;
 		}
@@ -93,7 +93,8 @@
 	}
 
 	/**
-	 * Lets time pass: limits, ejections, slow starts and old reports.
+	 * Applies the passage of time to limits, ejections, slow starts and the age of
+	 * reports.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the daemons that share the targets
 	 */
@@ -110,7 +111,7 @@
 	}
 
 	/**
-	 * Looks at the room of every target anew.
+	 * Recomputes the free capacity of all targets.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the daemons that share the targets
 	 */
@@ -144,46 +145,47 @@
 	}
 
 	/**
-	 * Looks at the room of one target anew.
+	 * Recomputes the free capacity of one target.
 	 * @param nowNanos the monotonic time
 	 * @param daemons the daemons that share the target
 	 * @param load the target
 	 */
 	public void refresh(long nowNanos, DaemonRank daemons, TargetLoad load) {
-		// A target that left the set may still have attempts in flight that end later.
+		// A target that was removed may still have attempts in flight, which end later.
 		if (this.byId.get(load.view().targetId()) != load) {
 			load.setEntry().reset();
 			return;
 		}
-		final int freed = this.protectsTargets ? load.freeSlots(nowNanos, daemons) : load.freeSlots(nowNanos);
-		this.freeSlots += load.setEntry().updateFreeSlots(freed);
+		final int freeSlots = this.protectsTargets ? load.freeSlots(nowNanos, daemons)
+				: load.unsharedFreeSlots(nowNanos);
+		this.freeSlots += load.setEntry().updateFreeSlots(freeSlots);
 		if (this.protectsTargets) {
 			this.excessAttempts += load.setEntry().updateExcessAttempts(load.excessAttempts(nowNanos, daemons));
 			this.excessCandidates.removeIf((each) -> each == load && !load.acceptsExcessAttempt(nowNanos));
 		}
-		updateAvailability(load, freed > 0);
+		updateAvailability(load, freeSlots > 0);
 	}
 
-	private void updateAvailability(TargetLoad load, boolean room) {
-		final TargetSetEntry place = load.setEntry();
-		if (room && !place.isAvailable()) {
-			place.setAvailableIndex(this.available.size());
+	private void updateAvailability(TargetLoad load, boolean hasFreeSlots) {
+		final TargetSetEntry entry = load.setEntry();
+		if (hasFreeSlots && !entry.isAvailable()) {
+			entry.setAvailableIndex(this.available.size());
 			this.available.add(load);
 		}
-		else if (!room && place.isAvailable()) {
+		else if (!hasFreeSlots && entry.isAvailable()) {
 			final TargetLoad last = this.available.remove(this.available.size() - 1);
 			if (last != load) {
-				this.available.set(place.availableIndex(), last);
-				last.setEntry().setAvailableIndex(place.availableIndex());
+				this.available.set(entry.availableIndex(), last);
+				last.setEntry().setAvailableIndex(entry.availableIndex());
 			}
-			place.clearAvailableIndex();
+			entry.clearAvailableIndex();
 		}
 	}
 
 	/**
-	 * Returns how many attempts could start at once.
-	 * @return the free slots over all targets; where this daemon's parts are used up, how
-	 * many attempts may go beyond them
+	 * Returns how many attempts this daemon may start at once.
+	 * @return the free slots of all targets; where its shares are used up, the number of
+	 * attempts allowed beyond them
 	 */
 	public int freeSlots() {
 		return (this.freeSlots > 0) ? this.freeSlots
@@ -191,9 +193,10 @@
 	}
 
 	/**
-	 * Returns the targets that an attempt may go to, in no order: those where this daemon
-	 * has room; where it has none, those that may take one beyond its parts.
-	 * @return a view that follows the set
+	 * Returns the targets that an attempt may be sent to, in no order: those with free
+	 * slots in this daemon's share or, where there are none, those that accept an attempt
+	 * beyond it.
+	 * @return a live view
 	 */
 	public List<TargetLoad> available() {
 		return usesExcessAttempts() ? this.excessCandidatesView : this.availableView;
@@ -204,9 +207,9 @@
 	}
 
 	/**
-	 * Returns whether an attempt may go to a target.
+	 * Returns whether an attempt may be sent to a target.
 	 * @param load the target
-	 * @return whether it is among the open ones
+	 * @return whether it is among the available targets
 	 */
 	boolean isAvailable(TargetLoad load) {
 		return usesExcessAttempts() ? this.excessCandidates.contains(load) : load.setEntry().isAvailable();
@@ -215,17 +218,18 @@
 	/**
 	 * Finds a target by its id.
 	 * @param targetId the target
-	 * @return the target, full or not; null where it is gone
+	 * @return the target, full or not; null where it is not in the set
 	 */
 	TargetLoad byId(String targetId) {
 		return this.byId.get(targetId);
 	}
 
 	/**
-	 * Returns one of two targets that a hash names, the same on all daemons.
+	 * Returns one of the two targets that a hash selects, which are the same on all
+	 * daemons.
 	 * @param hash the hash
-	 * @param second whether the second one is wanted
-	 * @return the target, full or not; null where there is none
+	 * @param second whether the second target is requested
+	 * @return the target, full or not; null where the set is empty
 	 */
 	TargetLoad byHash(long hash, boolean second) {
 		if (this.members.isEmpty()) {
@@ -240,27 +244,27 @@
 	}
 
 	/**
-	 * Returns the usual time between two tokens.
-	 * @return the median over the targets, in nanoseconds; 0 where it is not known
+	 * Returns the median time between two tokens over the targets.
+	 * @return the time, in nanoseconds; 0 where it is not known
 	 */
 	public double medianInterTokenNanos() {
 		return this.ejector.medianInterTokenNanos();
 	}
 
 	/**
-	 * Returns what the targets take, where all that serve name limits or want nothing for
-	 * a while.
+	 * Returns the capacity of the targets, where all serving ones have a limit or are in
+	 * backoff.
 	 * @param nowNanos the monotonic time
-	 * @return what they take; empty where some target takes all that it has room for, or
-	 * none serves
+	 * @return the capacity; empty where a serving target is not throttled, or where none
+	 * serves
 	 */
 	public Optional<ThrottledCapacity> throttledCapacity(long nowNanos) {
 		return this.throttled.isEmpty() ? Optional.empty() : ThrottledCapacity.of(nowNanos, this.members);
 	}
 
 	/**
-	 * Returns all targets.
-	 * @return the members
+	 * Returns all targets, serving or not.
+	 * @return a read-only view
 	 */
 	public List<TargetLoad> members() {
 		return Collections.unmodifiableList(this.members);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetSetEntry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetSetEntry.java
@@ -1,7 +1,8 @@
 package org.pistachioline.core.placement;
 
 /**
- * Where a target stands in its {@link TargetSet}, and what of it the set's sums hold.
+ * The bookkeeping of one target in its {@link TargetSet}: its index in the list of
+ * available targets, and its part of the set's totals.
  */
 final class TargetSetEntry {
 
@@ -30,9 +31,9 @@
 	}
 
 	/**
-	 * Counts the free slots anew.
+	 * Updates the number of free slots.
 	 * @param slots the free slots
-	 * @return by how much the set's sum changes
+	 * @return the change, by which the set's total must change
 	 */
 	int updateFreeSlots(int slots) {
 		final int change = slots - this.countedFreeSlots;
@@ -41,9 +42,9 @@
 	}
 
 	/**
-	 * Counts the attempts beyond this daemon's part anew.
+	 * Updates the number of attempts beyond this daemon's share.
 	 * @param attempts the attempts
-	 * @return by how much the set's sum changes
+	 * @return the change, by which the set's total must change
 	 */
 	int updateExcessAttempts(int attempts) {
 		final int change = attempts - this.countedExcessAttempts;
@@ -52,7 +53,7 @@
 	}
 
 	/**
-	 * Leaves the set, whose sums begin anew.
+	 * Clears the bookkeeping when the set starts its totals from zero.
 	 */
 	void reset() {
 		this.availableIndex = NOT_AVAILABLE;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/ThrottledCapacity.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/ThrottledCapacity.java
@@ -6,15 +6,17 @@
 import org.pistachioline.core.limit.InstanceLimit;
 
 /**
- * What targets take that all name limits or want nothing for a while.
+ * The capacity of a set of targets that are all throttled, by the limits of their
+ * instances or by backoff.
  *
- * @param nextStartWaitNanos how long until this daemon may start the next attempt at a
- * target that names a limit
- * @param ownStartsPerSecond how many attempts a second this daemon may start at those
- * @param totalStartsPerSecond how many attempts a second all daemons may start at those
- * together
- * @param backoffWaitNanos how long until a target that names no limit wants requests
- * again
+ * @param nextStartWaitNanos the time until this daemon may start the next attempt at a
+ * target with a limit
+ * @param ownStartsPerSecond the rate at which this daemon may start attempts at targets
+ * with a limit
+ * @param totalStartsPerSecond the rate at which all daemons together may start attempts
+ * at targets with a limit
+ * @param backoffWaitNanos the time until the first backoff of a target without a limit
+ * ends
  */
 public record ThrottledCapacity(long nextStartWaitNanos, double ownStartsPerSecond, double totalStartsPerSecond,
 		long backoffWaitNanos) {
@@ -24,18 +26,18 @@
 	private static final long NEVER_NANOS = Long.MAX_VALUE;
 
 	/**
-	 * Sums up what a model's or a service's targets take.
+	 * Sums up the capacity of a model's or a service's targets.
 	 * @param nowNanos the monotonic time
 	 * @param members the targets
-	 * @return the sums; empty where some target that serves takes all that it has room
-	 * for, or none serves
+	 * @return the capacity; empty where a serving target is not throttled, or where none
+	 * serves
 	 */
 	static Optional<ThrottledCapacity> of(long nowNanos, Collection<TargetLoad> members) {
-		long nextNanos = NEVER_NANOS;
-		long openNanos = NEVER_NANOS;
-		double own = 0;
-		double all = 0;
-		boolean any = false;
+		long startWaitNanos = NEVER_NANOS;
+		long endWaitNanos = NEVER_NANOS;
+		double ownPerSecond = 0;
+		double allPerSecond = 0;
+		boolean anyServing = false;
 		for (final TargetLoad load : members) {
 			if (!load.view().serving()) {
 				continue;
@@ -43,23 +45,25 @@
 			if (!load.isThrottled(nowNanos)) {
 				return Optional.empty();
 			}
-			any = true;
+			anyServing = true;
 			final InstanceLimit limit = load.limit();
-			final long restNanos = load.backoff().leftNanos(nowNanos);
+			final long backoffLeftNanos = load.backoff().leftNanos(nowNanos);
 			if (limit.isLimited()) {
-				nextNanos = Math.min(nextNanos, Math.max(restNanos, waitNanos(nowNanos, limit)));
-				own += limit.ownPerSecond();
-				all += limit.perSecond();
+				startWaitNanos = Math.min(startWaitNanos, Math.max(backoffLeftNanos, limitWaitNanos(nowNanos, limit)));
+				ownPerSecond += limit.ownPerSecond();
+				allPerSecond += limit.perSecond();
 			}
 			else {
-				openNanos = Math.min(openNanos, restNanos);
+				endWaitNanos = Math.min(endWaitNanos, backoffLeftNanos);
 			}
 		}
-		return any ? Optional.of(new ThrottledCapacity(nextNanos, own, all, openNanos)) : Optional.empty();
+		return anyServing ? Optional.of(new ThrottledCapacity(startWaitNanos, ownPerSecond, allPerSecond, endWaitNanos))
+				: Optional.empty();
 	}
 
-	// Without a permit the next attempt is put off by each word of the target.
-	private static long waitNanos(long nowNanos, InstanceLimit limit) {
+	// Without permits each new report of the limit postpones this daemon's next attempt,
+	// so that its time is not known.
+	private static long limitWaitNanos(long nowNanos, InstanceLimit limit) {
 		if (limit.mayStart(nowNanos)) {
 			return 0;
 		}
@@ -67,10 +71,10 @@
 	}
 
 	/**
-	 * Returns how long a request waits that comes now.
-	 * @param ahead how many requests wait before it
+	 * Returns how long a request that arrives now is expected to wait.
+	 * @param ahead the number of requests that wait before it
 	 * @return the time, in nanoseconds; infinite where this daemon may start one attempt
-	 * at most and others wait for it
+	 * at most and other requests wait for it
 	 */
 	public double waitNanos(int ahead) {
 		final double limitedNanos = this.nextStartWaitNanos
@@ -79,10 +83,10 @@
 	}
 
 	/**
-	 * Returns when a request that is refused now may come back. Another daemon may have a
-	 * permit sooner, so limits count for all daemons together.
-	 * @param ahead how many requests wait before it
-	 * @return the time, in nanoseconds; infinite where no target takes anything
+	 * Returns after what time a request that is refused now may be retried. Another
+	 * daemon may hold a permit sooner, so the limits count for all daemons together.
+	 * @param ahead the number of requests that wait before it
+	 * @return the time, in nanoseconds; infinite where no target accepts requests
 	 */
 	public double retryAfterNanos(int ahead) {
 		final double limitedNanos = (ahead + 1) / this.totalStartsPerSecond * NANOS_PER_SECOND;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/CacheEventPageTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/CacheEventPageTests.java
@@ -13,27 +13,27 @@
 	}
 
 	@Test
-	void whatWasStoredAndGivenUpAgainCountsAsGivenUp() {
+	void aPrefixThatWasStoredAndThenEvictedCountsAsEvicted() {
 		final CacheEventPage page = new CacheEventPage(7, List.of(event(4, CacheEvent.Kind.STORED, 1),
 				event(5, CacheEvent.Kind.STORED, 2), event(6, CacheEvent.Kind.EVICTED, 1)));
 		assertThat(page.summarize("g", 4)).isEqualTo(new CacheEvents("g", false, false, List.of(2L), List.of(1L)));
 	}
 
-	// An engine keeps few events and this daemon reads late, so some are lost. Taken for
-	// whole, the cache would be believed to hold prefixes that it gave up long ago.
+	// An engine retains few events and the daemon reads them late, so that some are lost.
+	// Without the gap the cache would be expected to hold prefixes that were evicted long
+	// ago.
 	@Test
-	void eventsThatWereLostShowAsAGap() {
+	void lostEventsAreReportedAsAGap() {
 		final CacheEventPage page = new CacheEventPage(9, List.of(event(8, CacheEvent.Kind.STORED, 1)));
 		assertThat(page.summarize("g", 4).gap()).isTrue();
 		assertThat(new CacheEventPage(9, List.of()).summarize("g", 4).gap()).isTrue();
 		assertThat(new CacheEventPage(4, List.of()).summarize("g", 4).gap()).isFalse();
 	}
 
-	// An engine crashes and comes back with an empty cache. Work sent there for its
-	// prefixes
-	// would wait for a prefill that another target could have saved.
+	// An engine crashes and restarts with an empty cache. A request that is sent there
+	// for a cached prefix would wait for a prefill that another target could have saved.
 	@Test
-	void whatStoodBeforeAClearedCacheIsForgotten() {
+	void changesBeforeAClearAreDiscarded() {
 		final CacheEventPage page = new CacheEventPage(7, List.of(event(4, CacheEvent.Kind.STORED, 1),
 				event(5, CacheEvent.Kind.CLEARED, 0), event(6, CacheEvent.Kind.STORED, 2)));
 		assertThat(page.summarize("g", 4)).isEqualTo(new CacheEvents("g", false, true, List.of(2L), List.of()));
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/LargeFleetPlacementTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/LargeFleetPlacementTests.java
@@ -18,7 +18,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * More daemons than a target has slots, so that most have no part of it.
+ * Tests placement with more daemons than a target has slots, so that most daemons have no
+ * share of it.
  */
 class LargeFleetPlacementTests {
 
@@ -29,9 +30,9 @@
 	private final List<DaemonTargets> daemons = new ArrayList<>();
 
 	/**
-	 * A plain service of five instances takes bookings from 95 daemons. Its thirty slots
-	 * are idle. A daemon that has no part of them keeps its callers until they are
-	 * refused, beside instances that do nothing.
+	 * A service of five instances with thirty idle slots serves 95 daemons. A daemon
+	 * without a share of the slots would queue its requests until they are refused,
+	 * beside idle instances.
 	 */
 	@Test
 	void everyDaemonReachesAnIdleService() {
@@ -40,12 +41,12 @@
 	}
 
 	/**
-	 * All daemons have more callers than the groups have slots. What they send beyond the
-	 * slots waits in the engines, out of reach of any fairness.
+	 * All daemons have more requests than the groups have slots. The attempts beyond the
+	 * slots wait inside the engines, where fair queueing does not apply.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 20, 60, 142 })
-	void aFleetThatIsOverrunFillsTheSlotsByAnEighthTooManyAtMost(int groups) {
+	void anOverloadedFleetExceedsTheSlotsByAnEighthAtMost(int groups) {
 		fill(groups, 10, 0);
 		int sent = 0;
 		for (final DaemonTargets daemon : this.daemons) {
@@ -57,31 +58,32 @@
 	}
 
 	/**
-	 * The instances have just said that they are full. Another attempt would wait there.
+	 * The instances have just reported that they are full, so that a further attempt
+	 * would wait there.
 	 */
 	@Test
-	void nothingGoesBeyondTheSlotsOfTargetsThatSaidTheyAreFull() {
+	void noAttemptExceedsTheSlotsOfTargetsThatReportedFull() {
 		fill(5, 6, 6);
-		final long withoutPart = this.daemons.stream().filter((daemon) -> daemon.set.freeSlots() == 0).count();
-		assertThat(withoutPart).isEqualTo(DAEMONS - 5 * 6);
+		final long withoutFreeSlots = this.daemons.stream().filter((daemon) -> daemon.set.freeSlots() == 0).count();
+		assertThat(withoutFreeSlots).isEqualTo(DAEMONS - 5 * 6);
 	}
 
 	/**
-	 * An instance refuses the attempt. The next one must go elsewhere, and not again to
-	 * where it was refused.
+	 * An instance declines an attempt beyond the daemon's shares. The next attempts must
+	 * go to other instances.
 	 */
 	@Test
-	void aTargetThatRefusedIsLeftAlone() {
+	void aTargetThatDeclinedIsNotChosenAgain() {
 		fill(5, 6, 0);
 		final DaemonTargets daemon = this.daemons.stream()
-			.filter((each) -> each.partsUsed() == 0)
+			.filter((each) -> each.totalShares() == 0)
 			.findFirst()
 			.orElseThrow();
-		final TargetLoad refusing = daemon.start().orElseThrow();
-		refusing.onEnd(NOW_NANOS, 100, AttemptEnd.DECLINED);
-		daemon.set.refresh(NOW_NANOS, daemon.rank, refusing);
+		final TargetLoad declining = daemon.start().orElseThrow();
+		declining.onEnd(NOW_NANOS, 100, AttemptEnd.DECLINED);
+		daemon.set.refresh(NOW_NANOS, daemon.rank, declining);
 		for (int i = 0; i < 20; i++) {
-			assertThat(daemon.choose()).isPresent().get().isNotSameAs(refusing);
+			assertThat(daemon.choose()).isPresent().get().isNotSameAs(declining);
 		}
 	}
 
@@ -111,7 +113,7 @@
 			this.placement = new ExpectedWaitPlacement("zone", seed, true);
 		}
 
-		int partsUsed() {
+		int totalShares() {
 			return this.set.members()
 				.stream()
 				.mapToInt((load) -> this.rank.equalShare(load.view().slots(), load.view().targetId()))
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/SilentTargetPlacementTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/SilentTargetPlacementTests.java
@@ -14,11 +14,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+/**
+ * Tests that placement avoids targets that have stalled or declined, before the instance
+ * list shows why.
+ */
 class SilentTargetPlacementTests {
 
-	private static final long MILLI = 1_000_000L;
+	private static final long MILLI_NANOS = 1_000_000L;
 
-	private static final long START_NANOS = 100_000 * MILLI;
+	private static final long START_NANOS = 100_000 * MILLI_NANOS;
 
 	private static final int REQUESTS = 200;
 
@@ -29,11 +33,10 @@
 	private final List<TargetLoad> loads = new ArrayList<>();
 
 	/**
-	 * A member of a group dies. The group's head keeps its connections open and takes
-	 * requests, but delivers nothing; the list shows the loss seconds later. Each caller
-	 * who is sent there meanwhile waits in vain and is late. The other groups of the
-	 * model are half full, so that the dead one, whose streams end nowhere, looks no
-	 * fuller.
+	 * A member of a group dies. The group's head keeps its connections open and accepts
+	 * requests without producing output; the instance list shows the loss seconds later,
+	 * and requests sent there meanwhile miss their deadlines. The other groups are as
+	 * full as the dead one, so that load alone does not tell them apart.
 	 */
 	@Test
 	void newRequestsAvoidATargetThatFellSilent() {
@@ -41,50 +44,51 @@
 		streamAtAllButTheFirst(400);
 		int toSilent = 0;
 		for (int i = 0; i < REQUESTS; i++) {
-			toSilent += (choose(START_NANOS + 400 * MILLI) == this.loads.get(0)) ? 1 : 0;
+			toSilent += (choose(START_NANOS + 400 * MILLI_NANOS) == this.loads.get(0)) ? 1 : 0;
 		}
 		assertThat(toSilent).isZero();
 	}
 
 	/**
-	 * An engine reads a long prompt for a tenth of a second. Its streams pause meanwhile,
-	 * which must not send everybody to the others.
+	 * An engine prefills a long prompt for a tenth of a second, during which its streams
+	 * pause. Requests must not be diverted to the other targets because of that.
 	 */
 	@Test
-	void aShortPauseChangesNothing() {
+	void aNormalPauseDoesNotDivertRequests() {
 		fill(4);
 		streamAtAllButTheFirst(120);
 		int toPaused = 0;
 		for (int i = 0; i < REQUESTS; i++) {
-			toPaused += (choose(START_NANOS + 120 * MILLI) == this.loads.get(0)) ? 1 : 0;
+			toPaused += (choose(START_NANOS + 120 * MILLI_NANOS) == this.loads.get(0)) ? 1 : 0;
 		}
 		assertThat(toPaused).isBetween(REQUESTS / 4 - REQUESTS / 10, REQUESTS);
 	}
 
 	/**
-	 * A group was closed to give its members away. It declines every request until the
-	 * list shows that, a second later. A request may be sent to two targets; one that was
-	 * sent to two such groups is refused though others have room.
+	 * A group was closed to reassign its members. It declines all requests until the
+	 * instance list shows that, a second later. A request has two attempts; if both go to
+	 * such groups, it is refused although others have free slots.
 	 */
 	@Test
 	void newRequestsAvoidATargetThatHasJustDeclined() {
 		fill(4);
 		streamAtAllButTheFirst(120);
 		this.loads.get(0).onStart(START_NANOS, 100);
-		this.loads.get(0).onEnd(START_NANOS + 120 * MILLI, 100, AttemptEnd.DECLINED);
+		this.loads.get(0).onEnd(START_NANOS + 120 * MILLI_NANOS, 100, AttemptEnd.DECLINED);
 		int toClosed = 0;
 		for (int i = 0; i < REQUESTS; i++) {
-			toClosed += (choose(START_NANOS + 130 * MILLI) == this.loads.get(0)) ? 1 : 0;
+			toClosed += (choose(START_NANOS + 130 * MILLI_NANOS) == this.loads.get(0)) ? 1 : 0;
 		}
-		// Six targets are drawn; once in four thousand times all six are this one.
+		// Six targets are drawn; with a probability of one in four thousand all six are
+		// this one.
 		assertThat(toClosed).isLessThanOrEqualTo(1);
 	}
 
-	/** With nobody else free a silent target is better than none. */
+	/** Without another available target, a stalled one is better than none. */
 	@Test
-	void theOnlyTargetIsUsedThoughItIsSilent() {
+	void theOnlyTargetIsUsedEvenIfItIsSilent() {
 		fill(1);
-		assertThat(choose(START_NANOS + 1_000 * MILLI)).isSameAs(this.loads.get(0));
+		assertThat(choose(START_NANOS + 1_000 * MILLI_NANOS)).isSameAs(this.loads.get(0));
 	}
 
 	private void fill(int count) {
@@ -99,7 +103,7 @@
 	private void streamAtAllButTheFirst(long millis) {
 		for (long at = 40; at <= millis; at += 40) {
 			for (final TargetLoad load : this.loads.subList(1, this.loads.size())) {
-				load.onTokens(START_NANOS + at * MILLI, START_NANOS + (at - 40) * MILLI, 5, at == 40);
+				load.onTokens(START_NANOS + at * MILLI_NANOS, START_NANOS + (at - 40) * MILLI_NANOS, 5, at == 40);
 			}
 		}
 	}
@@ -110,8 +114,8 @@
 
 	private static RequestInfo request() {
 		return new RequestInfo(1, "workspace", TargetKind.MODEL, "pool/large", 1_000, 100, 0,
-				START_NANOS + 2_000 * MILLI, START_NANOS + 8_000 * MILLI, true, ClaimNeed.NONE, "", List.of(), 2,
-				START_NANOS + 2_000 * MILLI);
+				START_NANOS + 2_000 * MILLI_NANOS, START_NANOS + 8_000 * MILLI_NANOS, true, ClaimNeed.NONE, "",
+				List.of(), 2, START_NANOS + 2_000 * MILLI_NANOS);
 	}
 
 }
