--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/DeadlineOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/DeadlineOrder.java
@@ -3,7 +3,8 @@
 import java.util.NavigableSet;
 
 /**
- * The most urgent goes next, and among equals the one whose deadline is nearest.
+ * Dispatches the request with the highest priority and, among equal priorities, the one
+ * with the earliest deadline.
  */
 public final class DeadlineOrder implements QueueOrder {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/FairQueue.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/FairQueue.java
@@ -16,16 +16,17 @@
 import org.pistachioline.core.traffic.TargetKind;
 
 /**
- * Shares targets between workspaces by weight and refuses at once what would be late.
+ * Shares targets between workspaces by weight and refuses requests at once that would
+ * miss their deadline.
  * <p>
- * Made for the hour in which everyone comes at once. Between workspaces the cost in
- * tokens counts, not the number of requests, so that one with long work cannot crowd out
- * one with short; within a workspace, priority and then the deadline. A request whose
- * turn would come after its first-token deadline is refused when it arrives, with the
- * time after which it would not be: a caller that is told so at once can go elsewhere or
- * come back, while one that waits in vain holds memory and calls again. Each workspace
- * may hold the number of requests that its manifest names, and all together a fixed
- * number, since each holds its body in memory.
+ * The queue is made for overload. Between workspaces, requests are charged by their cost
+ * in tokens rather than by their number, so that a workspace with long requests cannot
+ * crowd out one with short requests. Within a workspace, priority and then the deadline
+ * decide. A request that would be dispatched after its first-token deadline is refused on
+ * arrival, together with the time after which it would be accepted: its caller can go
+ * elsewhere or retry, whereas a request that waits in vain holds memory and is repeated.
+ * The number of queued requests is bounded by the manifest for each workspace, and by a
+ * fixed number for all workspaces together, since each request holds its body in memory.
  */
 public final class FairQueue implements QueuePolicy {
 
@@ -35,7 +36,9 @@
 
 	private static final long MAX_RETRY_MILLIS = 60_000;
 
-	/** How many prompt tokens take an engine as long as one output token. */
+	/**
+	 * The number of prompt tokens that cost an engine as much time as one output token.
+	 */
 	private static final double PROMPT_TOKENS_PER_OUTPUT = 100;
 
 	private final int maxRequests;
@@ -57,8 +60,8 @@
 	private long nextSequence;
 
 	/**
-	 * Creates an empty queue in which deadlines decide within a workspace.
-	 * @param maxRequests how many requests may wait in all
+	 * Creates an empty queue that orders the requests of a workspace by deadline.
+	 * @param maxRequests the bound on queued requests of all workspaces
 	 */
 	public FairQueue(int maxRequests) {
 		this(maxRequests, new DeadlineOrder());
@@ -66,8 +69,8 @@
 
 	/**
 	 * Creates an empty queue.
-	 * @param maxRequests how many requests may wait in all
-	 * @param order who goes first within a workspace
+	 * @param maxRequests the bound on queued requests of all workspaces
+	 * @param order the order of requests within a workspace
 	 */
 	public FairQueue(int maxRequests, QueueOrder order) {
 		this.maxRequests = maxRequests;
@@ -79,42 +82,43 @@
 		final Map<String, WorkspaceSpec> next = new HashMap<>();
 		manifest.workspaces().forEach((workspace) -> next.put(workspace.name(), workspace));
 		this.workspaces = next;
-		this.queues.values().forEach((lane) -> {
-			lane.retainWorkspaces(next.keySet());
-			lane.updateWeights(this::weight);
+		this.queues.values().forEach((queue) -> {
+			queue.retainWorkspaces(next.keySet());
+			queue.updateWeights(this::weight);
 		});
 	}
 
 	@Override
 	public Optional<Refusal> offer(long nowNanos, RequestInfo info) {
-		final StartTimeFairQueue lane = this.queues.computeIfAbsent(queueName(info),
+		final StartTimeFairQueue queue = this.queues.computeIfAbsent(queueName(info),
 				(name) -> new StartTimeFairQueue());
 		if (this.chargedCosts.remove(info.requestId()) != null) {
-			lane.onFinished(nowNanos, info.workspace());
+			queue.onFinished(nowNanos, info.workspace());
 		}
-		final double waitNanos = lane.expectedWaitNanos(info.workspace(), weight(info.workspace()));
+		final double waitNanos = queue.expectedWaitNanos(info.workspace(), weight(info.workspace()));
 		final WorkspaceSpec workspace = this.workspaces.get(info.workspace());
-		final int most = (workspace != null) ? Math.min(workspace.queuedRequests(), this.maxRequests)
+		final int maxQueued = (workspace != null) ? Math.min(workspace.queuedRequests(), this.maxRequests)
 				: this.maxRequests;
-		if (this.queuedCounts.getOrDefault(info.workspace(), 0) >= most || this.queuedById.size() >= this.maxRequests) {
+		if (this.queuedCounts.getOrDefault(info.workspace(), 0) >= maxQueued
+				|| this.queuedById.size() >= this.maxRequests) {
 			return Optional.of(refusal(ErrorKind.QUEUE_FULL, info, waitNanos));
 		}
 		final long budgetNanos = info.firstTokenDeadlineNanos() - nowNanos;
-		final double allowedNanos = lane.allowedWaitNanos(nowNanos, info.workspace(), budgetNanos)
-				- lane.expectedFirstTokenNanos(budgetNanos);
+		final double allowedNanos = queue.allowedWaitNanos(nowNanos, info.workspace(), budgetNanos)
+				- queue.expectedFirstTokenNanos(budgetNanos);
 		if (waitNanos > 0 && waitNanos > allowedNanos) {
 			return Optional.of(refusal(ErrorKind.DEADLINE_UNREACHABLE, info, waitNanos - allowedNanos));
 		}
-		add(nowNanos, info, lane);
+		add(nowNanos, info, queue);
 		return Optional.empty();
 	}
 
-	private void add(long nowNanos, RequestInfo info, StartTimeFairQueue lane) {
+	private void add(long nowNanos, RequestInfo info, StartTimeFairQueue queue) {
 		final QueuedRequest entry = new QueuedRequest(info, this.nextSequence++, nowNanos,
 				cost(info, this.outputLengths.estimateTokens(info)));
 		this.queuedById.put(info.requestId(), entry);
 		this.queuedCounts.merge(info.workspace(), 1, Integer::sum);
-		lane.add(nowNanos, entry, weight(info.workspace()));
+		queue.add(nowNanos, entry, weight(info.workspace()));
 	}
 
 	private static Refusal refusal(ErrorKind kind, RequestInfo info, double waitNanos) {
@@ -124,11 +128,11 @@
 
 	@Override
 	public Optional<RequestInfo> poll(long nowNanos, ToIntFunction<RequestInfo> freeSlots) {
-		for (final StartTimeFairQueue lane : this.queues.values()) {
-			// All requests of a lane can be placed at the same targets, so its head is
-			// asked for all: a full model costs one question and not one a request.
-			final QueuedRequest next = lane.isEmpty() ? null
-					: lane.dispatch(nowNanos, freeSlots.applyAsInt(lane.head().info()), this.order, this::weight);
+		for (final StartTimeFairQueue queue : this.queues.values()) {
+			// All requests of a queue can be placed at the same targets, so that the free
+			// slots are looked up once for the queue and not for each request.
+			final QueuedRequest next = queue.isEmpty() ? null
+					: queue.dispatch(nowNanos, freeSlots.applyAsInt(queue.head().info()), this.order, this::weight);
 			if (next != null) {
 				unregister(next);
 				this.chargedCosts.put(next.info().requestId(), next.cost());
@@ -149,10 +153,10 @@
 			return List.of();
 		}
 		final List<RequestInfo> expired = new ArrayList<>();
-		for (final StartTimeFairQueue lane : this.queues.values()) {
-			for (final QueuedRequest late : lane.expired(nowNanos)) {
-				remove(late.info().requestId());
-				expired.add(late.info());
+		for (final StartTimeFairQueue queue : this.queues.values()) {
+			for (final QueuedRequest request : queue.expired(nowNanos)) {
+				remove(request.info().requestId());
+				expired.add(request.info());
 			}
 		}
 		return expired;
@@ -169,25 +173,25 @@
 
 	@Override
 	public void onFirstToken(long nowNanos, RequestInfo info, long sinceStartNanos) {
-		final StartTimeFairQueue lane = this.queues.get(queueName(info));
-		if (lane != null) {
-			lane.onFirstToken(sinceStartNanos);
+		final StartTimeFairQueue queue = this.queues.get(queueName(info));
+		if (queue != null) {
+			queue.onFirstToken(sinceStartNanos);
 		}
 	}
 
 	@Override
 	public void onEnded(long nowNanos, RequestInfo info, boolean complete, int outputTokens, long sinceStartNanos) {
-		final Double charged = this.chargedCosts.remove(info.requestId());
-		final StartTimeFairQueue lane = this.queues.get(queueName(info));
-		if (charged == null || lane == null) {
+		final Double chargedCost = this.chargedCosts.remove(info.requestId());
+		final StartTimeFairQueue queue = this.queues.get(queueName(info));
+		if (chargedCost == null || queue == null) {
 			return;
 		}
-		lane.onFinished(nowNanos, info.workspace());
+		queue.onFinished(nowNanos, info.workspace());
 		if (complete) {
 			this.outputLengths.addSample(info, outputTokens);
 			final double cost = cost(info, outputTokens);
-			lane.onCompleted(info.workspace(), cost, sinceStartNanos);
-			lane.adjustCharge(info.workspace(), cost - charged, weight(info.workspace()));
+			queue.onCompleted(info.workspace(), cost, sinceStartNanos);
+			queue.adjustCharge(info.workspace(), cost - chargedCost, weight(info.workspace()));
 		}
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/FifoQueue.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/FifoQueue.java
@@ -14,7 +14,7 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * First come, first served over all workspaces; the baseline without fairness.
+ * A first-come, first-served queue over all workspaces; the baseline without fairness.
  */
 public final class FifoQueue implements QueuePolicy {
 
@@ -26,7 +26,7 @@
 
 	/**
 	 * Creates an empty queue.
-	 * @param maxRequests how many requests may wait
+	 * @param maxRequests the bound on queued requests
 	 */
 	public FifoQueue(int maxRequests) {
 		this.maxRequests = maxRequests;
@@ -34,7 +34,7 @@
 
 	@Override
 	public void configure(Manifest manifest) {
-		// The bound is fixed and there are no weights.
+		// The bound is fixed, and workspaces have no weights.
 	}
 
 	@Override
@@ -63,11 +63,11 @@
 	public List<RequestInfo> expire(long nowNanos) {
 		final List<RequestInfo> expired = new ArrayList<>();
 		this.waiting.removeIf((info) -> {
-			final boolean late = nowNanos >= info.firstTokenDeadlineNanos();
-			if (late) {
+			final boolean isExpired = nowNanos >= info.firstTokenDeadlineNanos();
+			if (isExpired) {
 				expired.add(info);
 			}
-			return late;
+			return isExpired;
 		});
 		return expired;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/Flow.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/Flow.java
@@ -6,13 +6,14 @@
 /**
  * The requests of one workspace that wait for one model or service.
  * <p>
- * A queue that never empties adds its length to every wait and carries nothing more. So
- * it is watched for how long its head has waited: a burst may use the whole deadline, but
- * once the head was late for a while, the queue takes no more than a short wait.
+ * A standing queue, which never drains, adds its length to the wait of every request
+ * without raising throughput. The wait of the dispatched requests is therefore monitored:
+ * a burst may use the whole deadline, but once requests have been dispatched late for a
+ * while, the flow accepts only requests with a short expected wait.
  */
 final class Flow {
 
-	/** Who goes first between workspaces. */
+	/** The order in which workspaces are served. */
 	static final Comparator<Flow> BY_START_TAG = Comparator.comparingDouble((Flow flow) -> flow.startTag)
 		.thenComparing((flow) -> flow.workspace);
 
@@ -43,10 +44,13 @@
 
 	private long lateSinceNanos;
 
-	/** A queue whose head waited less than this part of its deadline stands no more. */
+	/**
+	 * The part of its deadline below which the wait of a dispatched request shows that
+	 * the queue no longer stands.
+	 */
 	private static final double DRAINED_WAIT_RATIO = 0.05;
 
-	/** The time over which demand is averaged. */
+	/** The time constant of the demand average. */
 	private static final double DEMAND_WINDOW_NANOS = 10e9;
 
 	private static final double SAMPLE_WEIGHT = 0.1;
@@ -56,7 +60,7 @@
 	}
 
 	/**
-	 * Averages how many requests of the workspace want to run at once.
+	 * Updates the average number of requests of the workspace that run or wait to run.
 	 * @param nowNanos the monotonic time
 	 */
 	void updateDemand(long nowNanos) {
@@ -65,9 +69,9 @@
 	}
 
 	/**
-	 * Returns the mean number of requests that want to run at once.
+	 * Returns the average number of requests of the workspace that run or wait to run.
 	 * @param nowNanos the monotonic time
-	 * @return the mean over the last seconds
+	 * @return the exponentially weighted average over about ten seconds
 	 */
 	double demand(long nowNanos) {
 		final double wanted = this.running + this.queue.size();
@@ -80,17 +84,17 @@
 	}
 
 	/**
-	 * Returns how long one request of the workspace holds a slot.
+	 * Returns how long a request of the workspace holds a slot.
 	 * @return the mean, in nanoseconds; 0 where it is not known
 	 */
 	double meanServiceNanos() {
 		return this.meanServiceNanos;
 	}
 
-	void onDispatch(long nowNanos, QueuedRequest waiting) {
-		final long budgetNanos = waiting.info().firstTokenDeadlineNanos() - waiting.queuedAtNanos();
-		final boolean late = nowNanos - waiting.queuedAtNanos() > STANDING_WAIT_RATIO * budgetNanos;
-		if (nowNanos - waiting.queuedAtNanos() < DRAINED_WAIT_RATIO * budgetNanos) {
+	void onDispatch(long nowNanos, QueuedRequest request) {
+		final long budgetNanos = request.info().firstTokenDeadlineNanos() - request.queuedAtNanos();
+		final boolean late = nowNanos - request.queuedAtNanos() > STANDING_WAIT_RATIO * budgetNanos;
+		if (nowNanos - request.queuedAtNanos() < DRAINED_WAIT_RATIO * budgetNanos) {
 			this.lateSinceNanos = 0;
 		}
 		else if (late && this.lateSinceNanos == 0) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
@@ -3,27 +3,30 @@
 import java.util.NavigableSet;
 
 /**
- * Who can still be served on time goes before those who cannot.
+ * Dispatches requests that can still be served on time before those that cannot.
  * <p>
- * Made for the seconds after half of the groups were lost, in which more comes than is
- * served. By deadline alone those who have waited longest go next, so that everybody is
- * served, and everybody late. An answer that comes late is worth a fraction of one on
- * time to its caller, while those who are late already lose little by waiting on.
+ * After the loss of half of the groups, more requests arrive than are served for some
+ * seconds. In the order of deadlines, those that have waited longest go next, so that all
+ * requests are served and all are late. To its caller, a late answer is worth a fraction
+ * of one on time, whereas a request that is late already loses little by waiting longer.
  */
 public final class OnTimeFirstOrder implements QueueOrder {
 
-	/** Bounds the search where hundreds are late; they go by deadline then. */
+	/**
+	 * The bound on requests that are examined where hundreds are late; beyond it the
+	 * deadline decides.
+	 */
 	private static final int MAX_SCANNED = 128;
 
 	@Override
 	public QueuedRequest next(long nowNanos, long firstTokenNanos, NavigableSet<QueuedRequest> queue) {
-		int looked = 0;
-		for (final QueuedRequest waiting : queue) {
-			if (nowNanos + firstTokenNanos <= waiting.info().onTimeNanos()) {
-				return waiting;
+		int scanned = 0;
+		for (final QueuedRequest request : queue) {
+			if (nowNanos + firstTokenNanos <= request.info().onTimeNanos()) {
+				return request;
 			}
-			looked++;
-			if (looked >= MAX_SCANNED) {
+			scanned++;
+			if (scanned >= MAX_SCANNED) {
 				break;
 			}
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OutputLengthEstimator.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OutputLengthEstimator.java
@@ -6,12 +6,13 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Learns how long the answers of each workspace and model turn out.
+ * Estimates the output length of requests from completed requests of the same workspace
+ * and model.
  * <p>
- * Made for callers that all ask for the same large maximum and use little of it: charged
- * by the maximum, a workspace with short answers would get a fraction of its share. One
- * mean is kept for each power of two of the maximum, since callers with short and long
- * work in one workspace mostly differ there; that also bounds the memory.
+ * Many callers ask for a large maximum and use little of it. If requests were charged by
+ * the maximum, a workspace with short answers would get a fraction of its share. A
+ * separate mean is kept for each power of two of the maximum, since short and long
+ * requests of a workspace mostly differ there; this also bounds the memory.
  */
 final class OutputLengthEstimator {
 
@@ -23,8 +24,8 @@
 
 	double estimateTokens(RequestInfo info) {
 		final Mean mean = this.means.get(Key.of(info));
-		final double guess = info.maxOutputTokens() * INITIAL_RATIO;
-		return Math.max(1, Math.min(info.maxOutputTokens(), (mean != null) ? mean.tokens : guess));
+		final double initialTokens = info.maxOutputTokens() * INITIAL_RATIO;
+		return Math.max(1, Math.min(info.maxOutputTokens(), (mean != null) ? mean.tokens : initialTokens));
 	}
 
 	void addSample(RequestInfo info, int outputTokens) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueueOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueueOrder.java
@@ -3,16 +3,15 @@
 import java.util.NavigableSet;
 
 /**
- * Which request of a workspace goes next.
+ * The order in which the requests of a workspace are dispatched.
  */
 public interface QueueOrder {
 
 	/**
-	 * Chooses a request.
+	 * Chooses the next request.
 	 * @param nowNanos the monotonic time
-	 * @param firstTokenNanos how long a request waits at its target for its first token,
-	 * on average
-	 * @param queue the requests that wait, by priority and then by deadline; at least one
+	 * @param firstTokenNanos the mean time from dispatch to the first token
+	 * @param queue the queued requests, by priority and then by deadline; never empty
 	 * @return one of them
 	 */
 	QueuedRequest next(long nowNanos, long firstTokenNanos, NavigableSet<QueuedRequest> queue);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueuePolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueuePolicy.java
@@ -9,69 +9,70 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Holds the requests that wait for a target and says who goes next.
+ * A policy that holds the requests that wait for a target and decides which one is
+ * dispatched next.
  */
 public interface QueuePolicy {
 
 	/**
-	 * Takes over the weights and bounds of a manifest.
+	 * Applies the weights and bounds of a manifest.
 	 * @param manifest the manifest in force
 	 */
 	void configure(Manifest manifest);
 
 	/**
-	 * Adds a request, or refuses it.
+	 * Queues a request or refuses it.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @return the refusal; empty where the request waits
+	 * @return the refusal; empty where the request was queued
 	 */
 	Optional<Refusal> offer(long nowNanos, RequestInfo info);
 
 	/**
-	 * Takes the next request that can be placed.
+	 * Removes the next request that can be placed.
 	 * @param nowNanos the monotonic time
-	 * @param freeSlots how many requests like this one could start now
+	 * @param freeSlots returns how many requests like the given one could start now
 	 * @return the request, if there is one
 	 */
 	Optional<RequestInfo> poll(long nowNanos, ToIntFunction<RequestInfo> freeSlots);
 
 	/**
-	 * Takes the requests out that cannot be started in time any more.
+	 * Removes the requests that can no longer be started in time.
 	 * @param nowNanos the monotonic time
-	 * @return those requests
+	 * @return the removed requests
 	 */
 	List<RequestInfo> expire(long nowNanos);
 
 	/**
-	 * Takes a request out.
+	 * Removes a request; does nothing where it is not queued.
 	 * @param requestId the request
 	 */
 	void remove(long requestId);
 
 	/**
-	 * Notes the first token of a request that left the queue.
+	 * Handles the first token of a request that was dispatched.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
-	 * @param sinceStartNanos how long its target took
+	 * @param sinceStartNanos the time since its attempt started
 	 */
 	default void onFirstToken(long nowNanos, RequestInfo info, long sinceStartNanos) {
-		// A queue without deadlines learns nothing from it.
+		// Only queues that refuse requests by deadline use the time to the first token.
 	}
 
 	/**
-	 * Notes the end of a request, whether it left the queue before or not.
+	 * Handles the end of a request, whether it was dispatched or not.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 * @param complete whether it was answered in full
-	 * @param outputTokens the tokens that it generated
-	 * @param sinceStartNanos how long its last attempt took
+	 * @param outputTokens the number of tokens that it generated
+	 * @param sinceStartNanos the duration of its last attempt
 	 */
 	default void onEnded(long nowNanos, RequestInfo info, boolean complete, int outputTokens, long sinceStartNanos) {
-		// A queue without costs learns nothing from it.
+		// Only queues that charge for requests use their actual cost.
 	}
 
 	/**
-	 * Returns how many requests wait.
+	 * Returns the number of queued requests.
 	 * @return the number of requests
 	 */
 	int size();
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueuedRequest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueuedRequest.java
@@ -5,24 +5,24 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * One request in the queue.
+ * A request in the queue.
  *
  * @param info the request
- * @param sequence rises with each request, so that no two are equal
- * @param queuedAtNanos when it came, by the monotonic clock
- * @param cost its estimated cost, in output tokens
+ * @param sequence the arrival number, which differs for all requests
+ * @param queuedAtNanos the monotonic time of its arrival
+ * @param cost the estimated cost, in output tokens
  */
 public record QueuedRequest(RequestInfo info, long sequence, long queuedAtNanos, double cost) {
 
-	/** Who goes first within a workspace. */
+	/** The order of requests within a workspace: by priority, then by deadline. */
 	static final Comparator<QueuedRequest> BY_URGENCY = Comparator
-		.comparingInt((QueuedRequest waiting) -> -waiting.info.priority())
-		.thenComparingLong((waiting) -> waiting.info.firstTokenDeadlineNanos())
+		.comparingInt((QueuedRequest request) -> -request.info.priority())
+		.thenComparingLong((request) -> request.info.firstTokenDeadlineNanos())
 		.thenComparingLong(QueuedRequest::sequence);
 
-	/** Who is late first. */
+	/** The order in which requests miss their deadlines. */
 	static final Comparator<QueuedRequest> BY_DEADLINE = Comparator
-		.comparingLong((QueuedRequest waiting) -> waiting.info.firstTokenDeadlineNanos())
+		.comparingLong((QueuedRequest request) -> request.info.firstTokenDeadlineNanos())
 		.thenComparingLong(QueuedRequest::sequence);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/StartTimeFairQueue.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/StartTimeFairQueue.java
@@ -9,16 +9,16 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The queue before one model or service, fair between workspaces by start-time fair
- * queueing.
+ * The queue of one model or service, which is shared between workspaces by start-time
+ * fair queueing.
  * <p>
- * A workspace's next request starts, in virtual time, where its last one ended; the one
- * that starts first goes first. One that was idle starts at the present, so it goes next
- * and has saved up nothing.
+ * A workspace's next request starts, in virtual time, where its previous one finished,
+ * and the workspace with the earliest start goes next. A workspace that was idle starts
+ * at the current virtual time: it goes next, but has not accumulated credit.
  */
 final class StartTimeFairQueue {
 
-	/** Work that holds a slot for longer is not to fill all slots. */
+	/** The service time from which requests may not occupy all slots. */
 	private static final double LONG_SERVICE_NANOS = 10e9;
 
 	private static final double SERVED_DECAY_RATIO = 0.98;
@@ -27,7 +27,9 @@
 
 	private static final double DEVIATION_FACTOR = 2;
 
-	/** The part of a deadline that is kept for the first token at most. */
+	/**
+	 * The largest part of a deadline that is reserved for the time to the first token.
+	 */
 	private static final double MAX_FIRST_TOKEN_RATIO = 0.5;
 
 	private final Map<String, Flow> flows = new HashMap<>();
@@ -69,19 +71,19 @@
 		return (flow != null) ? flow.queue.size() : 0;
 	}
 
-	void add(long nowNanos, QueuedRequest waiting, double weight) {
-		final Flow flow = this.flows.computeIfAbsent(waiting.info().workspace(), Flow::new);
+	void add(long nowNanos, QueuedRequest request, double weight) {
+		final Flow flow = this.flows.computeIfAbsent(request.info().workspace(), Flow::new);
 		if (flow.queue.isEmpty()) {
 			flow.startTag = Math.max(this.virtualTime, flow.finishTag);
 			this.backlogged.add(flow);
 			this.backloggedWeight += weight;
 		}
 		flow.updateDemand(nowNanos);
-		flow.lastQueuedCost = waiting.cost();
-		flow.queue.add(waiting);
-		flow.queuedCost += waiting.cost();
-		this.backloggedCost += waiting.cost();
-		this.byDeadline.add(waiting);
+		flow.lastQueuedCost = request.cost();
+		flow.queue.add(request);
+		flow.queuedCost += request.cost();
+		this.backloggedCost += request.cost();
+		this.byDeadline.add(request);
 	}
 
 	QueuedRequest head() {
@@ -89,11 +91,11 @@
 	}
 
 	/**
-	 * Takes the next request out.
+	 * Removes the next request that may start.
 	 * @param nowNanos the monotonic time
-	 * @param freeSlots how many could start now
-	 * @param order who goes first within a workspace
-	 * @param weights the weights of workspaces
+	 * @param freeSlots the number of requests that could start now
+	 * @param order the order of requests within a workspace
+	 * @param weights the weights of the workspaces
 	 * @return the request; null where none may start
 	 */
 	QueuedRequest dispatch(long nowNanos, int freeSlots, QueueOrder order, ToDoubleFunction<String> weights) {
@@ -112,13 +114,13 @@
 	private QueuedRequest dispatch(long nowNanos, Flow flow, QueueOrder order, double weight) {
 		this.backlogged.remove(flow);
 		flow.updateDemand(nowNanos);
-		final QueuedRequest waiting = order.next(nowNanos, (long) this.firstTokenMeanNanos, flow.queue);
-		flow.queue.remove(waiting);
+		final QueuedRequest request = order.next(nowNanos, (long) this.firstTokenMeanNanos, flow.queue);
+		flow.queue.remove(request);
 		this.virtualTime = Math.max(this.virtualTime, flow.startTag);
-		flow.finishTag = flow.startTag + waiting.cost() / weight;
+		flow.finishTag = flow.startTag + request.cost() / weight;
 		flow.startTag = flow.finishTag;
-		flow.onDispatch(nowNanos, waiting);
-		subtractFromTotals(flow, waiting);
+		flow.onDispatch(nowNanos, request);
+		subtractFromTotals(flow, request);
 		if (flow.queue.isEmpty()) {
 			this.backloggedWeight -= weight;
 		}
@@ -127,31 +129,32 @@
 		}
 		flow.running++;
 		this.running++;
-		return waiting;
+		return request;
 	}
 
-	void remove(QueuedRequest waiting, double weight) {
-		final Flow flow = this.flows.get(waiting.info().workspace());
-		if (flow == null || !flow.queue.remove(waiting)) {
+	void remove(QueuedRequest request, double weight) {
+		final Flow flow = this.flows.get(request.info().workspace());
+		if (flow == null || !flow.queue.remove(request)) {
 			return;
 		}
-		subtractFromTotals(flow, waiting);
+		subtractFromTotals(flow, request);
 		if (flow.queue.isEmpty()) {
 			this.backlogged.remove(flow);
 			this.backloggedWeight -= weight;
 		}
 	}
 
-	private void subtractFromTotals(Flow flow, QueuedRequest waiting) {
-		flow.queuedCost = flow.queue.isEmpty() ? 0 : flow.queuedCost - waiting.cost();
-		this.byDeadline.remove(waiting);
-		this.backloggedCost = this.byDeadline.isEmpty() ? 0 : this.backloggedCost - waiting.cost();
+	private void subtractFromTotals(Flow flow, QueuedRequest request) {
+		flow.queuedCost = flow.queue.isEmpty() ? 0 : flow.queuedCost - request.cost();
+		this.byDeadline.remove(request);
+		this.backloggedCost = this.byDeadline.isEmpty() ? 0 : this.backloggedCost - request.cost();
 	}
 
 	/**
-	 * Corrects the charge of a request by what it cost in truth.
-	 * @param workspace its workspace
-	 * @param missingCost what it cost more than it was charged; negative where less
+	 * Adjusts the charge of a completed request to its actual cost.
+	 * @param workspace the request's workspace
+	 * @param missingCost the actual cost less the charged cost; negative where the charge
+	 * was too high
 	 * @param weight the workspace's weight
 	 */
 	void adjustCharge(String workspace, double missingCost, double weight) {
@@ -161,7 +164,8 @@
 		}
 		final boolean queued = this.backlogged.remove(flow);
 		flow.finishTag += missingCost / weight;
-		// Never before the present: a workspace must not save up service.
+		// The start never lies before the current virtual time, since a workspace must
+		// not accumulate credit.
 		flow.startTag = Math.max(this.virtualTime, flow.startTag + missingCost / weight);
 		if (queued) {
 			this.backlogged.add(flow);
@@ -196,11 +200,13 @@
 	}
 
 	/**
-	 * Returns how long a new request would wait, by Little's law: what runs at once, over
-	 * the time that a token takes, is the rate at which the queue is served.
-	 * @param workspace its workspace
+	 * Returns how long a new request is expected to wait. By Little's law, the service
+	 * rate of the queue is the number of running requests, divided by the time that they
+	 * take for a unit of cost.
+	 * @param workspace the request's workspace
 	 * @param weight the workspace's weight
-	 * @return the time, in nanoseconds; 0 where nothing waits or nothing is known
+	 * @return the time, in nanoseconds; 0 where no request waits or the service rate is
+	 * not known
 	 */
 	double expectedWaitNanos(String workspace, double weight) {
 		if (this.backlogged.isEmpty() || this.servedCost == 0 || this.running == 0) {
@@ -225,15 +231,15 @@
 	}
 
 	List<QueuedRequest> expired(long nowNanos) {
-		final List<QueuedRequest> late = new ArrayList<>();
-		for (final QueuedRequest waiting : this.byDeadline) {
-			final long deadlineNanos = waiting.info().firstTokenDeadlineNanos();
-			if (nowNanos + expectedFirstTokenNanos(deadlineNanos - waiting.queuedAtNanos()) < deadlineNanos) {
+		final List<QueuedRequest> expired = new ArrayList<>();
+		for (final QueuedRequest request : this.byDeadline) {
+			final long deadlineNanos = request.info().firstTokenDeadlineNanos();
+			if (nowNanos + expectedFirstTokenNanos(deadlineNanos - request.queuedAtNanos()) < deadlineNanos) {
 				break;
 			}
-			late.add(waiting);
+			expired.add(request);
 		}
-		return late;
+		return expired;
 	}
 
 	void retainWorkspaces(Set<String> workspaces) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/queueing/FairQueueTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/queueing/FairQueueTests.java
@@ -31,59 +31,58 @@
 	@BeforeEach
 	void configure() {
 		this.queue.configure(new Manifest(List.of(), List.of(), List.of(),
-				List.of(workspace("chain", 1, 500), workspace("counter", 1, 500), workspace("city", 3, 5)),
+				List.of(workspace("batch", 1, 500), workspace("interactive", 1, 500), workspace("bounded", 3, 5)),
 				WeightSpec.DEFAULT, DeadlineSpec.DEFAULT));
 	}
 
-	// A chain sends hundreds of requests a moment before a shop owner at the counter
-	// sends
-	// one. In order of arrival the owner would wait for all of them.
+	// One workspace queues hundreds of requests a moment before another queues a single
+	// one. In order of arrival, the single request would wait for all of them.
 	@Test
-	void aLightWorkspaceGoesNextThoughAFloodCameBefore() {
+	void aLightWorkspaceGoesNextAfterAFloodOfAnother() {
 		for (int i = 0; i < 300; i++) {
-			offer(0, "chain", 100, 0, 10);
+			offer(0, "batch", 100, 0, 10);
 		}
 		poll(1, 1);
 		poll(2, 1);
-		final RequestInfo light = offer(3, "counter", 100, 0, 10);
+		final RequestInfo light = offer(3, "interactive", 100, 0, 10);
 		assertThat(poll(4, 1)).contains(light);
 	}
 
-	// One workspace asks for answers ten times as long. Counted in requests it would get
-	// ten times the work of the other.
+	// One workspace requests answers ten times as long as those of the other. Counted in
+	// requests, it would get ten times the service.
 	@Test
 	void sharesAreCountedInTokensAndByWeight() {
 		for (int i = 0; i < 200; i++) {
-			offer(0, "chain", 1_000, 0, 100);
-			offer(0, "counter", 100, 0, 100);
+			offer(0, "batch", 1_000, 0, 100);
+			offer(0, "interactive", 100, 0, 100);
 		}
 		final Map<String, Integer> served = new HashMap<>();
 		for (int i = 0; i < 110; i++) {
 			served.merge(poll(1, 1).orElseThrow().workspace(), 1, Integer::sum);
 		}
-		assertThat(served.get("counter")).isBetween(95, 105);
+		assertThat(served.get("interactive")).isBetween(95, 105);
 	}
 
 	@Test
-	void withinAWorkspacePriorityAndThenTheDeadlineDecides() {
-		final RequestInfo late = offer(0, "chain", 10, 0, 9);
-		final RequestInfo soon = offer(0, "chain", 10, 0, 5);
-		final RequestInfo urgent = offer(0, "chain", 10, 7, 9);
+	void withinAWorkspacePriorityAndThenDeadlineDecide() {
+		final RequestInfo late = offer(0, "batch", 10, 0, 9);
+		final RequestInfo soon = offer(0, "batch", 10, 0, 5);
+		final RequestInfo urgent = offer(0, "batch", 10, 7, 9);
 		assertThat(poll(1, 9)).contains(urgent);
 		assertThat(poll(1, 9)).contains(soon);
 		assertThat(poll(1, 9)).contains(late);
 	}
 
-	// At a storm's height the queue holds minutes of work. A caller whose turn would come
-	// after its deadline is told so when it arrives, and when to come back, rather than
-	// after it has waited in vain.
+	// Under overload the queue holds minutes of work. A request that would miss its
+	// deadline must be refused on arrival, with a retry time, rather than after it has
+	// waited in vain.
 	@Test
-	void aRequestThatWouldBeLateIsRefusedAtOnceAndToldWhenToComeBack() {
-		serveOne("chain", 1);
+	void aRequestThatWouldMissItsDeadlineIsRefusedOnArrivalWithARetryTime() {
+		serveOne("batch", 1);
 		Optional<Refusal> refusal = Optional.empty();
 		int accepted = 0;
 		while (refusal.isEmpty()) {
-			refusal = this.queue.offer(2 * SECOND_NANOS, info("chain", 100, 0, 7));
+			refusal = this.queue.offer(2 * SECOND_NANOS, info("batch", 100, 0, 7));
 			accepted++;
 		}
 		assertThat(accepted).isBetween(4, 8);
@@ -94,38 +93,38 @@
 	@Test
 	void aWorkspaceQueuesNoMoreThanItsManifestAllows() {
 		for (int i = 0; i < 5; i++) {
-			offer(0, "city", 10, 0, 10);
+			offer(0, "bounded", 10, 0, 10);
 		}
-		assertThat(this.queue.offer(0, info("city", 10, 0, 10)).map(Refusal::kind)).contains(ErrorKind.QUEUE_FULL);
-		assertThat(this.queue.offer(0, info("chain", 10, 0, 10))).isEmpty();
+		assertThat(this.queue.offer(0, info("bounded", 10, 0, 10)).map(Refusal::kind)).contains(ErrorKind.QUEUE_FULL);
+		assertThat(this.queue.offer(0, info("batch", 10, 0, 10))).isEmpty();
 	}
 
 	@Test
-	void whatCannotStartInTimeLeavesTheQueueOnce() {
-		final RequestInfo info = offer(0, "chain", 10, 0, 5);
+	void anExpiredRequestLeavesTheQueueOnce() {
+		final RequestInfo info = offer(0, "batch", 10, 0, 5);
 		assertThat(this.queue.expire(4 * SECOND_NANOS)).isEmpty();
 		assertThat(this.queue.expire(5 * SECOND_NANOS)).containsExactly(info);
 		assertThat(this.queue.expire(6 * SECOND_NANOS)).isEmpty();
 		assertThat(this.queue.size()).isZero();
 	}
 
-	// Work of 20,000 tokens holds a slot for minutes. If it fills every slot while the
-	// counter is quiet for a moment, the counter waits for minutes too.
+	// Requests of 20,000 tokens hold a slot for minutes. If they took all slots while a
+	// light workspace is idle for a moment, its next request would wait for minutes.
 	@Test
-	void longWorkLeavesTheSlotsThatOthersLatelyUsed() {
+	void longRequestsLeaveFreeTheSlotsThatOthersRecentlyUsed() {
 		for (int second = 0; second < 30; second++) {
-			offer(second, "counter", 100, 0, 600);
+			offer(second, "interactive", 100, 0, 600);
 		}
 		for (int i = 0; i < 30; i++) {
 			poll(30, 40 - i);
 		}
-		offer(30, "chain", 40_000, 0, 600);
+		offer(30, "batch", 40_000, 0, 600);
 		poll(30, 10);
-		this.queue.onEnded(60 * SECOND_NANOS, info(this.nextId - 1, "chain", 40_000, 0, 600), true, 20_000,
+		this.queue.onEnded(60 * SECOND_NANOS, info(this.nextId - 1, "batch", 40_000, 0, 600), true, 20_000,
 				30 * SECOND_NANOS);
 		int started = 0;
 		for (int i = 0; i < 40; i++) {
-			offer(60, "chain", 40_000, 0, 600);
+			offer(60, "batch", 40_000, 0, 600);
 		}
 		while (poll(60, 40 - started).isPresent()) {
 			started++;
@@ -156,7 +155,7 @@
 	}
 
 	private static RequestInfo info(long id, String workspace, int maxTokens, int priority, long deadlineSeconds) {
-		return new RequestInfo(id, workspace, TargetKind.MODEL, "sign-copy", 1, maxTokens, priority,
+		return new RequestInfo(id, workspace, TargetKind.MODEL, "model", 1, maxTokens, priority,
 				deadlineSeconds * SECOND_NANOS, 600 * SECOND_NANOS, true, ClaimNeed.NONE, "", List.of());
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/queueing/OnTimeFirstOrderTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/queueing/OnTimeFirstOrderTests.java
@@ -13,8 +13,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Load: half of the groups are gone, and for some seconds a fifth more comes than is
- * served.
+ * Tests the order under overload: for some seconds a fifth more requests arrive than are
+ * served, as after the loss of half of the groups.
  */
 class OnTimeFirstOrderTests {
 
@@ -26,14 +26,14 @@
 
 	private static final int SECONDS = 4;
 
-	private static final int ARRIVALS_A_SECOND = 120;
+	private static final int ARRIVALS_PER_SECOND = 120;
 
-	private static final int SERVED_A_SECOND = 100;
+	private static final int SERVED_PER_SECOND = 100;
 
 	private long nextId = 1;
 
 	private RequestInfo request(long nowNanos) {
-		return new RequestInfo(this.nextId++, "shop", TargetKind.MODEL, "pool/small", 100, 50, 0,
+		return new RequestInfo(this.nextId++, "workspace", TargetKind.MODEL, "pool/small", 100, 50, 0,
 				nowNanos + DEADLINE_NANOS, nowNanos + 2 * DEADLINE_NANOS, true, ClaimNeed.NONE, "", List.of(), 2,
 				nowNanos + ON_TIME_NANOS);
 	}
@@ -43,10 +43,10 @@
 		int onTime = 0;
 		for (int milli = 0; milli < SECONDS * 1_000; milli++) {
 			final long nowNanos = milli * MILLI_NANOS;
-			if (milli * ARRIVALS_A_SECOND / 1_000 != (milli + 1) * ARRIVALS_A_SECOND / 1_000) {
+			if (milli * ARRIVALS_PER_SECOND / 1_000 != (milli + 1) * ARRIVALS_PER_SECOND / 1_000) {
 				assertThat(queue.offer(nowNanos, request(nowNanos))).isEmpty();
 			}
-			if (milli % (1_000 / SERVED_A_SECOND) == 0) {
+			if (milli % (1_000 / SERVED_PER_SECOND) == 0) {
 				final Optional<RequestInfo> next = queue.poll(nowNanos, (info) -> 1);
 				onTime += next.filter((info) -> nowNanos <= info.onTimeNanos()).isPresent() ? 1 : 0;
 			}
@@ -55,18 +55,18 @@
 	}
 
 	/**
-	 * More comes than is served. In the order of deadlines everybody waits a little
-	 * longer than the one before, and after two seconds everybody is late.
+	 * In the order of deadlines every request waits a little longer than the one before,
+	 * so that after two seconds all are late.
 	 */
 	@Test
-	void mostAreServedOnTimeThoughMoreComesThanIsServed() {
-		final int served = SECONDS * SERVED_A_SECOND;
+	void mostAreServedOnTimeUnderOverload() {
+		final int served = SECONDS * SERVED_PER_SECOND;
 		assertThat(servedOnTime(new OnTimeFirstOrder())).isGreaterThan(served * 9 / 10);
 		assertThat(servedOnTime(new DeadlineOrder())).isLessThan(served * 6 / 10);
 	}
 
 	@Test
-	void thoseWhoAreLateGoByTheirDeadlineWhenNobodyElseWaits() {
+	void lateRequestsGoByDeadlineWhenNoOthersWait() {
 		final FairQueue queue = new FairQueue(1_000, new OnTimeFirstOrder());
 		final List<RequestInfo> offered = new ArrayList<>();
 		for (int i = 0; i < 3; i++) {
