--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/AdmissionPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/AdmissionPolicy.java
@@ -7,19 +7,19 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Decides whether a request may enter.
+ * A policy that decides whether a request is admitted.
  */
 public interface AdmissionPolicy {
 
 	/**
-	 * Takes over the limits of a manifest.
+	 * Applies the limits of a manifest.
 	 * @param nowNanos the monotonic time
 	 * @param manifest the manifest in force
 	 */
 	void configure(long nowNanos, Manifest manifest);
 
 	/**
-	 * Admits a request and counts it, or refuses it.
+	 * Admits a request and counts it against its workspace's limits, or refuses it.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 * @return the refusal; empty where the request is admitted
@@ -27,26 +27,26 @@
 	Optional<Refusal> admit(long nowNanos, RequestInfo info);
 
 	/**
-	 * Takes over this daemon's shares of the limits.
+	 * Sets this daemon's shares of the limits.
 	 * @param nowNanos the monotonic time
 	 * @param shareRatios the share of each workspace's limits, by workspace; 1 where a
 	 * workspace is absent
 	 */
 	default void updateShares(long nowNanos, Map<String, Double> shareRatios) {
-		// Without limits there are no shares.
+		// Policies without limits have no shares.
 	}
 
 	/**
-	 * Returns the demand for which this daemon wants its shares.
+	 * Returns this daemon's recent demand, by which its shares are determined.
 	 * @param nowNanos the monotonic time
-	 * @return the requests a second that came lately, by workspace
+	 * @return the requests per second that arrived recently, by workspace
 	 */
 	default Map<String, Double> demand(long nowNanos) {
 		return Map.of();
 	}
 
 	/**
-	 * Gives back what an admitted request held.
+	 * Releases what an admitted request holds, when it ends.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 */
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/AdmitAll.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/AdmitAll.java
@@ -6,13 +6,13 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Admits every request; the baseline without limits.
+ * Admits all requests; the baseline without limits.
  */
 public final class AdmitAll implements AdmissionPolicy {
 
 	@Override
 	public void configure(long nowNanos, Manifest manifest) {
-		// There is nothing to configure.
+		// There are no limits to apply.
 	}
 
 	@Override
@@ -22,7 +22,7 @@
 
 	@Override
 	public void release(long nowNanos, RequestInfo info) {
-		// There is nothing to give back.
+		// Admitted requests are not counted.
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/LimitShares.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/LimitShares.java
@@ -7,21 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * Divides each workspace's limits between the daemons by their demand.
+ * Divides the limits of each workspace between the daemons by their demand.
  * <p>
- * Made for callers that keep to one address for long: with equal parts, a workspace whose
- * callers all sit at one of eight daemons would be refused at an eighth of its limit. A
- * fifth is divided equally, so that a daemon can admit the first requests of a workspace
- * that is new to it; the rest follows the demand that daemons tell each other. The part
- * of a daemon that is silent, and that did not say it leaves, stays set aside until it is
- * forgotten: it may be alive behind a cut and use that part. A share falls at once but
- * rises only after the hold time, when the others have heard of the demand and have given
- * way; so all shares together stay within {@link #MAX_TOTAL_RATIO} of the limit while
- * messages take less than the hold time.
+ * Callers keep to one address for long. With equal shares, a workspace whose callers are
+ * all connected to one of eight daemons would be refused at an eighth of its limit. A
+ * fifth of each limit is divided equally, so that a daemon can admit the first requests
+ * of a workspace that is new to it; the rest follows the demand that the daemons report
+ * to each other. The share of a daemon that has fallen silent without announcing that it
+ * leaves remains reserved until the daemon expires, since it may be alive behind a
+ * network partition and use its share. A share decreases at once but increases only after
+ * a delay, by which the other daemons have received the demand and reduced their shares.
+ * The sum of all shares therefore stays within {@link #MAX_TOTAL_RATIO} of the limit
+ * while messages take less than this delay.
  */
 public final class LimitShares {
 
-	/** The most that all daemons' shares of one limit come to, by the tests. */
+	/**
+	 * The bound on the sum of all daemons' shares of one limit, which the tests check.
+	 */
 	public static final double MAX_TOTAL_RATIO = 1.25;
 
 	private static final double EQUALLY_DIVIDED_RATIO = 0.2;
@@ -41,10 +44,12 @@
 	private Map<String, Double> demand = Map.of();
 
 	/**
-	 * Creates shares for a daemon that knows no other.
-	 * @param silenceTimeoutNanos after which a peer counts as silent
-	 * @param expiryNanos after which a silent peer's part is given to the others
-	 * @param increaseDelayNanos how long a rise is held back
+	 * Creates the shares of a daemon that knows no other daemon.
+	 * @param silenceTimeoutNanos the time without a report after which a peer counts as
+	 * silent
+	 * @param expiryNanos the time without a report after which the share of a silent peer
+	 * is divided between the others
+	 * @param increaseDelayNanos the delay before a share increases
 	 */
 	public LimitShares(long silenceTimeoutNanos, long expiryNanos, long increaseDelayNanos) {
 		this.silenceTimeoutNanos = silenceTimeoutNanos;
@@ -53,19 +58,19 @@
 	}
 
 	/**
-	 * Takes over this daemon's own demand.
-	 * @param ownDemand the demand of each workspace here, in any one unit
+	 * Sets this daemon's own demand.
+	 * @param ownDemand the demand of each workspace, in the same unit on all daemons
 	 */
 	public void onDemand(Map<String, Double> ownDemand) {
 		this.demand = Map.copyOf(ownDemand);
 	}
 
 	/**
-	 * Takes word of a peer.
+	 * Handles a demand report of a peer.
 	 * @param nowNanos the monotonic time
 	 * @param daemonId the peer
-	 * @param leaving whether it is about to stop
-	 * @param peerDemand the demand of each workspace there
+	 * @param leaving whether the peer is about to stop
+	 * @param peerDemand the demand of each workspace at the peer
 	 */
 	public void onPeerDemand(long nowNanos, String daemonId, boolean leaving, Map<String, Double> peerDemand) {
 		if (leaving) {
@@ -77,17 +82,18 @@
 	}
 
 	/**
-	 * Takes word that a peer is alive, without its demand.
+	 * Handles the news that a peer is alive, without its demand.
 	 * @param nowNanos the monotonic time
 	 * @param daemonId the peer
 	 */
 	public void onPeerAlive(long nowNanos, String daemonId) {
-		// Its part is set aside until it tells its demand itself.
+		// The peer counts as silent, so that its share is reserved, until it reports its
+		// demand itself.
 		this.peers.putIfAbsent(daemonId, new Peer(nowNanos - this.silenceTimeoutNanos - 1, Map.of()));
 	}
 
 	/**
-	 * Works out this daemon's share of each workspace's limits.
+	 * Computes this daemon's share of each workspace's limits.
 	 * @param nowNanos the monotonic time
 	 * @param workspaces the workspaces
 	 * @return the share of each workspace
@@ -110,18 +116,19 @@
 	}
 
 	private double desiredShareRatio(String workspace, List<Peer> live, int count) {
-		final double own = this.demand.getOrDefault(workspace, 0.0) + MIN_DEMAND;
-		double all = own;
+		final double localDemand = this.demand.getOrDefault(workspace, 0.0) + MIN_DEMAND;
+		double totalDemand = localDemand;
 		for (final Peer peer : live) {
-			all += peer.demand().getOrDefault(workspace, 0.0) + MIN_DEMAND;
+			totalDemand += peer.demand().getOrDefault(workspace, 0.0) + MIN_DEMAND;
 		}
 		final double reachableRatio = (live.size() + 1.0) / count;
-		return EQUALLY_DIVIDED_RATIO / count + (1 - EQUALLY_DIVIDED_RATIO) * reachableRatio * own / all;
+		return EQUALLY_DIVIDED_RATIO / count + (1 - EQUALLY_DIVIDED_RATIO) * reachableRatio * localDemand / totalDemand;
 	}
 
-	private double delayIncrease(long nowNanos, String workspace, double target) {
-		final DelayedIncrease rise = this.increases.computeIfAbsent(workspace, (key) -> new DelayedIncrease(target));
-		return rise.next(nowNanos, target, this.increaseDelayNanos);
+	private double delayIncrease(long nowNanos, String workspace, double desiredRatio) {
+		final DelayedIncrease increase = this.increases.computeIfAbsent(workspace,
+				(key) -> new DelayedIncrease(desiredRatio));
+		return increase.next(nowNanos, desiredRatio, this.increaseDelayNanos);
 	}
 
 	private record Peer(long heardAtNanos, Map<String, Double> demand) {
@@ -140,22 +147,22 @@
 			this.pending = share;
 		}
 
-		// What is granted after the hold time is the least that was due all the time.
-		double next(long nowNanos, double target, long holdNanos) {
-			if (target <= this.share) {
-				this.share = target;
-				this.pending = target;
+		// The share granted after the delay is the smallest one desired during the delay.
+		double next(long nowNanos, double desiredRatio, long delayNanos) {
+			if (desiredRatio <= this.share) {
+				this.share = desiredRatio;
+				this.pending = desiredRatio;
 				this.pendingSinceNanos = nowNanos;
 				return this.share;
 			}
 			if (this.pending <= this.share) {
-				this.pending = target;
+				this.pending = desiredRatio;
 				this.pendingSinceNanos = nowNanos;
 			}
-			this.pending = Math.min(this.pending, target);
-			if (nowNanos - this.pendingSinceNanos >= holdNanos) {
+			this.pending = Math.min(this.pending, desiredRatio);
+			if (nowNanos - this.pendingSinceNanos >= delayNanos) {
 				this.share = this.pending;
-				this.pending = target;
+				this.pending = desiredRatio;
 				this.pendingSinceNanos = nowNanos;
 			}
 			return this.share;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/WorkspaceLimits.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/WorkspaceLimits.java
@@ -10,14 +10,15 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Holds each workspace to its request rate and its tokens in flight.
+ * Enforces the request rate and the tokens in flight of each workspace.
  * <p>
- * Made for a workspace that floods: without the limits its work would fill every queue
- * and every slot. The rate allows a burst of two seconds, so that a page that sends a
- * handful of requests at once is not refused. This daemon's share of a limit is set from
- * outside. A request that is larger than this daemon's share, or than the whole limit, is
- * admitted while the workspace has nothing else in flight here: it would otherwise be
- * refused for ever. So a limit of tokens is passed by one request a daemon at most.
+ * Without these limits a single flooding workspace would fill all queues and slots. The
+ * rate is enforced by a token bucket with a burst of two seconds, so that a page that
+ * sends a handful of requests at once is not refused. This daemon's share of each limit
+ * is set by {@link #updateShares}. A request whose cost exceeds the share, or even the
+ * whole limit, is admitted while the workspace has nothing else in flight at this daemon,
+ * since it would otherwise never be admitted. A limit on tokens is therefore exceeded by
+ * at most one request for each daemon.
  */
 public final class WorkspaceLimits implements AdmissionPolicy {
 
@@ -91,10 +92,10 @@
 		private long arrivalsAtNanos;
 
 		void setLimits(long nowNanos, WorkspaceSpec workspace) {
-			final boolean fresh = this.ratePerSecond == 0;
+			final boolean isNew = this.ratePerSecond == 0;
 			this.ratePerSecond = workspace.requestsPerSecond();
 			this.maxTokensInFlight = workspace.tokensInFlight();
-			if (fresh) {
+			if (isNew) {
 				this.credit = maxCredit();
 				this.refilledAtNanos = nowNanos;
 			}
@@ -133,8 +134,8 @@
 				final long waitMillis = (long) Math.ceil((1 - this.credit) / rate() * 1_000);
 				return Optional.of(new Refusal(ErrorKind.RATE_LIMITED, waitMillis));
 			}
-			final double most = this.maxTokensInFlight * this.shareRatio;
-			if (this.tokensInFlight > 0 && this.tokensInFlight + info.costTokens() > most) {
+			final double maxTokens = this.maxTokensInFlight * this.shareRatio;
+			if (this.tokensInFlight > 0 && this.tokensInFlight + info.costTokens() > maxTokens) {
 				return Optional.of(new Refusal(ErrorKind.TOKENS_LIMITED, TOKENS_RETRY_MILLIS));
 			}
 			this.credit -= 1;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Who may enter: the limits of each workspace.
+ * Admission control, which limits the request rate and the tokens in flight of each
+ * workspace.
  */
 package org.pistachioline.core.admission;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/admission/LimitSharesTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/admission/LimitSharesTests.java
@@ -19,52 +19,52 @@
 
 	private static final long SECOND_NANOS = 1_000_000_000L;
 
-	private static final List<String> SHOPS = List.of("shops");
+	private static final List<String> WORKSPACES = List.of("workspace");
 
-	// Callers keep an address for long, so all of a workspace's demand may sit at one of
-	// eight daemons. With equal parts its callers would be refused at an eighth of what
-	// the manifest promises.
+	// Callers keep to one address for long, so that all demand of a workspace may arrive
+	// at one of eight daemons. With equal shares it would be refused at an eighth of its
+	// limit.
 	@Test
 	void aLimitFollowsDemandToTheDaemonThatHasIt() {
 		final LimitShares shares = shares();
-		shares.onDemand(Map.of("shops", 100.0));
+		shares.onDemand(Map.of("workspace", 100.0));
 		for (int second = 0; second < 5; second++) {
 			for (int peer = 0; peer < 7; peer++) {
 				shares.onPeerDemand(second * SECOND_NANOS, "d" + peer, false, Map.of());
 			}
-			shares.shareRatios(second * SECOND_NANOS, SHOPS);
+			shares.shareRatios(second * SECOND_NANOS, WORKSPACES);
 		}
-		assertThat(shares.shareRatios(5 * SECOND_NANOS, SHOPS).get("shops")).isCloseTo(0.825, within(0.001));
+		assertThat(shares.shareRatios(5 * SECOND_NANOS, WORKSPACES).get("workspace")).isCloseTo(0.825, within(0.001));
 	}
 
-	// A cut leaves four daemons on each side, and each side hears of demand on its own
-	// only. If the live ones divided the whole limit, the sides together would admit
-	// twice
-	// of it.
+	// A network partition leaves four daemons on each side, and each side knows only its
+	// own demand. If the reachable daemons divided the whole limit, both sides together
+	// would admit twice the limit.
 	@Test
-	void theSidesOfACutTogetherStayWithinTheLimit() {
+	void bothSidesOfAPartitionTogetherStayWithinTheLimit() {
 		final LimitShares shares = shares();
 		for (int peer = 0; peer < 7; peer++) {
-			shares.onPeerDemand(0, "d" + peer, false, Map.of("shops", 10.0));
+			shares.onPeerDemand(0, "d" + peer, false, Map.of("workspace", 10.0));
 		}
-		shares.onDemand(Map.of("shops", 10.0));
+		shares.onDemand(Map.of("workspace", 10.0));
 		for (int peer = 0; peer < 3; peer++) {
-			shares.onPeerDemand(20 * SECOND_NANOS, "d" + peer, false, Map.of("shops", 10.0));
+			shares.onPeerDemand(20 * SECOND_NANOS, "d" + peer, false, Map.of("workspace", 10.0));
 		}
-		assertThat(shares.shareRatios(20 * SECOND_NANOS, SHOPS).get("shops")).isCloseTo(0.125, within(0.001));
+		assertThat(shares.shareRatios(20 * SECOND_NANOS, WORKSPACES).get("workspace")).isCloseTo(0.125, within(0.001));
 	}
 
 	@Test
-	void aPeerThatLeavesGivesItsPartBackAtOnce() {
+	void theShareOfALeavingPeerIsReleasedAtOnce() {
 		final LimitShares shares = shares();
 		shares.onPeerDemand(0, "d1", false, Map.of());
 		shares.onPeerDemand(0, "d1", true, Map.of());
-		assertThat(shares.shareRatios(0, SHOPS).get("shops")).isCloseTo(1, within(0.001));
+		assertThat(shares.shareRatios(0, WORKSPACES).get("workspace")).isCloseTo(1, within(0.001));
 	}
 
-	// Demand jumps about between daemons while word of it takes up to the hold time. A
-	// daemon that acted on its own demand before the others gave way would add its new
-	// share to their old ones, and the engines would get more than the limit.
+	// Demand moves between daemons while reports of it take up to the increase delay. A
+	// daemon that acted on its own demand before the others reduced their shares would
+	// add its new share to their old ones, and the engines would receive more than the
+	// limit.
 	@Property(tries = 50, seed = "20261203")
 	void allSharesTogetherStayWithinTheStatedBound(@ForAll @IntRange(min = 2, max = 8) int daemons,
 			@ForAll @IntRange(min = 1, max = 1_000_000) int seed) {
@@ -81,7 +81,7 @@
 			}
 			final Runnable[] messages = new Runnable[daemons];
 			for (int i = 0; i < daemons; i++) {
-				final Map<String, Double> demand = Map.of("shops",
+				final Map<String, Double> demand = Map.of("workspace",
 						(step % 20 < 10 == (i % 2 == 0)) ? 100.0 : random.nextDouble());
 				final String daemonId = "d" + i;
 				final LimitShares self = all.get(i);
@@ -93,7 +93,7 @@
 			delayed.add(messages);
 			double sum = 0;
 			for (final LimitShares shares : all) {
-				sum += shares.shareRatios(nowNanos, SHOPS).get("shops");
+				sum += shares.shareRatios(nowNanos, WORKSPACES).get("workspace");
 			}
 			if (step > 3) {
 				assertThat(sum).isLessThanOrEqualTo(LimitShares.MAX_TOTAL_RATIO);
