--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/CallerBounds.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/CallerBounds.java
@@ -1,16 +1,16 @@
 package org.pistachioline.core.route;
 
 /**
- * What a caller may send and how long it may take.
+ * The bounds on callers' requests and connections.
  *
- * @param maxHeaderBytes the largest head of a request
- * @param maxBodyBytes the largest body of a request
- * @param headerTimeoutMillis how long a request's head may take
- * @param idleTimeoutMillis how long a connection may stay without a request
+ * @param maxHeaderBytes the largest size of a request's header
+ * @param maxBodyBytes the largest size of a request's body
+ * @param headerTimeoutMillis the time in which a request's header must arrive
+ * @param idleTimeoutMillis the time after which a connection without a request is closed
  */
 public record CallerBounds(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
-	/** What holds until a configuration is known. */
+	/** The bounds until a configuration is known. */
 	public static final CallerBounds DEFAULT = new CallerBounds(16_384, 4_194_304, 3_000, 15_000);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/EngineSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/EngineSpec.java
@@ -6,11 +6,13 @@
 /**
  * The engines of a service whose replicas are groups of instances.
  *
- * @param slots how many requests one group runs at once
- * @param models the models that groups serve
- * @param loadsPerSecond how many loads from the weight store may begin in a second
- * @param concurrentLoads how many loads run at their full speed at once
- * @param formMillis how long a group takes from the order to open until it serves
+ * @param slots the number of requests that a group runs concurrently
+ * @param models the models that the groups serve
+ * @param loadsPerSecond the bound on loads from the weight store that start within a
+ * second
+ * @param concurrentLoads the number of concurrent loads up to which each runs at full
+ * speed
+ * @param formMillis the time from the order to open a group until it serves
  */
 public record EngineSpec(int slots, List<EngineModel> models, double loadsPerSecond, int concurrentLoads,
 		long formMillis) {
@@ -29,8 +31,8 @@
 	}
 
 	/**
-	 * Returns whether instances serve in groups.
-	 * @return whether they do; otherwise each serves by itself
+	 * Returns whether the instances serve in groups.
+	 * @return whether they do; otherwise each instance serves on its own
 	 */
 	public boolean grouped() {
 		return this.models.stream().anyMatch((model) -> model.members() > 0);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/QueueTimeBudget.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/QueueTimeBudget.java
@@ -1,15 +1,16 @@
 package org.pistachioline.core.route;
 
 /**
- * How long a request may wait in a queue before it is refused.
+ * Computes how long a request may wait in a queue before it is refused.
  * <p>
- * Made for the seconds in which the groups of a model are gone or full. A caller of a
- * stream leaves when nothing has come for two seconds, four times the route's target
- * latency or eight times its longest pause, whichever is longest, however long it would
- * wait for the whole answer. A request that is kept for longer is kept for nobody, and
- * its caller, told at once, could have come back and found a place.
- * {@value #QUEUE_PERCENT} % of that time may pass in the queue; the rest is for the
- * target's prefill and the way back, which take some 200 to 500 ms on a busy group.
+ * The budget matters while the groups of a model are lost or full. The caller of a stream
+ * leaves after a time without any event: two seconds, four times the route's target
+ * latency or eight times its longest pause between events, whichever is longest,
+ * regardless of how long it would wait for the whole answer. A request that is queued for
+ * longer than its caller stays is served in vain, whereas a caller that is refused at
+ * once can retry with success. {@value #QUEUE_PERCENT} % of this time may be spent in the
+ * queue. The rest is reserved for the target's prefill and the network, which take some
+ * 200 to 500 ms on a busy group.
  */
 public final class QueueTimeBudget {
 
@@ -28,16 +29,16 @@
 
 	/**
 	 * Returns how long a request may wait until it is sent to a target.
-	 * @param route its route
-	 * @param waitMillis how long its caller waits for the whole answer
+	 * @param route the request's route
+	 * @param waitMillis how long the caller waits for the whole answer
 	 * @return the time, in milliseconds
 	 */
 	public static long maxQueueMillis(Route route, long waitMillis) {
-		final long silenceMillis = Math.max(MIN_STREAM_SILENCE_MILLIS, Math
+		final long maxSilenceMillis = Math.max(MIN_STREAM_SILENCE_MILLIS, Math
 			.max(TARGET_LATENCY_FACTOR * route.targetLatencyMillis(), EVENT_GAP_FACTOR * route.eventGapMillis()));
-		final long patienceMillis = (route.kind() == RouteKind.STREAM) ? Math.min(waitMillis, silenceMillis)
+		final long callerWaitMillis = (route.kind() == RouteKind.STREAM) ? Math.min(waitMillis, maxSilenceMillis)
 				: waitMillis;
-		return patienceMillis * QUEUE_PERCENT / PERCENT;
+		return callerWaitMillis * QUEUE_PERCENT / PERCENT;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/RouteKind.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/RouteKind.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.route;
 
 /**
- * What may be repeated on a route.
+ * Whether the requests of a route may be repeated.
  */
 public enum RouteKind {
 
@@ -12,7 +12,8 @@
 	UNSAFE,
 
 	/**
-	 * The answer is a stream of events; it may run again only where it can be resumed.
+	 * The answer is a stream of events. A request may run again only if the stream can be
+	 * resumed.
 	 */
 	STREAM
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/RouteTable.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/RouteTable.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 
 /**
- * One whole configuration of routes, services and keys; it is replaced as a whole.
+ * An immutable configuration of routes, services and keys, which is replaced as a whole.
  * <p>
- * Made for configurations of several hundred routes that change several times a second:
- * the routes of a host are kept with the longest prefix first, so that finding one costs
- * one look at the host and one pass over its routes.
+ * Configurations have several hundred routes and change several times per second. The
+ * routes of a host are sorted by descending prefix length, so that finding a route takes
+ * one lookup of the host and one pass over its routes.
  */
 public final class RouteTable {
 
-	/** The table before any configuration is known: version 0, and nothing is routed. */
+	/** The table before any configuration is known, with version 0 and no routes. */
 	public static final RouteTable UNKNOWN = new RouteTable(0, List.of(), List.of(), List.of(), CallerBounds.DEFAULT);
 
 	private final long version;
@@ -36,7 +36,7 @@
 	 * @param routes the routes
 	 * @param services the services
 	 * @param workspaceApiKeys the workspaces with their keys
-	 * @param callerBounds what callers may send
+	 * @param callerBounds the bounds on callers' requests
 	 */
 	public RouteTable(long version, List<Route> routes, List<ServiceSpec> services,
 			List<WorkspaceApiKeys> workspaceApiKeys, CallerBounds callerBounds) {
@@ -53,9 +53,10 @@
 	}
 
 	/**
-	 * Finds the route of a request: the longest prefix among those of its host.
+	 * Finds the route of a request, which is the one with the longest matching prefix
+	 * among those of the host.
 	 * @param host the host that the caller named, with or without a port
-	 * @param path the path as it was sent, without the query
+	 * @param path the path as sent, without the query
 	 * @return the route, if there is one
 	 */
 	public Optional<Route> route(String host, String path) {
@@ -87,8 +88,8 @@
 	}
 
 	/**
-	 * Returns whether a configuration is known at all.
-	 * @return whether it is
+	 * Returns whether a configuration is known.
+	 * @return whether the version is above 0
 	 */
 	public boolean isKnown() {
 		return this.version > 0;
@@ -103,15 +104,15 @@
 	}
 
 	/**
-	 * Returns the services.
-	 * @return all declared services
+	 * Returns all configured services.
+	 * @return the services, in no order
 	 */
 	public List<ServiceSpec> services() {
 		return List.copyOf(this.services.values());
 	}
 
 	/**
-	 * Returns what callers may send.
+	 * Returns the bounds on callers' requests.
 	 * @return the bounds
 	 */
 	public CallerBounds callerBounds() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/ServiceSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/ServiceSpec.java
@@ -3,11 +3,12 @@
 import java.util.Optional;
 
 /**
- * A service that routes lead to.
+ * A service that receives requests of routes.
  *
  * @param name the service's name
- * @param maxConnections how many connections one of its targets takes from all daemons
- * @param engine its engines; empty for a plain service
+ * @param maxConnections the number of connections that one of its targets accepts from
+ * all daemons together
+ * @param engine the service's engines; empty for a plain service
  */
 public record ServiceSpec(String name, int maxConnections, Optional<EngineSpec> engine) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/WeightedService.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/WeightedService.java
@@ -1,10 +1,10 @@
 package org.pistachioline.core.route;
 
 /**
- * A service that takes a part of a route's requests.
+ * A service that receives a part of a route's requests.
  *
  * @param service the service's name
- * @param weight its part, in proportion to the weights of the others
+ * @param weight the service's part, relative to the weights of the route's other services
  */
 public record WeightedService(String service, int weight) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/WorkspaceApiKeys.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/WorkspaceApiKeys.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A workspace and its keys.
+ * The API keys and the priority of a workspace.
  *
  * @param name the workspace's name
  * @param keySha256 the SHA-256 hashes of its keys, in hex
- * @param priority its rank, which goes before a route's; 0 is the most urgent; negative
- * where it has none
+ * @param priority the workspace's priority, which overrides that of a route; 0 is the
+ * most urgent, and a negative value means none
  */
 public record WorkspaceApiKeys(String name, List<String> keySha256, int priority) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Which requests go to which service, for whom and within which bounds.
+ * Routes from hosts and paths to services, with the configured services, API keys and
+ * bounds on callers.
  */
 package org.pistachioline.core.route;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/route/QueueTimeBudgetTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/route/QueueTimeBudgetTests.java
@@ -9,23 +9,23 @@
 class QueueTimeBudgetTests {
 
 	/**
-	 * All groups of a model are gone for some seconds. Callers of its streams leave after
-	 * two, so whoever is kept in the queue for longer is kept for nobody.
+	 * All groups of a model are lost for some seconds. Callers of its streams leave after
+	 * two seconds, so that a request that is queued for longer would be served in vain.
 	 */
 	@Test
-	void aStreamIsNotKeptLongerThanItsCallerStays() {
+	void aStreamIsNotQueuedLongerThanItsCallerStays() {
 		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 300, 200), 6_000)).isEqualTo(1_400);
 		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 400, 300), 8_000)).isEqualTo(1_680);
 		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 900, 100), 8_000)).isEqualTo(2_520);
 	}
 
 	@Test
-	void aShortWaitBoundsAStreamToo() {
+	void aShortTotalWaitAlsoBoundsAStream() {
 		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 300, 200), 1_000)).isEqualTo(700);
 	}
 
 	@Test
-	void otherCallersStayUntilTheirDeadline() {
+	void otherRequestsMayUseTheirTotalWait() {
 		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.UNSAFE, 100, 0), 800)).isEqualTo(560);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/route/RouteTableTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/route/RouteTableTests.java
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void servicesAreDrawnByTheirWeights() {
+	void servicesAreSelectedByTheirWeights() {
 		final Route route = new Route("r", "h", "/", RouteKind.SAFE, 1, 1, 1, 1, 0, false, false,
 				List.of(new WeightedService("a", 90), new WeightedService("b", 10)));
 		assertThat(route.selectService(0)).isEqualTo("a");
@@ -46,13 +46,13 @@
 
 	@Test
 	void onlySafeRequestsAndResumableStreamsAreIdempotent() {
-		assertThat(kind(RouteKind.SAFE, false).idempotent()).isTrue();
-		assertThat(kind(RouteKind.UNSAFE, true).idempotent()).isFalse();
-		assertThat(kind(RouteKind.STREAM, false).idempotent()).isFalse();
-		assertThat(kind(RouteKind.STREAM, true).idempotent()).isTrue();
+		assertThat(route(RouteKind.SAFE, false).idempotent()).isTrue();
+		assertThat(route(RouteKind.UNSAFE, true).idempotent()).isFalse();
+		assertThat(route(RouteKind.STREAM, false).idempotent()).isFalse();
+		assertThat(route(RouteKind.STREAM, true).idempotent()).isTrue();
 	}
 
-	private static Route kind(RouteKind kind, boolean resumable) {
+	private static Route route(RouteKind kind, boolean resumable) {
 		return new Route("r", "h", "/", kind, 1, 1, 1, 1, 0, false, resumable, List.of(new WeightedService("a", 1)));
 	}
 
