--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
@@ -22,7 +22,7 @@
 	public QueuedRequest next(long nowNanos, long firstTokenNanos, NavigableSet<QueuedRequest> queue) {
 		int scanned = 0;
 		for (final QueuedRequest request : queue) {
-			if (nowNanos + firstTokenNanos <= request.info().onTimeNanos()) {
+			if (nowNanos + firstTokenNanos <= request.info().softDeadlineNanos()) {
 				return request;
 			}
 			scanned++;
