--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/DelistedInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/DelistedInstances.java
@@ -9,17 +9,17 @@
 import java.util.Set;
 
 /**
- * Remembers instances for a while after the list has dropped them.
+ * Remembers instances for some time after they have disappeared from the instance list.
  * <p>
- * A head that merely lost the way to the store drops from the list and serves on. A
- * daemon that becomes the planner afterwards sees only the other members. It has to know
- * who their head was and where, to ask it before it takes them. Every daemon keeps this
- * memory, as any may become the planner.
+ * A head that merely loses its connection to the store is delisted but continues to
+ * serve. A daemon that becomes the planner afterwards sees only the other members, and
+ * needs the identity and address of their head so that it can contact the head before it
+ * reassigns them. Every daemon keeps this record, as any of them may become the planner.
  */
 public final class DelistedInstances {
 
 	/**
-	 * Longer than any head was seen to serve on without the store, several times over.
+	 * Several times longer than any head has been observed to serve without the store.
 	 */
 	private static final long RETENTION_NANOS = 60_000_000_000L;
 
@@ -28,33 +28,33 @@
 	private final Map<String, Delisted> delisted = new HashMap<>();
 
 	/**
-	 * Takes the list.
+	 * Replaces the instance list and records the instances that are no longer in it.
 	 * @param nowNanos the monotonic time
 	 * @param instances all listed instances
 	 */
 	public void update(long nowNanos, Collection<ServingInstance> instances) {
-		final Set<String> now = new HashSet<>();
+		final Set<String> listedIds = new HashSet<>();
 		instances.forEach((instance) -> {
-			now.add(instance.id());
+			listedIds.add(instance.id());
 			this.delisted.remove(instance.id());
 		});
 		this.listed.forEach((id, instance) -> {
-			if (!now.contains(id)) {
+			if (!listedIds.contains(id)) {
 				this.delisted.put(id, new Delisted(instance, nowNanos));
 			}
 		});
 		this.listed.clear();
 		instances.forEach((instance) -> this.listed.put(instance.id(), instance));
-		this.delisted.values().removeIf((gone) -> nowNanos - gone.sinceNanos() > RETENTION_NANOS);
+		this.delisted.values().removeIf((entry) -> nowNanos - entry.sinceNanos() > RETENTION_NANOS);
 	}
 
 	/**
-	 * Returns the instances that were dropped lately.
-	 * @return each as it was listed last
+	 * Returns the instances that were delisted within the retention period.
+	 * @return each instance as it was last listed
 	 */
 	public List<ServingInstance> instances() {
 		final List<ServingInstance> instances = new ArrayList<>();
-		this.delisted.values().forEach((gone) -> instances.add(gone.instance()));
+		this.delisted.values().forEach((entry) -> instances.add(entry.instance()));
 		return instances;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/EndedGroups.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/EndedGroups.java
@@ -6,22 +6,22 @@
 import java.util.Optional;
 
 /**
- * Remembers groups that are over though members still report them.
+ * Remembers groups that have ended although some members still report them.
  * <p>
- * Orders that were left unanswered may be carried out after the group's end, by a head
- * that has left it: a join makes it the head again, and an order to open makes it serve.
- * Such a group counts as any other from then on, so that it is closed before its members
- * are taken.
+ * Orders that were not answered may be executed after the group has ended, by a head that
+ * has left it: a join makes it the head again, and an open makes it serve. From then on
+ * such a group is tracked like any other, so that it is closed before its members are
+ * reassigned.
  */
 final class EndedGroups {
 
-	/** By then the list shows how the group ended. */
+	/** Time after which the instance list reflects the end of a group. */
 	private static final long END_VISIBLE_NANOS = 1_000_000_000L;
 
 	private final Map<GroupId, EndedGroup> endedGroups = new HashMap<>();
 
-	void add(long nowNanos, TrackedGroup known) {
-		this.endedGroups.put(known.id, new EndedGroup(nowNanos, known.headLeft));
+	void add(long nowNanos, TrackedGroup tracked) {
+		this.endedGroups.put(tracked.id, new EndedGroup(nowNanos, tracked.headLeft));
 	}
 
 	void clear() {
@@ -29,7 +29,8 @@
 	}
 
 	/**
-	 * Takes the groups that are over out of those that are reported.
+	 * Removes the ended groups from those that are reported, except for groups that late
+	 * orders have revived.
 	 * @param nowNanos the monotonic time
 	 * @param reported the groups with the members that report them
 	 */
@@ -41,7 +42,7 @@
 	}
 
 	/**
-	 * How a group ended, and what its head has shown since.
+	 * The way a group ended, and what its head has reported since.
 	 */
 	private static final class EndedGroup {
 
@@ -57,17 +58,17 @@
 		}
 
 		boolean isRevived(long nowNanos, List<ServingInstance> members) {
-			final Optional<MemberState> head = members.stream()
+			final Optional<MemberState> headState = members.stream()
 				.map((member) -> member.membership().orElseThrow())
-				.filter((own) -> own.rank() == 0)
+				.filter((membership) -> membership.rank() == 0)
 				.map(Membership::state)
 				.findFirst();
-			this.headSeenOutside |= this.headLeft && head.isEmpty();
-			if (head.isEmpty() || head.get() == MemberState.BROKEN) {
+			this.headSeenOutside |= this.headLeft && headState.isEmpty();
+			if (headState.isEmpty() || headState.get() == MemberState.BROKEN) {
 				return false;
 			}
-			final boolean shown = nowNanos - this.endedAtNanos >= END_VISIBLE_NANOS;
-			return this.headSeenOutside || (shown && (this.headLeft || isServing(head.get())));
+			final boolean visible = nowNanos - this.endedAtNanos >= END_VISIBLE_NANOS;
+			return this.headSeenOutside || (visible && (this.headLeft || isServing(headState.get())));
 		}
 
 		private static boolean isServing(MemberState state) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupAllocator.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupAllocator.java
@@ -11,21 +11,22 @@
 import org.pistachioline.core.route.EngineModel;
 
 /**
- * Chooses which free instances form the next group, and for which model.
+ * Selects which free instances form the next group, and for which model.
  * <p>
- * Made for a pool that loses two instances every few seconds and gets as many new ones.
- * What counts is how soon the survivors serve again. Members that have the weights are
- * ready in a second or two; a load takes a quarter of a minute. So groups that need no
- * load are formed first and at once.
+ * Designed for a pool that loses two instances every few seconds and gains as many new
+ * ones, where the goal is to let the survivors serve again as soon as possible. Members
+ * that already hold the weights are ready in one to two seconds, whereas a load takes
+ * about 15 s. Groups that need no load are therefore formed first and at once.
  * <p>
- * Two survivors come together sooner than four. Without care the model with the larger
- * groups loses its instances to the other one a pair at a time, until nobody serves it.
- * So an instance does not give up the weights of a model that is short of its share at
- * all, and those of another only after {@value #PARTNER_WAIT_SECONDS} s without partners.
- * And each model's groups are packed into as few fabric domains as will hold them, since
- * survivors find partners only within their domain: a domain that holds two groups of
- * four and two more instances with the same weights forms both again after each of two
- * losses. The domains of one model are spread over the availability zones.
+ * Two survivors of a fabric domain become free sooner than four, so without a guard the
+ * model with the larger groups would lose its instances to the other model two at a time
+ * until no group serves it. An instance therefore keeps the weights of a model that is
+ * underprovisioned, and gives up those of another model only after it has waited
+ * {@value #PARTNER_WAIT_SECONDS} s for partners. Each model's groups are packed into as
+ * few fabric domains as can hold them, since survivors find partners only within their
+ * domain: a domain with two groups of four and two more instances with the same weights
+ * re-forms both groups after each of two losses. The domains of one model are spread over
+ * the availability zones.
  */
 final class GroupAllocator {
 
@@ -47,54 +48,54 @@
 	}
 
 	/**
-	 * Chooses the next group.
+	 * Selects the next group.
 	 * @param view what the planner sees
-	 * @param free the instances that may be taken
-	 * @param census how many instances serve or will serve each model
+	 * @param free the instances that may be assigned
+	 * @param counts how many instances serve or will serve each model
 	 * @param loadsAllowed whether members may load the weights as they join
-	 * @return the model and its members; empty where no group can be formed now
+	 * @return the model and its members; empty if no group can be formed now
 	 */
-	Optional<Proposal> nextProposal(PlannerView view, List<ServingInstance> free, ModelInstanceCounts census,
+	Optional<Proposal> nextProposal(PlannerView view, List<ServingInstance> free, ModelInstanceCounts counts,
 			boolean loadsAllowed) {
 		final Map<String, List<ServingInstance>> byDomain = new TreeMap<>();
 		free.forEach((instance) -> byDomain.computeIfAbsent(instance.fabricDomain(), (name) -> new ArrayList<>())
 			.add(instance));
-		final List<Proposal> possible = new ArrayList<>();
+		final List<Proposal> proposals = new ArrayList<>();
 		for (final EngineModel model : view.engine().models()) {
-			for (final List<ServingInstance> domain : byDomain.values()) {
-				propose(view, model, domain, census).ifPresent(possible::add);
+			for (final List<ServingInstance> domainInstances : byDomain.values()) {
+				propose(view, model, domainInstances, counts).ifPresent(proposals::add);
 			}
 		}
-		return possible.stream()
-			.filter((formation) -> loadsAllowed || formation.weightLoads() == 0)
-			.min(Comparator.comparing((Proposal formation) -> formation.weightLoads() > 0)
-				.thenComparingDouble((formation) -> census.nextFillRatio(formation.model()))
+		return proposals.stream()
+			.filter((proposal) -> loadsAllowed || proposal.weightLoads() == 0)
+			.min(Comparator.comparing((Proposal proposal) -> proposal.weightLoads() > 0)
+				.thenComparingDouble((proposal) -> counts.nextFillRatio(proposal.model()))
 				.thenComparingInt(Proposal::weightLoads)
-				.thenComparingInt((formation) -> countOtherModelsInDomain(view, formation, census))
-				.thenComparingInt((formation) -> -countSameModelInDomain(formation, census))
-				.thenComparingInt((formation) -> census.inAvailabilityZone(formation.model().name(),
-						formation.availabilityZone())));
+				.thenComparingInt((proposal) -> countOtherModelsInDomain(view, proposal, counts))
+				.thenComparingInt((proposal) -> -countSameModelInDomain(proposal, counts))
+				.thenComparingInt(
+						(proposal) -> counts.inAvailabilityZone(proposal.model().name(), proposal.availabilityZone())));
 	}
 
-	private static int countSameModelInDomain(Proposal formation, ModelInstanceCounts census) {
-		return census.inDomain(formation.model().name(), formation.fabricDomain());
+	private static int countSameModelInDomain(Proposal proposal, ModelInstanceCounts counts) {
+		return counts.inDomain(proposal.model().name(), proposal.fabricDomain());
 	}
 
-	private static int countOtherModelsInDomain(PlannerView view, Proposal formation, ModelInstanceCounts census) {
+	private static int countOtherModelsInDomain(PlannerView view, Proposal proposal, ModelInstanceCounts counts) {
 		return view.engine()
 			.models()
 			.stream()
-			.filter((model) -> model != formation.model())
-			.mapToInt((model) -> census.inDomain(model.name(), formation.fabricDomain()))
+			.filter((model) -> model != proposal.model())
+			.mapToInt((model) -> counts.inDomain(model.name(), proposal.fabricDomain()))
 			.sum();
 	}
 
-	private Optional<Proposal> propose(PlannerView view, EngineModel model, List<ServingInstance> domain,
-			ModelInstanceCounts census) {
-		if (model.members() <= 0 || domain.size() < model.members()) {
+	private Optional<Proposal> propose(PlannerView view, EngineModel model, List<ServingInstance> domainInstances,
+			ModelInstanceCounts counts) {
+		if (model.members() <= 0 || domainInstances.size() < model.members()) {
 			return Optional.empty();
 		}
-		final List<ServingInstance> members = domain.stream()
+		final List<ServingInstance> members = domainInstances.stream()
 			.sorted(Comparator.comparing((ServingInstance instance) -> !this.weights.holds(instance, model.name()))
 				.thenComparingInt(this.weights::countModels)
 				.thenComparingLong((instance) -> this.idleSinceNanos.getOrDefault(instance.id(), view.nowNanos()))
@@ -102,7 +103,7 @@
 			.limit(model.members())
 			.toList();
 		if (!view.beforeTraffic()
-				&& members.stream().anyMatch((instance) -> isHeldForOtherModel(view, instance, model, census))) {
+				&& members.stream().anyMatch((instance) -> isHeldForOtherModel(view, instance, model, counts))) {
 			return Optional.empty();
 		}
 		final int loads = (int) members.stream()
@@ -111,19 +112,21 @@
 		return Optional.of(new Proposal(model, members, loads));
 	}
 
-	// Whether an instance is kept for another model whose weights it has. One that would
-	// have to load gives its weights up, so it is kept for as long as the other model is
-	// short, and for a while in any case. One that joins warm keeps them, so it waits for
-	// partners for a while only, and only where the other model is short.
+	// Returns whether an instance is held for another model whose weights it has. An
+	// instance that would have to load gives those weights up, so it is held while the
+	// other model is underprovisioned, and in any case for the partner wait. An instance
+	// that needs no load keeps them, so it is held for the partner wait only, and only if
+	// the other model is underprovisioned.
 	private boolean isHeldForOtherModel(PlannerView view, ServingInstance instance, EngineModel model,
-			ModelInstanceCounts census) {
+			ModelInstanceCounts counts) {
 		final long idleNanos = view.nowNanos() - this.idleSinceNanos.getOrDefault(instance.id(), view.nowNanos());
-		final boolean patient = idleNanos < PARTNER_WAIT_NANOS;
-		final boolean joinsWarm = this.weights.holds(instance, model.name());
+		final boolean withinPartnerWait = idleNanos < PARTNER_WAIT_NANOS;
+		final boolean holdsWeights = this.weights.holds(instance, model.name());
 		for (final EngineModel other : view.engine().models()) {
 			if (other != model && this.weights.holds(instance, other.name())) {
-				final boolean wanted = census.isUnderprovisioned(other);
-				if (joinsWarm ? wanted && patient : wanted || patient) {
+				final boolean otherUnderprovisioned = counts.isUnderprovisioned(other);
+				if (holdsWeights ? otherUnderprovisioned && withinPartnerWait
+						: otherUnderprovisioned || withinPartnerWait) {
 					return true;
 				}
 			}
@@ -134,9 +137,9 @@
 	/**
 	 * A group that can be formed.
 	 *
-	 * @param model its model
-	 * @param members its members, the head first
-	 * @param weightLoads how many of them have to load the weights
+	 * @param model the model that the group would serve
+	 * @param members the members, the head first
+	 * @param weightLoads the number of members that have to load the weights
 	 */
 	record Proposal(EngineModel model, List<ServingInstance> members, int weightLoads) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupId.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupId.java
@@ -1,13 +1,13 @@
 package org.pistachioline.core.replica;
 
 /**
- * Names one forming of a group. No two have the same epoch, and a later one has a higher
- * epoch, whichever daemon ordered it.
+ * Identifies one formation of a group. Epochs are unique and increase with every
+ * formation, whichever daemon is the planner.
  * <p>
- * The group's name holds its model, since instances report the name and not the model: a
- * planner that takes over learns from it what a half-formed group is to become.
+ * The name contains the model, because instances report the name and not the model: from
+ * the name a new planner learns which model a partially formed group is to serve.
  *
- * @param name the name that the members were given
+ * @param name the name that was given to the members
  * @param epoch the epoch
  */
 public record GroupId(String name, long epoch) {
@@ -15,17 +15,17 @@
 	private static final char SEPARATOR = '.';
 
 	/**
-	 * Names a new group.
-	 * @param model the model that it is to serve
-	 * @param epoch its epoch
-	 * @return the group
+	 * Creates the identifier of a new group.
+	 * @param model the model that the group is to serve
+	 * @param epoch the epoch
+	 * @return the identifier
 	 */
 	public static GroupId of(String model, long epoch) {
 		return new GroupId(model + SEPARATOR + Long.toString(epoch, Character.MAX_RADIX), epoch);
 	}
 
 	/**
-	 * Returns the model that the group serves.
+	 * Extracts the model from the group's name.
 	 * @return the model's name
 	 */
 	public String model() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupRebalancer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupRebalancer.java
@@ -13,18 +13,18 @@
 import org.pistachioline.core.route.EngineSpec;
 
 /**
- * Chooses which groups of a well supplied model are closed, so that their members serve a
- * model that is short.
+ * Selects which groups of a well provisioned model to close, so that their members can
+ * serve an underprovisioned model.
  * <p>
- * Made for a model with large groups of which a member dies: three survivors wait for a
- * fourth, and every other instance of their fabric domain is in a smaller group. Where
- * such a group's members have the weights of the short model too, closing it costs its
- * callers nothing but the move of their next requests, and brings back a group of the
- * short model within about two seconds. Only whole groups are closed, as few instances
- * are moved as will do, and only where the other model has its share of all instances and
- * both are nearer to their shares afterwards. After many losses both have less than their
- * share, as survivors wait everywhere; to take from one for the other then made the one
- * with more callers the short one.
+ * Designed for a model with large groups that loses a member: three survivors wait for a
+ * fourth while every other instance of their fabric domain is in a smaller group. If the
+ * members of such a smaller group also hold the weights of the recipient model, closing
+ * it only moves its callers' next requests to other groups, and restores a group of the
+ * recipient model within about two seconds. Only whole groups are closed, with as few
+ * instances as necessary, and only if the donor model has its share of all instances and
+ * the exchange brings both models closer to their shares. After many losses both models
+ * are below their shares because survivors wait everywhere; moving instances between them
+ * then left the model with more callers underprovisioned.
  */
 final class GroupRebalancer {
 
@@ -35,87 +35,88 @@
 	}
 
 	/**
-	 * Chooses groups to close.
-	 * @param engine the service's engines
-	 * @param free the instances that may be taken
-	 * @param serving the groups that are open and whole
+	 * Selects the groups to close.
+	 * @param engine the engine specification of the service
+	 * @param free the instances that may be assigned
+	 * @param serving the groups that are open and complete
 	 * @param byId all listed instances, by id
-	 * @param census how many instances serve each model
-	 * @return the groups to close; empty where nothing is gained
+	 * @param counts how many instances serve each model
+	 * @return the groups to close; empty if an exchange would not help
 	 */
 	List<TrackedGroup> selectGroupsToClose(EngineSpec engine, List<ServingInstance> free,
-			Collection<TrackedGroup> serving, Map<String, ServingInstance> byId, ModelInstanceCounts census) {
-		final Optional<EngineModel> scarce = engine.models()
+			Collection<TrackedGroup> serving, Map<String, ServingInstance> byId, ModelInstanceCounts counts) {
+		final Optional<EngineModel> recipient = engine.models()
 			.stream()
 			.filter((model) -> model.members() > 0)
-			.min(Comparator.comparingDouble(census::fillRatio));
-		if (scarce.isEmpty()) {
+			.min(Comparator.comparingDouble(counts::fillRatio));
+		if (recipient.isEmpty()) {
 			return List.of();
 		}
-		final Map<String, List<TrackedGroup>> byGiver = new TreeMap<>();
+		final Map<String, List<TrackedGroup>> byDonor = new TreeMap<>();
 		serving.stream()
-			.filter((known) -> mayDonate(engine, known, scarce.get(), census))
-			.forEach((known) -> byGiver
-				.computeIfAbsent(known.id.model() + '\n' + byId.get(known.headId()).fabricDomain(),
+			.filter((tracked) -> mayDonate(engine, tracked, recipient.get(), counts))
+			.forEach((tracked) -> byDonor
+				.computeIfAbsent(tracked.id.model() + '\n' + byId.get(tracked.headId()).fabricDomain(),
 						(name) -> new ArrayList<>())
-				.add(known));
-		final Map<String, Long> holders = new HashMap<>();
+				.add(tracked));
+		final Map<String, Long> freeHolders = new HashMap<>();
 		free.stream()
-			.filter((instance) -> this.weights.holds(instance, scarce.get().name()))
-			.forEach((instance) -> holders.merge(instance.fabricDomain(), 1L, Long::sum));
-		return byGiver.values()
+			.filter((instance) -> this.weights.holds(instance, recipient.get().name()))
+			.forEach((instance) -> freeHolders.merge(instance.fabricDomain(), 1L, Long::sum));
+		return byDonor.values()
 			.stream()
-			.map((groups) -> cheapestDonors(scarce.get(),
-					holders.getOrDefault(byId.get(groups.get(0).headId()).fabricDomain(), 0L), groups, byId))
-			.filter((groups) -> !groups.isEmpty() && improvesBalance(engine, scarce.get(), groups, census))
+			.map((groups) -> cheapestDonors(recipient.get(),
+					freeHolders.getOrDefault(byId.get(groups.get(0).headId()).fabricDomain(), 0L), groups, byId))
+			.filter((groups) -> !groups.isEmpty() && improvesBalance(engine, recipient.get(), groups, counts))
 			.min(Comparator.comparingInt(GroupRebalancer::countInstances))
 			.orElse(List.of());
 	}
 
-	private static boolean mayDonate(EngineSpec engine, TrackedGroup known, EngineModel scarce,
-			ModelInstanceCounts census) {
-		return engine.model(known.id.model())
-			.filter((model) -> model != scarce && !census.isUnderprovisioned(model))
+	private static boolean mayDonate(EngineSpec engine, TrackedGroup tracked, EngineModel recipient,
+			ModelInstanceCounts counts) {
+		return engine.model(tracked.id.model())
+			.filter((model) -> model != recipient && !counts.isUnderprovisioned(model))
 			.isPresent();
 	}
 
-	// Whether the two models stand more evenly to their shares after the exchange.
-	private static boolean improvesBalance(EngineSpec engine, EngineModel scarce, List<TrackedGroup> groups,
-			ModelInstanceCounts census) {
-		final EngineModel giver = engine.model(groups.get(0).id.model()).orElseThrow();
-		final double before = census.fillRatio(giver) - census.fillRatio(scarce);
-		final double after = census.fillRatio(giver, -countInstances(groups))
-				- census.fillRatio(scarce, scarce.members());
+	// Returns whether the exchange brings the fill ratios of the two models closer
+	// together.
+	private static boolean improvesBalance(EngineSpec engine, EngineModel recipient, List<TrackedGroup> groups,
+			ModelInstanceCounts counts) {
+		final EngineModel donor = engine.model(groups.get(0).id.model()).orElseThrow();
+		final double before = counts.fillRatio(donor) - counts.fillRatio(recipient);
+		final double after = counts.fillRatio(donor, -countInstances(groups))
+				- counts.fillRatio(recipient, recipient.members());
 		return Math.abs(after) < before;
 	}
 
 	private static int countInstances(List<TrackedGroup> groups) {
-		return groups.stream().mapToInt((known) -> known.memberIds.size()).sum();
+		return groups.stream().mapToInt((tracked) -> tracked.memberIds.size()).sum();
 	}
 
-	// The groups whose closing completes one of the short model; empty where none does,
-	// or where none is needed because the free instances suffice.
-	private List<TrackedGroup> cheapestDonors(EngineModel scarce, long held, List<TrackedGroup> groups,
+	// Returns the groups that, once closed, complete a group of the recipient model.
+	// Empty if no selection does so, or if the free instances suffice.
+	private List<TrackedGroup> cheapestDonors(EngineModel recipient, long freeHolders, List<TrackedGroup> groups,
 			Map<String, ServingInstance> byId) {
-		final List<TrackedGroup> chosen = new ArrayList<>();
-		long have = held;
-		final List<TrackedGroup> richest = groups.stream()
-			.sorted(Comparator.comparingLong((TrackedGroup known) -> -countHolders(known, scarce, byId))
-				.thenComparingLong((known) -> known.id.epoch()))
+		final List<TrackedGroup> selected = new ArrayList<>();
+		long holders = freeHolders;
+		final List<TrackedGroup> byHolderCount = groups.stream()
+			.sorted(Comparator.comparingLong((TrackedGroup tracked) -> -countHolders(tracked, recipient, byId))
+				.thenComparingLong((tracked) -> tracked.id.epoch()))
 			.toList();
-		for (final TrackedGroup known : richest) {
-			final long more = countHolders(known, scarce, byId);
-			if (have >= scarce.members() || more == 0) {
+		for (final TrackedGroup tracked : byHolderCount) {
+			final long additionalHolders = countHolders(tracked, recipient, byId);
+			if (holders >= recipient.members() || additionalHolders == 0) {
 				break;
 			}
-			chosen.add(known);
-			have += more;
+			selected.add(tracked);
+			holders += additionalHolders;
 		}
-		return (have >= scarce.members()) ? chosen : List.of();
+		return (holders >= recipient.members()) ? selected : List.of();
 	}
 
-	private long countHolders(TrackedGroup known, EngineModel scarce, Map<String, ServingInstance> byId) {
-		return known.memberIds.stream().filter((id) -> this.weights.holds(byId.get(id), scarce.name())).count();
+	private long countHolders(TrackedGroup tracked, EngineModel recipient, Map<String, ServingInstance> byId) {
+		return tracked.memberIds.stream().filter((id) -> this.weights.holds(byId.get(id), recipient.name())).count();
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupReconciler.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupReconciler.java
@@ -8,34 +8,38 @@
 import java.util.Set;
 
 /**
- * Looks at every group once a turn: opens those that are whole, closes those that lost a
- * member, and says whose members are not to be taken into another group yet.
+ * Reconciles every group on each planning pass: orders complete groups to open and groups
+ * that lost a member to close, and determines whose members must not be reassigned yet.
  * <p>
- * Two things can go wrong. A group may be opened without all its members; callers then
- * wait for an answer that cannot come. So an order to open goes out only when every
- * member itself says that it is prepared under just this group and epoch. And a member
- * may be taken away while the group's head still runs requests; those would be lost in
- * silence. So a member is set free only once its head is known to be closed or broken, or
- * a member has left it for longer than a head can go on without noticing.
+ * It prevents two failures. If a group opened without all its members, callers would wait
+ * for an answer that cannot come. An open order is therefore sent only when every member
+ * itself reports that it is ready in exactly this group and epoch. If a member were
+ * reassigned while the head still runs requests, these would be lost silently. A member
+ * is therefore released only when its head is known to be closed or broken, or when
+ * another member has left the head's group for longer than a head can run on without
+ * noticing.
  */
 final class GroupReconciler {
 
-	/** How long a member's word of its new group may be on its way. */
+	/** Longest time until a member's report of its new group arrives. */
 	private static final long JOIN_REPORT_TIMEOUT_NANOS = 2_500_000_000L;
 
 	/**
-	 * How much longer than its stall time a head is given after a member left its group:
-	 * a head that is slow notices the loss late.
+	 * Time added to the stall timeout after a member has left, because a slow head
+	 * notices the loss late.
 	 */
 	private static final long STALL_TIMEOUT_MARGIN_NANOS = 500_000_000L;
 
-	/** By then the list shows what an earlier planner ordered last. */
+	/**
+	 * Time after which the instance list shows the effect of an earlier planner's last
+	 * orders.
+	 */
 	private static final long EARLIER_ORDERS_VISIBLE_NANOS = 600_000_000L;
 
-	/** An order that brought no visible change is sent again after this time. */
+	/** Interval after which an order without visible effect is sent again. */
 	private static final long RESEND_INTERVAL_NANOS = 1_000_000_000L;
 
-	/** How long it is remembered that an order was sent; many times its repetition. */
+	/** Retention of the send times of orders; many times the resend interval. */
 	private static final long SENT_RETENTION_NANOS = 60_000_000_000L;
 
 	private final PlannerTimes times;
@@ -49,9 +53,10 @@
 	private final Set<GroupId> activeGroups;
 
 	/**
-	 * Creates a review.
-	 * @param times the times to keep to
-	 * @param activeGroups the groups that are not over, as the planner knows them
+	 * Creates a reconciler.
+	 * @param times the planner's timeouts
+	 * @param activeGroups the groups that have not ended; a live view of those that the
+	 * planner tracks
 	 */
 	GroupReconciler(PlannerTimes times, Set<GroupId> activeGroups) {
 		this.times = times;
@@ -65,146 +70,152 @@
 	}
 
 	/**
-	 * Looks at one group.
+	 * Reconciles one group, and reserves its members unless the group has ended.
 	 * @param nowNanos the monotonic time
-	 * @param known what is remembered of it
+	 * @param tracked the planner's state of the group
 	 * @param instances all listed instances, by id
-	 * @return whether the group is over, so that its members are free
+	 * @return whether the group has ended, so that its members are free
 	 */
-	boolean reconcile(long nowNanos, TrackedGroup known, Map<String, ServingInstance> instances) {
-		final GroupStatus sight = new GroupStatus(known, instances);
-		final boolean over = hasEnded(nowNanos, known, sight, instances);
-		if (!over) {
-			known.memberIds.stream().filter((id) -> id != null).forEach(this.reservedIds::add);
+	boolean reconcile(long nowNanos, TrackedGroup tracked, Map<String, ServingInstance> instances) {
+		final GroupStatus status = new GroupStatus(tracked, instances);
+		final boolean ended = hasEnded(nowNanos, tracked, status, instances);
+		if (!ended) {
+			tracked.memberIds.stream().filter((id) -> id != null).forEach(this.reservedIds::add);
 		}
-		return over;
+		return ended;
 	}
 
-	private boolean hasEnded(long nowNanos, TrackedGroup known, GroupStatus sight,
+	private boolean hasEnded(long nowNanos, TrackedGroup tracked, GroupStatus status,
 			Map<String, ServingInstance> instances) {
-		final MemberState headState = sight.headState().orElse(null);
-		if (sight.head().isEmpty()) {
-			return hasEndedWithoutListedHead(nowNanos, known, sight);
+		final MemberState headState = status.headState().orElse(null);
+		if (status.head().isEmpty()) {
+			return hasEndedWithoutListedHead(nowNanos, tracked, status);
 		}
-		known.lastListedHead = sight.head().get();
+		tracked.lastListedHead = status.head().get();
 		if (headState == MemberState.BROKEN) {
 			return true;
 		}
-		final boolean lost = !sight.allListed() || sight.anyInLaterGroup() || known.joinRefused || known.followerLeft;
+		final boolean lost = !status.allListed() || status.anyInLaterGroup() || tracked.joinRefused
+				|| tracked.followerLeft;
 		if (headState == MemberState.OPEN) {
-			if (lost || sight.anyDraining() || known.dissolving) {
-				sendUnlessRecent(nowNanos, new ReplicaOrder.Close(sight.head().get(), known.id, lost));
+			if (lost || status.anyDraining() || tracked.dissolving) {
+				sendUnlessRecent(nowNanos, new ReplicaOrder.Close(status.head().get(), tracked.id, lost));
 			}
 			return false;
 		}
 		if (headState == MemberState.CLOSING) {
 			return false;
 		}
-		if (lost || sight.anyDraining() || known.dissolving) {
-			return mayReleaseMembers(nowNanos, known, sight.head().get());
-		}
-		if (sight.allReady()) {
-			// An earlier planner may have closed its group to give the members away, with
-			// orders that are still to be carried out. Opened again, the group would lose
-			// a member to such an order while it serves. Formed anew under a higher
-			// epoch, the same members refuse it, and are prepared again within half a
-			// second.
-			return known.formedByThisPlanner ? !orderOpen(nowNanos, known, sight)
-					: mayReleaseMembers(nowNanos, known, sight.head().get());
-		}
-		return !sight.allJoined() && !retryJoins(nowNanos, known, instances);
-	}
-
-	// A head that vanished from the list may have died, or it may have lost the way to
-	// the store, or to the daemons as well, and go on serving for as long as its members
-	// reach it. Its own answer to an order to close settles that at once. Where none
-	// comes, one member is told to leave: a head that has lost a member breaks after its
-	// stall time, wherever it is, so that its group is over then whether it lives or not.
-	private boolean hasEndedWithoutListedHead(long nowNanos, TrackedGroup known, GroupStatus sight) {
-		if (known.formedByThisPlanner && !known.openOrdered) {
+		if (lost || status.anyDraining() || tracked.dissolving) {
+			return mayReleaseMembers(nowNanos, tracked, status.head().get());
+		}
+		if (status.allReady()) {
+			// An earlier planner may have closed the group to reassign its members, with
+			// orders that are still to be executed. If the group were reopened, such an
+			// order could remove a member while the group serves. If the same members are
+			// formed into a new group with a higher epoch, they reject the late orders
+			// and are ready again within half a second.
+			return tracked.formedByThisPlanner ? !orderOpen(nowNanos, tracked, status)
+					: mayReleaseMembers(nowNanos, tracked, status.head().get());
+		}
+		return !status.allJoined() && !retryJoins(nowNanos, tracked, instances);
+	}
+
+	// A head that disappeared from the list may have failed, or it may have lost its
+	// connection to the store, possibly to the daemons as well, and serve for as long as
+	// its members can reach it. If the head answers a close order, its state is known at
+	// once. If it does not, one follower is ordered to leave: a head that has lost a
+	// member breaks after its stall timeout, so that the group has ended by then whether
+	// or not the head is alive.
+	private boolean hasEndedWithoutListedHead(long nowNanos, TrackedGroup tracked, GroupStatus status) {
+		if (tracked.formedByThisPlanner && !tracked.openOrdered) {
 			return true;
 		}
-		if (known.lastListedHead != null && ensureHeadLeft(nowNanos, known, known.lastListedHead)) {
+		if (tracked.lastListedHead != null && ensureHeadLeft(nowNanos, tracked, tracked.lastListedHead)) {
 			return true;
 		}
-		final boolean asked = known.lastListedHead == null || known.headUnresponsive;
-		return asked && hasHeadStallTimeoutElapsed(nowNanos, known, sight);
+		final boolean headOutOfReach = tracked.lastListedHead == null || tracked.headUnresponsive;
+		return headOutOfReach && hasHeadStallTimeoutElapsed(nowNanos, tracked, status);
 	}
 
-	private boolean hasHeadStallTimeoutElapsed(long nowNanos, TrackedGroup known, GroupStatus sight) {
-		if (!known.followerLeft) {
-			sight.firstFollower()
-				.ifPresent((member) -> sendUnlessRecent(nowNanos, new ReplicaOrder.Leave(member, known.id)));
+	// Orders a follower to leave. Returns whether the head must have broken since.
+	private boolean hasHeadStallTimeoutElapsed(long nowNanos, TrackedGroup tracked, GroupStatus status) {
+		if (!tracked.followerLeft) {
+			status.firstFollower()
+				.ifPresent((member) -> sendUnlessRecent(nowNanos, new ReplicaOrder.Leave(member, tracked.id)));
 			return false;
 		}
-		if (known.followerLeftAtNanos == 0) {
-			// Counted from when the answer is seen, which is later than when it took
-			// effect.
-			known.followerLeftAtNanos = nowNanos;
+		if (tracked.followerLeftAtNanos == 0) {
+			// Measured from when the answer is processed, which is later than when the
+			// member left.
+			tracked.followerLeftAtNanos = nowNanos;
 		}
-		return hasElapsed(nowNanos, known.followerLeftAtNanos,
+		return hasElapsed(nowNanos, tracked.followerLeftAtNanos,
 				this.times.stallTimeoutNanos() + STALL_TIMEOUT_MARGIN_NANOS);
 	}
 
-	// Once an order to open is out, the head may carry it out seconds later, also after a
-	// close. Only a head that has left the group can no longer open it.
-	private boolean mayReleaseMembers(long nowNanos, TrackedGroup known, ServingInstance head) {
-		if (known.formedByThisPlanner && !known.openOrdered) {
+	// After an open order was sent, the head may still execute it seconds later, even
+	// after a close. Only a head that has left the group can no longer open it.
+	private boolean mayReleaseMembers(long nowNanos, TrackedGroup tracked, ServingInstance head) {
+		if (tracked.formedByThisPlanner && !tracked.openOrdered) {
 			return true;
 		}
-		return hasElapsed(nowNanos, known.trackedSinceNanos, EARLIER_ORDERS_VISIBLE_NANOS)
-				&& ensureHeadLeft(nowNanos, known, head);
+		return hasElapsed(nowNanos, tracked.trackedSinceNanos, EARLIER_ORDERS_VISIBLE_NANOS)
+				&& ensureHeadLeft(nowNanos, tracked, head);
 	}
 
-	private boolean ensureHeadLeft(long nowNanos, TrackedGroup known, ServingInstance head) {
-		if (known.headLeft) {
+	// Orders the head to close and then to leave. Returns whether it has left.
+	private boolean ensureHeadLeft(long nowNanos, TrackedGroup tracked, ServingInstance head) {
+		if (tracked.headLeft) {
 			return true;
 		}
-		sendUnlessRecent(nowNanos, known.headClosed ? new ReplicaOrder.Leave(head, known.id)
-				: new ReplicaOrder.Close(head, known.id, true));
+		sendUnlessRecent(nowNanos, tracked.headClosed ? new ReplicaOrder.Leave(head, tracked.id)
+				: new ReplicaOrder.Close(head, tracked.id, true));
 		return false;
 	}
 
-	private boolean orderOpen(long nowNanos, TrackedGroup known, GroupStatus sight) {
-		known.incompleteSinceNanos = 0;
-		known.openOrdered = true;
-		known.headClosed = false;
-		sendUnlessRecent(nowNanos, new ReplicaOrder.Open(sight.head().orElseThrow(), known.id));
+	private boolean orderOpen(long nowNanos, TrackedGroup tracked, GroupStatus status) {
+		tracked.incompleteSinceNanos = 0;
+		tracked.openOrdered = true;
+		tracked.headClosed = false;
+		sendUnlessRecent(nowNanos, new ReplicaOrder.Open(status.head().orElseThrow(), tracked.id));
 		return true;
 	}
 
-	private boolean retryJoins(long nowNanos, TrackedGroup known, Map<String, ServingInstance> instances) {
-		if (!known.formedByThisPlanner) {
-			// What the last planner began is not known in full, so it is begun anew.
-			return !hasElapsed(nowNanos, incompleteSince(nowNanos, known), JOIN_REPORT_TIMEOUT_NANOS);
+	// Returns whether the group can still be completed.
+	private boolean retryJoins(long nowNanos, TrackedGroup tracked, Map<String, ServingInstance> instances) {
+		if (!tracked.formedByThisPlanner) {
+			// The orders of the previous planner are not fully known, so the group is
+			// formed again.
+			return !hasElapsed(nowNanos, incompleteSince(nowNanos, tracked), JOIN_REPORT_TIMEOUT_NANOS);
 		}
-		for (final String id : known.memberIds) {
+		for (final String id : tracked.memberIds) {
 			final ServingInstance instance = instances.get(id);
-			if (!instance.isMemberOf(known.id) && !isInActiveGroup(instance)) {
-				orderJoin(nowNanos, known, instance);
+			if (!instance.isMemberOf(tracked.id) && !isInActiveGroup(instance)) {
+				orderJoin(nowNanos, tracked, instance);
 			}
 		}
 		return true;
 	}
 
-	void orderJoin(long nowNanos, TrackedGroup known, ServingInstance instance) {
-		sendUnlessRecent(nowNanos, new ReplicaOrder.Join(instance, known.id, known.memberIds));
+	void orderJoin(long nowNanos, TrackedGroup tracked, ServingInstance instance) {
+		sendUnlessRecent(nowNanos, new ReplicaOrder.Join(instance, tracked.id, tracked.memberIds));
 	}
 
 	private void sendUnlessRecent(long nowNanos, ReplicaOrder.GroupOrder order) {
 		final String key = order.instance().id() + ' ' + order.verb() + ' ' + order.group().epoch();
-		final Long sent = this.sentAtNanos.get(key);
-		if (sent == null || nowNanos - sent >= RESEND_INTERVAL_NANOS) {
+		final Long lastSentNanos = this.sentAtNanos.get(key);
+		if (lastSentNanos == null || nowNanos - lastSentNanos >= RESEND_INTERVAL_NANOS) {
 			this.sentAtNanos.put(key, nowNanos);
 			this.orders.add(order);
 		}
 	}
 
-	private static long incompleteSince(long nowNanos, TrackedGroup known) {
-		if (known.incompleteSinceNanos == 0) {
-			known.incompleteSinceNanos = nowNanos;
+	private static long incompleteSince(long nowNanos, TrackedGroup tracked) {
+		if (tracked.incompleteSinceNanos == 0) {
+			tracked.incompleteSinceNanos = nowNanos;
 		}
-		return known.incompleteSinceNanos;
+		return tracked.incompleteSinceNanos;
 	}
 
 	private static boolean hasElapsed(long nowNanos, long sinceNanos, long boundNanos) {
@@ -212,18 +223,18 @@
 	}
 
 	/**
-	 * Returns whether an instance must not be ordered into another group. That is so too
-	 * for one that no group counts on: a new life that has carried out an order for the
-	 * former one.
+	 * Returns whether an instance must not be assigned to another group. That includes an
+	 * instance that no group lists as a member: a restarted one that has executed a join
+	 * order meant for the instance that ran at its address before.
 	 * @param instance the instance
-	 * @return whether it belongs to a group that is not over
+	 * @return whether it belongs to a group that has not ended
 	 */
 	boolean isReserved(ServingInstance instance) {
 		return this.reservedIds.contains(instance.id()) || isInActiveGroup(instance);
 	}
 
 	private boolean isInActiveGroup(ServingInstance instance) {
-		return instance.membership().filter((own) -> this.activeGroups.contains(own.group())).isPresent();
+		return instance.membership().filter((membership) -> this.activeGroups.contains(membership.group())).isPresent();
 	}
 
 	void reserve(String instanceId) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupStatus.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupStatus.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * How one group stands by what its members report now.
+ * Evaluates a group's state from what its members currently report.
  */
 final class GroupStatus {
 
@@ -25,7 +25,8 @@
 		return head().flatMap((head) -> head.stateIn(this.tracked.id));
 	}
 
-	// Some member that is listed, belongs to the group and does not head it.
+	// Returns the first listed member by rank, other than the head, that reports this
+	// group.
 	Optional<ServingInstance> firstFollower() {
 		return this.tracked.memberIds.stream()
 			.skip(1)
@@ -43,14 +44,15 @@
 			.anyMatch((id) -> id != null && this.instances.containsKey(id) && this.instances.get(id).draining());
 	}
 
-	// Whether every member says that it belongs to the group.
+	// Returns whether every member reports that it belongs to the group.
 	boolean allJoined() {
 		return this.tracked.memberIds.stream()
 			.allMatch((id) -> id != null && this.instances.containsKey(id)
 					&& this.instances.get(id).isMemberOf(this.tracked.id));
 	}
 
-	// Whether some member is still on its way into the group, or was not heard of yet.
+	// Returns whether a listed member of a group that was never ordered to open is still
+	// joining, or has not reported this group yet.
 	boolean anyJoining() {
 		return !this.tracked.openOrdered && this.tracked.memberIds.stream()
 			.map(this.instances::get)
@@ -58,17 +60,17 @@
 					&& instance.stateIn(this.tracked.id).orElse(MemberState.JOINING) == MemberState.JOINING);
 	}
 
-	// Whether some member belongs to a later group by now.
+	// Returns whether a member reports a group with a higher epoch.
 	boolean anyInLaterGroup() {
 		return this.tracked.memberIds.stream()
 			.anyMatch((id) -> id != null && this.instances.containsKey(id)
 					&& this.instances.get(id)
 						.membership()
-						.filter((own) -> own.group().epoch() > this.tracked.id.epoch())
+						.filter((membership) -> membership.group().epoch() > this.tracked.id.epoch())
 						.isPresent());
 	}
 
-	// Whether every member is prepared and none has noticed a loss.
+	// Returns whether every member is ready in this group and none has noticed a loss.
 	boolean allReady() {
 		return allJoined() && this.tracked.memberIds.stream().allMatch((id) -> {
 			final MemberState state = this.instances.get(id).stateIn(this.tracked.id).orElseThrow();
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/LeavingInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/LeavingInstances.java
@@ -6,38 +6,42 @@
 import java.util.Set;
 
 /**
- * The instances that have said that they leave.
+ * Records the instances that have announced that they are leaving.
  * <p>
- * The list may not show it yet, and some instances never tell it; it may even show an
- * instance as ready again whose word to the list was lost. What an instance said itself
- * holds for as long as its id does.
+ * The instance list may not show it yet, and some instances never report it there; if an
+ * instance's update to the list was lost, the list may even show it as ready again. What
+ * an instance itself announced is valid for the lifetime of its id.
  */
 public final class LeavingInstances {
 
-	/** Ids are new with each start, so the oldest belong to instances long gone. */
+	/**
+	 * Each start creates a new id, so the oldest ids belong to instances that no longer
+	 * exist.
+	 */
 	private static final int MAX_RETAINED = 4_096;
 
 	private final Set<String> ids = new LinkedHashSet<>();
 
 	/**
-	 * Notes that an instance leaves.
+	 * Records that an instance is leaving.
 	 * @param instanceId the instance
-	 * @return whether that is news
+	 * @return whether this was not known before
 	 */
 	public boolean add(String instanceId) {
-		final boolean news = this.ids.add(instanceId);
+		final boolean added = this.ids.add(instanceId);
 		if (this.ids.size() > MAX_RETAINED) {
 			final Iterator<String> oldest = this.ids.iterator();
 			oldest.next();
 			oldest.remove();
 		}
-		return news;
+		return added;
 	}
 
 	/**
-	 * Puts right what the list says.
+	 * Overrides the draining state of the listed instances that have announced that they
+	 * are leaving.
 	 * @param listed the listed instances
-	 * @return the same instances, with those that leave shown as draining
+	 * @return the same instances, with the leaving ones marked as draining
 	 */
 	public List<ServingInstance> markDraining(List<ServingInstance> listed) {
 		if (this.ids.isEmpty()) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/LoadReport.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/LoadReport.java
@@ -1,15 +1,15 @@
 package org.pistachioline.core.replica;
 
 /**
- * What an instance told of its load.
+ * The request load that an instance reported.
  *
- * @param running how many requests it runs, from all daemons
- * @param waiting how many requests wait there, from all daemons
- * @param receivedAtNanos when it was heard, by the monotonic clock
+ * @param running the number of requests that it runs, from all daemons
+ * @param waiting the number of requests in its queue, from all daemons
+ * @param receivedAtNanos the monotonic time at which the report was received
  */
 public record LoadReport(int running, int waiting, long receivedAtNanos) {
 
-	/** Nothing was told. */
+	/** Stands for an instance that has not reported its load. */
 	public static final LoadReport NONE = new LoadReport(0, 0, 0);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/MemberState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/MemberState.java
@@ -1,23 +1,23 @@
 package org.pistachioline.core.replica;
 
 /**
- * How far an instance is in its group.
+ * The state of an instance within its group.
  */
 public enum MemberState {
 
-	/** It prepares: it loads or takes over weights. */
+	/** The member prepares: it loads weights or takes over those it holds. */
 	JOINING,
 
-	/** It is prepared; a head in this state takes no requests. */
+	/** The member is ready to serve; a head in this state does not accept requests. */
 	READY,
 
-	/** It is a head that takes requests. */
+	/** The head accepts requests. */
 	OPEN,
 
-	/** It is a head that finishes what it has and takes nothing new. */
+	/** The head finishes its requests and accepts no new ones. */
 	CLOSING,
 
-	/** It is a head that has noticed the loss of a member. */
+	/** The head has noticed the loss of a member. */
 	BROKEN
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ModelInstanceCounts.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ModelInstanceCounts.java
@@ -7,12 +7,14 @@
 import org.pistachioline.core.route.EngineModel;
 
 /**
- * Counts the instances of each model's groups, in all and by fabric domain and
- * availability zone. A group that lost a member or is being closed no longer counts.
+ * Counts the instances in each model's groups, in total, by fabric domain and by
+ * availability zone. Groups that lost a member or are being closed are not counted.
  */
 final class ModelInstanceCounts {
 
-	/** A model without a declared share still gets instances when others have enough. */
+	/**
+	 * Lets a model without a declared share get instances once the others have enough.
+	 */
 	private static final double MIN_SHARE_RATIO = 0.01;
 
 	private final Map<String, Integer> counts = new HashMap<>();
@@ -21,12 +23,12 @@
 
 	private final long usableInstances;
 
-	ModelInstanceCounts(PlannerView view, Collection<TrackedGroup> records, Map<String, ServingInstance> byId) {
+	ModelInstanceCounts(PlannerView view, Collection<TrackedGroup> trackedGroups, Map<String, ServingInstance> byId) {
 		this.totalShareRatio = view.engine().models().stream().mapToDouble(ModelInstanceCounts::shareRatio).sum();
 		this.usableInstances = view.instances().stream().filter((instance) -> !instance.draining()).count();
-		for (final TrackedGroup known : records) {
-			if (!known.dissolving && new GroupStatus(known, byId).allListed()) {
-				known.memberIds.forEach((id) -> add(known.id.model(), byId.get(id)));
+		for (final TrackedGroup tracked : trackedGroups) {
+			if (!tracked.dissolving && new GroupStatus(tracked, byId).allListed()) {
+				tracked.memberIds.forEach((id) -> add(tracked.id.model(), byId.get(id)));
 			}
 		}
 	}
@@ -41,8 +43,8 @@
 		return model + "\ndomain " + domain;
 	}
 
-	private static String availabilityZoneKey(String model, String zone) {
-		return model + "\nzone " + zone;
+	private static String availabilityZoneKey(String model, String availabilityZone) {
+		return model + "\nzone " + availabilityZone;
 	}
 
 	private static double shareRatio(EngineModel model) {
@@ -53,13 +55,13 @@
 		return this.counts.getOrDefault(domainKey(model, domain), 0);
 	}
 
-	int inAvailabilityZone(String model, String zone) {
-		return this.counts.getOrDefault(availabilityZoneKey(model, zone), 0);
+	int inAvailabilityZone(String model, String availabilityZone) {
+		return this.counts.getOrDefault(availabilityZoneKey(model, availabilityZone), 0);
 	}
 
-	// How far a model's share is filled halfway to its next group. Groups differ in size;
-	// of two models the one with the lower value stays nearer to its share after its next
-	// group.
+	// Returns the fill ratio halfway to the model's next group. Because groups differ in
+	// size, the model with the lower value is the one that stays closer to its share
+	// after its next group.
 	double nextFillRatio(EngineModel model) {
 		return (this.counts.getOrDefault(model.name(), 0) + model.members() / 2.0) / shareRatio(model);
 	}
@@ -68,20 +70,21 @@
 		return fillRatio(model, 0);
 	}
 
-	// How far a model's instances fill its share, or would with some more of them.
-	double fillRatio(EngineModel model, int more) {
-		return (this.counts.getOrDefault(model.name(), 0) + more) / shareRatio(model);
+	// Returns the ratio of the model's instances, plus or minus a number of them, to its
+	// share.
+	double fillRatio(EngineModel model, int additionalInstances) {
+		return (this.counts.getOrDefault(model.name(), 0) + additionalInstances) / shareRatio(model);
 	}
 
 	/**
-	 * Returns whether a model has at least one whole group less than its share of the
-	 * instances that there are.
+	 * Returns whether a model is at least one whole group below its share of the usable
+	 * instances.
 	 * @param model the model
-	 * @return whether it is short
+	 * @return whether it is underprovisioned
 	 */
 	boolean isUnderprovisioned(EngineModel model) {
-		final double due = this.usableInstances * shareRatio(model) / this.totalShareRatio;
-		return due - this.counts.getOrDefault(model.name(), 0) >= model.members();
+		final double entitledInstances = this.usableInstances * shareRatio(model) / this.totalShareRatio;
+		return entitledInstances - this.counts.getOrDefault(model.name(), 0) >= model.members();
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/OrderOutcome.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/OrderOutcome.java
@@ -1,29 +1,35 @@
 package org.pistachioline.core.replica;
 
 /**
- * What came of an order.
+ * The result of an order to an instance.
  */
 public enum OrderOutcome {
 
-	/** The order has begun. */
+	/** The instance has started to execute the order. */
 	STARTED,
 
-	/** What was ordered holds already. */
+	/** The ordered state already holds. */
 	HOLDS,
 
-	/** The order does not fit the instance's state. */
+	/** The order cannot be executed in the instance's current state. */
 	UNFIT,
 
-	/** The instance has seen a higher fencing token or epoch. */
+	/**
+	 * The instance rejected the order because it has seen a higher fencing token or
+	 * epoch.
+	 */
 	FENCED,
 
-	/** Another instance has the address now. */
+	/** Another instance runs at this address now. */
 	OTHER_INSTANCE,
 
-	/** The instance knows no such order. */
+	/** The instance does not support the order. */
 	INVALID,
 
-	/** No answer came: it may have begun, or may begin seconds later. */
+	/**
+	 * No answer arrived: the order may have been executed, or may be executed seconds
+	 * later.
+	 */
 	UNKNOWN
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerCandidates.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerCandidates.java
@@ -7,21 +7,22 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Which daemons ask for the planner's lease.
+ * Determines which daemons are candidates for the planner lease.
  * <p>
- * Made for fleets of dozens to hundreds of daemons that are restarted again and again.
- * Were all of them members of the lease's group, each would call the store twice a second
- * for nothing, and with each start and death of any of them the lease would be dealt
- * anew: a planner that changes leaves survivors of broken groups idle for seconds. So
- * only the first few in an order by the hash of their names ask, which all know without a
- * message. Views of who lives may differ for seconds: then one daemon more asks.
+ * Designed for dozens to hundreds of daemons with frequent restarts. If all of them were
+ * members of the lease's group, each would call the store twice a second to no purpose,
+ * and every start or failure of a daemon would reassign the lease; a change of the
+ * planner leaves the survivors of broken groups idle for seconds. Only the first few
+ * daemons in the order of their hashed ids are therefore candidates, which each daemon
+ * computes without communication. While the daemons' views of the live members differ,
+ * for some seconds, one more daemon may be a candidate.
  */
 public final class PlannerCandidates {
 
 	/**
-	 * Half of a fleet may die at once; that all of these are among them is unlikely. In a
-	 * fleet no larger than this all ask, so that nobody has to leave the group again when
-	 * daemons come back.
+	 * Large enough that a simultaneous failure of half of the fleet is unlikely to
+	 * include all candidates. In a fleet of at most this size every daemon is a
+	 * candidate, so that none has to leave the lease's group when others return.
 	 */
 	private static final int MAX_CANDIDATES = 8;
 
@@ -33,10 +34,11 @@
 	}
 
 	/**
-	 * Returns whether a daemon asks for the lease.
+	 * Returns whether a daemon is a candidate for the lease.
 	 * @param selfId the daemon
-	 * @param liveIds the live daemons that are not leaving, itself included or not
-	 * @return whether it does
+	 * @param liveIds the live daemons that are not leaving; may or may not contain the
+	 * daemon itself
+	 * @return whether it is a candidate
 	 */
 	public static boolean includes(String selfId, Collection<String> liveIds) {
 		return liveIds.stream()
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerTimes.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerTimes.java
@@ -1,11 +1,11 @@
 package org.pistachioline.core.replica;
 
 /**
- * The times that the planner keeps to.
+ * The timeouts of the planner.
  *
- * @param stallTimeoutNanos how long a head goes on as though nothing had happened after
- * it lost a member; until then it may still hold requests of the group
- * @param loadWindowNanos over what time the rate of loads is counted
+ * @param stallTimeoutNanos how long a head runs on after it has lost a member; until then
+ * it may still hold requests of the group
+ * @param loadWindowNanos the window over which the rate of weight loads is measured
  */
 public record PlannerTimes(long stallTimeoutNanos, long loadWindowNanos) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerView.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerView.java
@@ -7,15 +7,16 @@
 import org.pistachioline.core.route.EngineSpec;
 
 /**
- * What the planner of one service sees at a moment.
+ * The input to one planning pass for a service.
  *
  * @param nowNanos the monotonic time
- * @param engine the service's engines
- * @param instances the service's instances, those that leave included
- * @param delisted instances that the list dropped lately, as they were listed last
- * @param unresponsiveIds instances that answered nothing though other members of their
+ * @param engine the engine specification of the service
+ * @param instances the service's instances, including draining ones
+ * @param delisted instances that were recently delisted, as they were last listed
+ * @param unresponsiveIds instances that did not answer although other members of their
  * group did
- * @param beforeTraffic whether no request has come yet, so that loads are not counted
+ * @param beforeTraffic whether no request has arrived yet, so that weight loads are not
+ * limited
  */
 public record PlannerView(long nowNanos, EngineSpec engine, Collection<ServingInstance> instances,
 		Collection<ServingInstance> delisted, Set<String> unresponsiveIds, boolean beforeTraffic) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PoolSummary.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PoolSummary.java
@@ -3,17 +3,18 @@
 import java.util.Map;
 
 /**
- * Where the instances of one service are, as the planner sees them. It tells an operator
- * why fewer groups serve than there are instances for.
+ * Summarizes the state of a service's instances as the planner sees it. It shows an
+ * operator why fewer groups serve than the number of instances allows.
  *
- * @param listed the instances in the list
- * @param draining those that are about to leave
- * @param serving the open and whole groups, by model
- * @param forming the members of groups that are prepared or on their way to it
- * @param waiting the members of groups that lost a member or are being closed
- * @param freeWarm those in no group that hold the weights of some model
- * @param freeEmpty those in no group that hold none
- * @param loading those that load weights, in a group or not
+ * @param listed the number of listed instances
+ * @param draining the number of instances that are about to leave
+ * @param serving the number of open and complete groups, by model
+ * @param forming the number of members in groups that were not yet ordered to open
+ * @param waiting the number of members in the other groups that do not serve, which lost
+ * a member or are being closed
+ * @param freeWarm the number of instances in no group that hold a model's weights
+ * @param freeEmpty the number of instances in no group that hold no weights
+ * @param loading the number of weight loads in progress, by staging or by joining a group
  */
 public record PoolSummary(int listed, int draining, Map<String, Integer> serving, int forming, int waiting,
 		int freeWarm, int freeEmpty, int loading) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaOrder.java
@@ -3,35 +3,35 @@
 import java.util.List;
 
 /**
- * An order to one instance.
+ * An order from the planner to one instance.
  */
 public sealed interface ReplicaOrder {
 
 	/**
-	 * Returns the instance that it goes to.
+	 * Returns the recipient of the order.
 	 * @return the instance
 	 */
 	ServingInstance instance();
 
 	/**
-	 * Returns what it is about, for logs: a group or a model.
+	 * Returns the name of the group or model that the order concerns, for logs.
 	 * @return the name
 	 */
 	String subject();
 
 	/**
-	 * Returns the order's name in logs.
+	 * Returns the name of the operation, which is sent to the instance and logged.
 	 * @return the name
 	 */
 	String verb();
 
 	/**
-	 * An order about one group, which affects no other.
+	 * An order that concerns one group and affects no other.
 	 */
 	sealed interface GroupOrder extends ReplicaOrder {
 
 		/**
-		 * Returns the group that it is about.
+		 * Returns the group that the order concerns.
 		 * @return the group
 		 */
 		GroupId group();
@@ -44,7 +44,8 @@
 	}
 
 	/**
-	 * Makes a host load a model's weights, beside all that its instance does.
+	 * Loads a model's weights onto the instance's host while the instance continues its
+	 * work.
 	 *
 	 * @param instance the instance
 	 * @param model the model
@@ -64,7 +65,7 @@
 	}
 
 	/**
-	 * Makes the instance a member of a group; it leaves any other.
+	 * Makes the instance a member of a group, leaving any other group.
 	 *
 	 * @param instance the instance
 	 * @param group the group
@@ -84,7 +85,7 @@
 	}
 
 	/**
-	 * Makes a head take requests.
+	 * Makes the head of a group accept requests.
 	 *
 	 * @param instance the head
 	 * @param group the group
@@ -99,7 +100,7 @@
 	}
 
 	/**
-	 * Takes an instance out of its group.
+	 * Removes an instance from its group.
 	 *
 	 * @param instance the instance
 	 * @param group the group
@@ -114,11 +115,11 @@
 	}
 
 	/**
-	 * Makes a head take no more requests.
+	 * Makes the head of a group stop accepting requests.
 	 *
 	 * @param instance the head
 	 * @param group the group
-	 * @param abortRequests whether it drops what it has instead of finishing it
+	 * @param abortRequests whether the head aborts its requests instead of finishing them
 	 */
 	record Close(ServingInstance instance, GroupId group, boolean abortRequests) implements GroupOrder {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaPlanner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaPlanner.java
@@ -14,18 +14,19 @@
 import org.pistachioline.core.route.EngineModel;
 
 /**
- * Keeps the instances of one service in groups that serve.
+ * Plans the groups of one service's instances.
  * <p>
- * It compares what the instances report with what should be and orders the difference, so
- * that a planner that takes over goes on from the reports alone. Orders may be lost, or
- * be carried out seconds late and after newer ones: each names its group and epoch, and
- * epochs only rise over all planners, so that a late order cannot undo a newer one. One
- * thread calls it.
+ * Each pass compares the instances' reports with the desired state and orders the
+ * difference, so that a new planner can continue from the reports alone. Orders may be
+ * lost, or be executed seconds late and after newer ones. Each order names its group and
+ * epoch, and epochs increase across all planners, so that a late order cannot undo a
+ * newer one. Must be called by one thread only.
  */
 public final class ReplicaPlanner {
 
 	/**
-	 * How many groups one planner may form in one term; epochs of terms do not overlap.
+	 * Bits of an epoch that number the groups formed in one term. They limit a term to
+	 * 2^20 groups, so that the epochs of different terms do not overlap.
 	 */
 	private static final int EPOCH_COUNTER_BITS = 20;
 
@@ -54,8 +55,8 @@
 	private long groupsFormedInTerm;
 
 	/**
-	 * Creates a planner that knows of no group.
-	 * @param times the times to keep to
+	 * Creates a planner without any known groups.
+	 * @param times the planner's timeouts
 	 */
 	public ReplicaPlanner(PlannerTimes times) {
 		this.reconciler = new GroupReconciler(times, Collections.unmodifiableSet(this.trackedGroups.keySet()));
@@ -63,21 +64,23 @@
 	}
 
 	/**
-	 * Begins a term: this daemon has become the planner, or its lease was renewed under a
-	 * higher number.
+	 * Begins a term: this daemon has become the planner, or its lease was renewed with a
+	 * higher term.
 	 * @param nowNanos the monotonic time
-	 * @param newTerm the lease's number, which rises with every change of its holder
-	 * @param heldBefore whether this daemon held the lease all the while
+	 * @param newTerm the term of the lease, which increases with every change of its
+	 * holder
+	 * @param heldContinuously whether this daemon held the lease without interruption
 	 */
-	public void beginTerm(long nowNanos, long newTerm, boolean heldBefore) {
-		if (!heldBefore) {
+	public void beginTerm(long nowNanos, long newTerm, boolean heldContinuously) {
+		if (!heldContinuously) {
 			this.trackedGroups.clear();
 			this.endedGroups.clear();
 			this.loadLimiter.takeOver(nowNanos);
 			this.unansweredJoins.takeOver(nowNanos);
 		}
-		// A lease that lapsed while the store was away may be held again under the number
-		// that it had. Its epochs go on, as groups of that term still serve.
+		// A lease that expired while the store was unavailable may be reacquired with the
+		// same term. The epochs then continue, as groups formed earlier in that term
+		// still serve.
 		if (newTerm != this.term) {
 			this.groupsFormedInTerm = 0;
 		}
@@ -85,8 +88,8 @@
 	}
 
 	/**
-	 * Decides which orders are sent now.
-	 * @param view what is seen
+	 * Decides which orders to send now.
+	 * @param view the current input
 	 * @return the orders
 	 */
 	public List<ReplicaOrder> plan(PlannerView view) {
@@ -101,40 +104,41 @@
 		trackReportedGroups(view);
 		this.reconciler.startPass(view.nowNanos());
 		this.trackedGroups.values()
-			.forEach((known) -> known.headUnresponsive |= known.headId() != null
-					&& view.unresponsiveIds().contains(known.headId()));
-		this.trackedGroups.values().removeIf((known) -> {
-			final boolean over = this.reconciler.reconcile(view.nowNanos(), known, byId);
-			if (over) {
-				this.endedGroups.add(view.nowNanos(), known);
+			.forEach((tracked) -> tracked.headUnresponsive |= tracked.headId() != null
+					&& view.unresponsiveIds().contains(tracked.headId()));
+		this.trackedGroups.values().removeIf((tracked) -> {
+			final boolean ended = this.reconciler.reconcile(view.nowNanos(), tracked, byId);
+			if (ended) {
+				this.endedGroups.add(view.nowNanos(), tracked);
 			}
-			return over;
+			return ended;
 		});
-		final List<ReplicaOrder> stagings = assignFreeInstances(view, byId);
+		final List<ReplicaOrder> stagingOrders = assignFreeInstances(view, byId);
 		final List<ReplicaOrder> orders = new ArrayList<>(this.reconciler.orders());
-		orders.addAll(stagings);
+		orders.addAll(stagingOrders);
 		return orders;
 	}
 
-	// Groups that another planner formed are known by their members' reports only.
+	// Groups that another planner formed are known only from their members' reports.
 	private void trackReportedGroups(PlannerView view) {
 		final Map<GroupId, List<ServingInstance>> reported = new HashMap<>();
 		view.instances()
 			.forEach((instance) -> instance.membership()
-				.ifPresent((own) -> reported.computeIfAbsent(own.group(), (group) -> new ArrayList<>()).add(instance)));
+				.ifPresent((membership) -> reported.computeIfAbsent(membership.group(), (group) -> new ArrayList<>())
+					.add(instance)));
 		this.endedGroups.removeEnded(view.nowNanos(), reported);
 		reported.forEach((group, members) -> {
 			final Optional<EngineModel> model = view.engine().model(group.model());
-			final TrackedGroup known = this.trackedGroups.get(group);
+			final TrackedGroup tracked = this.trackedGroups.get(group);
 			if (model.isPresent()
-					&& (known == null || (!known.formedByThisPlanner && known.memberIds.contains(null)))) {
-				this.trackedGroups.put(group, reconstruct(view, group, model.get(), members, known));
+					&& (tracked == null || (!tracked.formedByThisPlanner && tracked.memberIds.contains(null)))) {
+				this.trackedGroups.put(group, reconstruct(view, group, model.get(), members, tracked));
 			}
 		});
 	}
 
 	private static TrackedGroup reconstruct(PlannerView view, GroupId group, EngineModel model,
-			Collection<ServingInstance> members, TrackedGroup before) {
+			Collection<ServingInstance> members, TrackedGroup previous) {
 		final String[] ids = new String[model.members()];
 		members.forEach((instance) -> {
 			final int rank = instance.membership().orElseThrow().rank();
@@ -142,32 +146,32 @@
 				ids[rank] = instance.id();
 			}
 		});
-		final Optional<ServingInstance> departedHead = view.delisted()
+		final Optional<ServingInstance> delistedHead = view.delisted()
 			.stream()
 			.filter((instance) -> instance.isMemberOf(group) && instance.membership().orElseThrow().rank() == 0)
 			.findFirst();
 		if (ids[0] == null) {
-			ids[0] = departedHead.map(ServingInstance::id).orElse(null);
+			ids[0] = delistedHead.map(ServingInstance::id).orElse(null);
 		}
-		if (before != null) {
+		if (previous != null) {
 			// A member that has left no longer reports the group, but it is not free yet.
 			for (int rank = 0; rank < ids.length; rank++) {
-				ids[rank] = (ids[rank] != null) ? ids[rank] : before.memberIds.get(rank);
+				ids[rank] = (ids[rank] != null) ? ids[rank] : previous.memberIds.get(rank);
 			}
 		}
-		final TrackedGroup learnt = new TrackedGroup(group, Arrays.asList(ids), 0, false,
-				(before != null) ? before.trackedSinceNanos : view.nowNanos());
-		learnt.lastListedHead = departedHead.orElse(null);
-		learnt.openOrdered = true;
-		if (before != null) {
-			learnt.incompleteSinceNanos = before.incompleteSinceNanos;
-			learnt.headClosed = before.headClosed;
-			learnt.headLeft = before.headLeft;
-			learnt.headUnresponsive = before.headUnresponsive;
-			learnt.followerLeft = before.followerLeft;
-			learnt.followerLeftAtNanos = before.followerLeftAtNanos;
+		final TrackedGroup reconstructed = new TrackedGroup(group, Arrays.asList(ids), 0, false,
+				(previous != null) ? previous.trackedSinceNanos : view.nowNanos());
+		reconstructed.lastListedHead = delistedHead.orElse(null);
+		reconstructed.openOrdered = true;
+		if (previous != null) {
+			reconstructed.incompleteSinceNanos = previous.incompleteSinceNanos;
+			reconstructed.headClosed = previous.headClosed;
+			reconstructed.headLeft = previous.headLeft;
+			reconstructed.headUnresponsive = previous.headUnresponsive;
+			reconstructed.followerLeft = previous.followerLeft;
+			reconstructed.followerLeftAtNanos = previous.followerLeftAtNanos;
 		}
-		return learnt;
+		return reconstructed;
 	}
 
 	private List<ReplicaOrder> assignFreeInstances(PlannerView view, Map<String, ServingInstance> byId) {
@@ -178,16 +182,17 @@
 			.toList());
 		this.allocator.updateIdleTimes(view.nowNanos(), free);
 		this.staging.removeFinishedLoads(view.nowNanos(), byId);
-		final boolean loadWaits = formGroups(view, free, byId);
-		final ModelInstanceCounts census = countInstances(view, byId);
+		final boolean loadPending = formGroups(view, free, byId);
+		final ModelInstanceCounts counts = countInstances(view, byId);
 		if (!view.beforeTraffic()) {
-			this.rebalancer.selectGroupsToClose(view.engine(), free, servingGroups(byId), byId, census)
-				.forEach((known) -> known.dissolving = true);
+			this.rebalancer.selectGroupsToClose(view.engine(), free, servingGroups(byId), byId, counts)
+				.forEach((tracked) -> tracked.dissolving = true);
 		}
-		return (loadWaits || this.staging.hasUnsupported()) ? List.of() : stageWeights(view, free, census, byId);
+		return (loadPending || this.staging.hasUnsupported()) ? List.of() : stageWeights(view, free, counts, byId);
 	}
 
-	// Returns whether a group could be formed now but for the loads that it needs.
+	// Forms groups until none is possible. Returns whether the next group is held back
+	// only by the limits on weight loads.
 	private boolean formGroups(PlannerView view, List<ServingInstance> free, Map<String, ServingInstance> byId) {
 		final boolean loadsAllowed = view.beforeTraffic() || this.staging.hasUnsupported();
 		Optional<GroupAllocator.Proposal> next = this.allocator.nextProposal(view, free, countInstances(view, byId),
@@ -207,31 +212,31 @@
 	private List<TrackedGroup> servingGroups(Map<String, ServingInstance> byId) {
 		return this.trackedGroups.values()
 			.stream()
-			.filter((known) -> !known.dissolving)
-			.filter((known) -> isServing(new GroupStatus(known, byId)))
+			.filter((tracked) -> !tracked.dissolving)
+			.filter((tracked) -> isServing(new GroupStatus(tracked, byId)))
 			.toList();
 	}
 
-	private static boolean isServing(GroupStatus sight) {
-		return sight.allListed() && sight.allReady() && !sight.anyDraining()
-				&& sight.headState().filter((state) -> state == MemberState.OPEN).isPresent();
+	private static boolean isServing(GroupStatus status) {
+		return status.allListed() && status.allReady() && !status.anyDraining()
+				&& status.headState().filter((state) -> state == MemberState.OPEN).isPresent();
 	}
 
-	private List<ReplicaOrder> stageWeights(PlannerView view, List<ServingInstance> free, ModelInstanceCounts census,
+	private List<ReplicaOrder> stageWeights(PlannerView view, List<ServingInstance> free, ModelInstanceCounts counts,
 			Map<String, ServingInstance> byId) {
 		final List<ReplicaOrder> orders = new ArrayList<>();
-		Optional<ReplicaOrder.Stage> next = tryStartLoads(view, 1, byId) ? this.staging.nextOrder(view, census, free)
+		Optional<ReplicaOrder.Stage> next = tryStartLoads(view, 1, byId) ? this.staging.nextOrder(view, counts, free)
 				: Optional.empty();
 		while (next.isPresent()) {
 			orders.add(next.get());
-			next = tryStartLoads(view, 1, byId) ? this.staging.nextOrder(view, census, free) : Optional.empty();
+			next = tryStartLoads(view, 1, byId) ? this.staging.nextOrder(view, counts, free) : Optional.empty();
 		}
 		return orders;
 	}
 
-	private boolean tryStartLoadsOf(PlannerView view, GroupAllocator.Proposal formation,
+	private boolean tryStartLoadsOf(PlannerView view, GroupAllocator.Proposal proposal,
 			Map<String, ServingInstance> byId) {
-		return formation.weightLoads() == 0 || tryStartLoads(view, formation.weightLoads(), byId);
+		return proposal.weightLoads() == 0 || tryStartLoads(view, proposal.weightLoads(), byId);
 	}
 
 	private boolean tryStartLoads(PlannerView view, int loads, Map<String, ServingInstance> byId) {
@@ -241,42 +246,41 @@
 		return view.beforeTraffic() || this.loadLimiter.tryStart(view.nowNanos(), loads, view.engine());
 	}
 
-	// A group whose members had to load counts until they are prepared, and no longer
-	// when one of them is lost afterwards.
+	// The loads of a group count until its members are ready; they no longer count if a
+	// member is lost after that.
 	private int countLoadsInProgress(Map<String, ServingInstance> byId) {
 		return this.staging.countLoadsInProgress() + this.trackedGroups.values()
 			.stream()
-			.filter((known) -> known.weightLoads > 0 && new GroupStatus(known, byId).anyJoining())
-			.mapToInt((known) -> known.weightLoads)
+			.filter((tracked) -> tracked.weightLoads > 0 && new GroupStatus(tracked, byId).anyJoining())
+			.mapToInt((tracked) -> tracked.weightLoads)
 			.sum();
 	}
 
-	private void startGroup(long nowNanos, GroupAllocator.Proposal formation) {
+	private void startGroup(long nowNanos, GroupAllocator.Proposal proposal) {
 		this.groupsFormedInTerm++;
-		final GroupId group = GroupId.of(formation.model().name(),
+		final GroupId group = GroupId.of(proposal.model().name(),
 				(this.term << EPOCH_COUNTER_BITS) + this.groupsFormedInTerm);
-		final TrackedGroup formed = new TrackedGroup(group,
-				formation.members().stream().map(ServingInstance::id).toList(), formation.weightLoads(), true,
-				nowNanos);
-		this.trackedGroups.put(group, formed);
-		formation.members().forEach((member) -> {
+		final TrackedGroup tracked = new TrackedGroup(group,
+				proposal.members().stream().map(ServingInstance::id).toList(), proposal.weightLoads(), true, nowNanos);
+		this.trackedGroups.put(group, tracked);
+		proposal.members().forEach((member) -> {
 			this.reconciler.reserve(member.id());
-			this.reconciler.orderJoin(nowNanos, formed, member);
+			this.reconciler.orderJoin(nowNanos, tracked, member);
 		});
 	}
 
 	/**
-	 * Takes what came of an order. Only a refusal for good changes anything: all else
-	 * shows in the instances' reports.
+	 * Processes the result of an order. Only results that the instances' reports do not
+	 * show are used.
 	 * @param order the order
-	 * @param outcome what came of it
+	 * @param outcome the result
 	 */
 	public void onOutcome(ReplicaOrder order, OrderOutcome outcome) {
 		if (order instanceof ReplicaOrder.Join && outcome == OrderOutcome.UNKNOWN) {
 			this.unansweredJoins.add(this.nowNanos, order.instance());
 		}
-		if (order instanceof ReplicaOrder.GroupOrder ofGroup) {
-			onGroupOutcome(ofGroup, outcome);
+		if (order instanceof ReplicaOrder.GroupOrder groupOrder) {
+			onGroupOutcome(groupOrder, outcome);
 		}
 		else if (outcome == OrderOutcome.INVALID) {
 			this.staging.markUnsupported(order.instance().id());
@@ -284,55 +288,56 @@
 	}
 
 	private void onGroupOutcome(ReplicaOrder.GroupOrder order, OrderOutcome outcome) {
-		final TrackedGroup known = this.trackedGroups.get(order.group());
-		if (known != null && order instanceof ReplicaOrder.Close) {
-			known.headClosed |= outcome == OrderOutcome.STARTED || outcome == OrderOutcome.HOLDS;
-			known.headUnresponsive |= outcome == OrderOutcome.UNKNOWN;
-			// One that is in no such group, or another process, holds nothing of it.
-			known.headLeft |= outcome == OrderOutcome.UNFIT || outcome == OrderOutcome.OTHER_INSTANCE;
+		final TrackedGroup tracked = this.trackedGroups.get(order.group());
+		if (tracked != null && order instanceof ReplicaOrder.Close) {
+			tracked.headClosed |= outcome == OrderOutcome.STARTED || outcome == OrderOutcome.HOLDS;
+			tracked.headUnresponsive |= outcome == OrderOutcome.UNKNOWN;
+			// An instance outside the group, or another process at the address, holds
+			// none of its requests.
+			tracked.headLeft |= outcome == OrderOutcome.UNFIT || outcome == OrderOutcome.OTHER_INSTANCE;
 		}
-		if (known != null && order instanceof ReplicaOrder.Leave) {
-			final boolean ofHead = order.instance().id().equals(known.headId());
-			final boolean done = outcome != OrderOutcome.UNKNOWN && outcome != OrderOutcome.FENCED;
-			known.headLeft |= ofHead && done && outcome != OrderOutcome.UNFIT;
-			known.headUnresponsive |= ofHead && outcome == OrderOutcome.UNKNOWN;
-			known.followerLeft |= !ofHead && done;
+		if (tracked != null && order instanceof ReplicaOrder.Leave) {
+			final boolean toHead = order.instance().id().equals(tracked.headId());
+			final boolean settled = outcome != OrderOutcome.UNKNOWN && outcome != OrderOutcome.FENCED;
+			tracked.headLeft |= toHead && settled && outcome != OrderOutcome.UNFIT;
+			tracked.headUnresponsive |= toHead && outcome == OrderOutcome.UNKNOWN;
+			tracked.followerLeft |= !toHead && settled;
 		}
 		final boolean refused = outcome == OrderOutcome.FENCED || outcome == OrderOutcome.OTHER_INSTANCE
 				|| outcome == OrderOutcome.INVALID;
-		if (known != null && refused && order instanceof ReplicaOrder.Join) {
-			known.joinRefused = true;
+		if (tracked != null && refused && order instanceof ReplicaOrder.Join) {
+			tracked.joinRefused = true;
 		}
 	}
 
 	/**
-	 * Sums up where the instances are, for operators.
+	 * Summarizes the state of the instances for operators.
 	 * @param instances the listed instances
-	 * @return the sums, as of the last turn
+	 * @return the summary, as of the last planning pass
 	 */
 	public PoolSummary summary(Collection<ServingInstance> instances) {
 		final Map<String, ServingInstance> byId = new HashMap<>();
 		instances.forEach((instance) -> byId.put(instance.id(), instance));
 		final Map<String, Integer> serving = new HashMap<>();
-		final Set<String> grouped = new HashSet<>();
+		final Set<String> groupedIds = new HashSet<>();
 		int forming = 0;
 		int waiting = 0;
-		for (final TrackedGroup known : this.trackedGroups.values()) {
-			final GroupStatus sight = new GroupStatus(known, byId);
-			final int members = (int) known.memberIds.stream().filter(byId::containsKey).count();
-			if (isServing(sight)) {
-				serving.merge(known.id.model(), 1, Integer::sum);
+		for (final TrackedGroup tracked : this.trackedGroups.values()) {
+			final GroupStatus status = new GroupStatus(tracked, byId);
+			final int members = (int) tracked.memberIds.stream().filter(byId::containsKey).count();
+			if (isServing(status)) {
+				serving.merge(tracked.id.model(), 1, Integer::sum);
 			}
-			else if (sight.allListed() && !known.openOrdered) {
+			else if (status.allListed() && !tracked.openOrdered) {
 				forming += members;
 			}
 			else {
 				waiting += members;
 			}
-			grouped.addAll(known.memberIds);
+			groupedIds.addAll(tracked.memberIds);
 		}
 		final List<ServingInstance> free = instances.stream()
-			.filter((instance) -> !instance.draining() && !grouped.contains(instance.id()))
+			.filter((instance) -> !instance.draining() && !groupedIds.contains(instance.id()))
 			.toList();
 		final int freeWarm = (int) free.stream().filter(this.weights::holdsAny).count();
 		return new PoolSummary(byId.size(), (int) instances.stream().filter(ServingInstance::draining).count(), serving,
@@ -340,14 +345,14 @@
 	}
 
 	/**
-	 * Returns the groups that the planner knows, for operators.
-	 * @return for each group the ids of its members
+	 * Returns the groups that the planner tracks, for operators.
+	 * @return the ids of the members, by the name of the group
 	 */
 	public Map<String, List<String>> groups() {
 		final Map<String, List<String>> groups = new HashMap<>();
 		this.trackedGroups.values()
-			.forEach((known) -> groups.put(known.id.name(),
-					known.memberIds.stream().map((id) -> (id != null) ? id : "unknown").toList()));
+			.forEach((tracked) -> groups.put(tracked.id.name(),
+					tracked.memberIds.stream().map((id) -> (id != null) ? id : "unknown").toList()));
 		return groups;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ServingGroups.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ServingGroups.java
@@ -14,11 +14,12 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * Derives the targets of requests from the instances' reports.
+ * Derives the request targets from the instances' reports.
  * <p>
- * A group is a target while its head is open and every member is listed, belongs to it
- * and does not leave. Heads go on taking requests for seconds after they lost a member,
- * and those requests wait for nothing; the list of members shows the loss earlier.
+ * A group is a serving target while its head is open and every member is listed, reports
+ * the group and is not draining. Heads still accept requests for seconds after they have
+ * lost a member, and those requests can never complete; the list of members shows the
+ * loss earlier.
  */
 public final class ServingGroups {
 
@@ -26,14 +27,14 @@
 	}
 
 	/**
-	 * Derives the targets.
+	 * Derives the targets of all services.
 	 * @param table the configuration in force
 	 * @param instances all listed instances
-	 * @param loads what instances lately told of their load, by id
+	 * @param loadReports the last load reports, by instance id
 	 * @return all targets, serving or not
 	 */
 	public static List<TargetView> targets(RouteTable table, Collection<ServingInstance> instances,
-			Map<String, LoadReport> loads) {
+			Map<String, LoadReport> loadReports) {
 		final List<TargetView> targets = new ArrayList<>();
 		final Map<GroupId, List<ServingInstance>> groups = new HashMap<>();
 		for (final ServingInstance instance : instances) {
@@ -42,22 +43,23 @@
 				continue;
 			}
 			if (!service.get().grouped()) {
-				targets.add(view(instance, TargetKind.SERVICE, instance.service(), 0, !instance.draining(), loads));
+				targets
+					.add(view(instance, TargetKind.SERVICE, instance.service(), 0, !instance.draining(), loadReports));
 			}
 			else {
 				instance.membership()
-					.ifPresent(
-							(own) -> groups.computeIfAbsent(own.group(), (group) -> new ArrayList<>()).add(instance));
+					.ifPresent((membership) -> groups.computeIfAbsent(membership.group(), (group) -> new ArrayList<>())
+						.add(instance));
 			}
 		}
 		groups.forEach((group, members) -> headOf(members)
 			.ifPresent((head) -> targets.add(view(head, TargetKind.MODEL, targetName(head.service(), group.model()),
-					group.epoch(), serves(table, head, group, members), loads))));
+					group.epoch(), serves(table, head, group, members), loadReports))));
 		return targets;
 	}
 
 	/**
-	 * Names the targets of a model.
+	 * Builds the name that the targets of a model share.
 	 * @param service the service
 	 * @param model the model
 	 * @return the name
@@ -80,8 +82,8 @@
 	}
 
 	private static TargetView view(ServingInstance instance, TargetKind kind, String name, long epoch, boolean serving,
-			Map<String, LoadReport> loads) {
-		final LoadReport load = loads.getOrDefault(instance.id(), LoadReport.NONE);
+			Map<String, LoadReport> loadReports) {
+		final LoadReport load = loadReports.getOrDefault(instance.id(), LoadReport.NONE);
 		return new TargetView(instance.id() + '@' + epoch, kind, name, instance.address(), epoch,
 				instance.availabilityZone(), serving, Math.max(1, instance.slots()), load.running(), load.waiting(),
 				load.receivedAtNanos());
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ServingInstance.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ServingInstance.java
@@ -4,17 +4,17 @@
 import java.util.Set;
 
 /**
- * An instance as it stands in the platform's list.
+ * An instance as shown in the platform's instance list.
  *
- * @param id its id, new with each start
- * @param service the service that it belongs to
- * @param address where it is called
- * @param availabilityZone its availability zone
- * @param fabricDomain its fabric domain; empty for an instance of a plain service
- * @param draining whether it is about to leave
- * @param slots how many requests it runs at once
+ * @param id the id, new with each start
+ * @param service the service that the instance belongs to
+ * @param address the address for requests and orders
+ * @param availabilityZone the availability zone
+ * @param fabricDomain the fabric domain; empty for a service without groups
+ * @param draining whether the instance is about to leave
+ * @param slots the number of requests that it runs concurrently
  * @param stagedModels the models whose weights are on its host
- * @param membership its group; empty where it has none
+ * @param membership its group membership; empty if it belongs to none
  */
 public record ServingInstance(String id, String service, String address, String availabilityZone, String fabricDomain,
 		boolean draining, int slots, Set<String> stagedModels, Optional<Membership> membership) {
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Returns the same instance as one that is about to leave.
-	 * @return the instance
+	 * Returns a copy of this instance that is marked as draining.
+	 * @return the copy
 	 */
 	ServingInstance asDraining() {
 		return new ServingInstance(this.id, this.service, this.address, this.availabilityZone, this.fabricDomain, true,
@@ -33,21 +33,21 @@
 	}
 
 	/**
-	 * Returns whether it says that it belongs to a group.
+	 * Returns whether the instance reports that it belongs to a group.
 	 * @param group the group
 	 * @return whether it does
 	 */
 	public boolean isMemberOf(GroupId group) {
-		return this.membership.filter((own) -> own.group().equals(group)).isPresent();
+		return this.membership.filter((current) -> current.group().equals(group)).isPresent();
 	}
 
 	/**
-	 * Returns how far it is in a group.
+	 * Returns the instance's state within a group.
 	 * @param group the group
-	 * @return its state; empty where it does not belong to the group
+	 * @return the state; empty if it does not belong to the group
 	 */
 	public Optional<MemberState> stateIn(GroupId group) {
-		return this.membership.filter((own) -> own.group().equals(group)).map(Membership::state);
+		return this.membership.filter((current) -> current.group().equals(group)).map(Membership::state);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/TrackedGroup.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/TrackedGroup.java
@@ -3,53 +3,55 @@
 import java.util.List;
 
 /**
- * What the planner remembers of one group.
+ * The planner's mutable state of one group.
  */
 final class TrackedGroup {
 
-	/** The group. */
 	final GroupId id;
 
-	/** All members, the head first; a null stands for one that was never seen. */
+	/** Ids of all members, the head first; null for a member that was never seen. */
 	final List<String> memberIds;
 
-	/** How many of its members had to load their weights. */
+	/** Number of members that had to load their weights to join. */
 	final int weightLoads;
 
-	/** Whether this planner formed it, so that the list of members is known for sure. */
+	/** Whether this planner formed the group, so that its list of members is complete. */
 	final boolean formedByThisPlanner;
 
-	/** When it was formed or first seen, by the monotonic clock. */
+	/** Monotonic time at which the group was formed or first seen. */
 	final long trackedSinceNanos;
 
-	/** When it was first seen incomplete, by the monotonic clock; 0 while it is whole. */
+	/**
+	 * Monotonic time at which the group was first seen incomplete; 0 while it is
+	 * complete.
+	 */
 	long incompleteSinceNanos;
 
-	/** Whether an order to open it was sent. */
+	/** Whether an open order may have been sent, by this planner or an earlier one. */
 	boolean openOrdered;
 
-	/** The head as it was last listed; null where it never was. */
+	/** The head as it was last listed; null if it never was. */
 	ServingInstance lastListedHead;
 
-	/** Whether the head has answered an order to close since the last order to open. */
+	/** Whether the head has acknowledged a close order since the last open order. */
 	boolean headClosed;
 
-	/** Whether the head is out of the group, so that no late order can open it again. */
+	/** Whether the head has left the group, so that no late order can open it again. */
 	boolean headLeft;
 
-	/** Whether the head has left an order to close unanswered. */
+	/** Whether the head did not answer an order or a probe. */
 	boolean headUnresponsive;
 
-	/** Whether a member other than the head has left on an order. */
+	/** Whether a member other than the head has left the group by order. */
 	boolean followerLeft;
 
-	/** When that was seen, by the monotonic clock; 0 before. */
+	/** Monotonic time at which the planner noticed that a follower had left; 0 before. */
 	long followerLeftAtNanos;
 
-	/** Whether it is closed so that its members can serve another model. */
+	/** Whether the group is being closed so that its members can serve another model. */
 	boolean dissolving;
 
-	/** Whether an instance refused to join for good. */
+	/** Whether an instance has permanently refused to join. */
 	boolean joinRefused;
 
 	TrackedGroup(GroupId id, List<String> memberIds, int weightLoads, boolean formedByThisPlanner,
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/UnansweredJoins.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/UnansweredJoins.java
@@ -5,29 +5,30 @@
 import java.util.Map;
 
 /**
- * Remembers orders to join that were left unanswered, for the next life of their
- * instance.
+ * Remembers unanswered join orders by address, in case the instance at that address
+ * restarts.
  * <p>
- * An instance may carry out such an order seconds later. If it has started again at its
- * address meanwhile, the new life may be the one that does, and it does not refuse it: it
- * has seen no epoch yet. Ordered into another group just then, it is taken from the first
- * one, which may serve. So a later life is left alone until the order cannot come any
- * more. What another planner ordered is not known, so after a change of the planner that
- * goes for every later life.
+ * An instance may execute such an order seconds later. If it has restarted at the same
+ * address by then, the new process may execute the order, and cannot reject it because it
+ * has seen no epoch yet. If it were assigned to another group at that time, it would be
+ * taken from the group of the late order, which may be serving. A restarted instance is
+ * therefore not assigned until the order can no longer arrive. The orders of another
+ * planner are not known, so after a change of the planner this applies to every restarted
+ * instance.
  */
 final class UnansweredJoins {
 
-	/** Longer than an order was ever carried out late. */
+	/** Longer than the longest observed delay of an order. */
 	private static final long MAX_ORDER_DELAY_NANOS = 12_500_000_000L;
 
 	private final Map<String, UnansweredJoin> byAddress = new HashMap<>();
 
-	private long takenOverAtNanos;
+	private long tookOverAtNanos;
 
 	private boolean tookOver;
 
 	void takeOver(long nowNanos) {
-		this.takenOverAtNanos = nowNanos;
+		this.tookOverAtNanos = nowNanos;
 		this.tookOver = true;
 	}
 
@@ -40,26 +41,27 @@
 	}
 
 	/**
-	 * Returns whether an order for an earlier life may still reach an instance.
+	 * Returns whether an order to an earlier process at the same address may still reach
+	 * the instance.
 	 * @param nowNanos the monotonic time
 	 * @param instance the instance
-	 * @param departed the instances that the list dropped lately
-	 * @return whether one may
+	 * @param delisted the instances that were recently delisted
+	 * @return whether an order may still arrive
 	 */
-	boolean mayReach(long nowNanos, ServingInstance instance, Collection<ServingInstance> departed) {
+	boolean mayReach(long nowNanos, ServingInstance instance, Collection<ServingInstance> delisted) {
 		final UnansweredJoin join = this.byAddress.get(instance.address());
 		if (join != null && !join.instanceId().equals(instance.id())) {
 			return true;
 		}
-		return this.tookOver && nowNanos - this.takenOverAtNanos < MAX_ORDER_DELAY_NANOS && departed.stream()
-			.anyMatch((gone) -> gone.address().equals(instance.address()) && !gone.id().equals(instance.id()));
+		return this.tookOver && nowNanos - this.tookOverAtNanos < MAX_ORDER_DELAY_NANOS && delisted.stream()
+			.anyMatch((former) -> former.address().equals(instance.address()) && !former.id().equals(instance.id()));
 	}
 
 	/**
-	 * An unanswered order.
+	 * An unanswered join order.
 	 *
-	 * @param instanceId the instance that it was for
-	 * @param unansweredAtNanos when it was known to be unanswered, by the monotonic clock
+	 * @param instanceId the recipient
+	 * @param unansweredAtNanos the monotonic time at which the order was found unanswered
 	 */
 	private record UnansweredJoin(String instanceId, long unansweredAtNanos) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightInventory.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightInventory.java
@@ -7,10 +7,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Knows which models an instance can join a group of without a load from the weight
- * store: the one of its last group, whose weights are still in its accelerator, and those
- * on its host. Instances report only the latter and the group that they are in, so the
- * model of a group that was left is remembered here.
+ * Tracks for which models an instance can join a group without a load from the weight
+ * store: the model of its last group, whose weights are still in the accelerator, and the
+ * models on its host. Instances report only the latter and their current group, so the
+ * model of the last group is remembered here.
  */
 final class WeightInventory {
 
@@ -20,8 +20,8 @@
 		final Set<String> ids = instances.stream().map(ServingInstance::id).collect(Collectors.toSet());
 		this.lastGroupModels.keySet().retainAll(ids);
 		instances.forEach((instance) -> instance.membership()
-			.filter((own) -> own.state() != MemberState.JOINING)
-			.ifPresent((own) -> this.lastGroupModels.put(instance.id(), own.group().model())));
+			.filter((membership) -> membership.state() != MemberState.JOINING)
+			.ifPresent((membership) -> this.lastGroupModels.put(instance.id(), membership.group().model())));
 	}
 
 	boolean holds(ServingInstance instance, String model) {
@@ -33,9 +33,9 @@
 	}
 
 	int countModels(ServingInstance instance) {
-		final String last = this.lastGroupModels.get(instance.id());
-		final boolean other = last != null && !instance.stagedModels().contains(last);
-		return instance.stagedModels().size() + (other ? 1 : 0);
+		final String lastModel = this.lastGroupModels.get(instance.id());
+		final boolean lastModelNotStaged = lastModel != null && !instance.stagedModels().contains(lastModel);
+		return instance.stagedModels().size() + (lastModelNotStaged ? 1 : 0);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightLoadLimiter.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightLoadLimiter.java
@@ -7,19 +7,20 @@
 import org.pistachioline.core.route.EngineSpec;
 
 /**
- * Keeps loads from the weight store under its rate.
+ * Limits the rate of loads from the weight store.
  * <p>
- * Made for a whole fabric domain that comes back at once: every host then wants its
- * weights, and beyond the store's rate all of them get them later. A planner that takes
- * over does not know what the last one began, so for one window it counts as begun
- * whatever that one can have begun. It does not wait for the window to pass: where
- * daemons are killed or cut off every few seconds the planner changes as often, and
- * nobody would load at all; ten empty hosts were seen to wait for more than fifteen
- * seconds.
+ * When a whole fabric domain recovers at once, every host needs its weights, and above
+ * the store's rate all loads slow down. A new planner does not know which loads the
+ * previous one started, so for one window it assumes the maximum that the previous one
+ * can have started. It does not wait for the window to pass: if daemons fail or are
+ * disconnected every few seconds, the planner changes as often, and no load would ever
+ * start. In that case ten empty hosts waited for more than 15 s.
  */
 final class WeightLoadLimiter {
 
-	/** The part of the rate that is used; orders that were repeated may load twice. */
+	/**
+	 * Part of the store's rate that is used, as a repeated order may cause a second load.
+	 */
 	private static final double USED_RATE_RATIO = 0.8;
 
 	private static final double NANOS_PER_MILLI = 1e6;
@@ -45,27 +46,28 @@
 	}
 
 	/**
-	 * Forgets that there was a planner before, which began nothing that counts.
+	 * Stops assuming loads of a previous planner, as none count before the first request.
 	 */
 	void ignorePreviousPlanner() {
 		this.tookOver = false;
 	}
 
 	/**
-	 * Begins loads, where the rate allows all of them.
+	 * Starts loads if the rate allows all of them.
 	 * @param nowNanos the monotonic time
-	 * @param loads how many
-	 * @param engine the rate, how many loads run at once and how long they take
-	 * @return whether they may begin
+	 * @param loads the number of loads
+	 * @param engine the engine specification, with the rate, the concurrency and the
+	 * duration of loads
+	 * @return whether the loads may start
 	 */
 	boolean tryStart(long nowNanos, int loads, EngineSpec engine) {
 		while (!this.startedAtNanos.isEmpty() && nowNanos - this.startedAtNanos.peekFirst() > this.windowNanos) {
 			this.startedAtNanos.pollFirst();
 		}
-		final double allowed = USED_RATE_RATIO * engine.loadsPerSecond() * this.windowNanos / NANOS_PER_SECOND;
-		final boolean lately = this.tookOver && nowNanos - this.tookOverAtNanos <= this.windowNanos;
-		final double before = lately ? maxPreviousLoads(engine) : 0;
-		if (before + this.startedAtNanos.size() + loads > allowed) {
+		final double maxLoads = USED_RATE_RATIO * engine.loadsPerSecond() * this.windowNanos / NANOS_PER_SECOND;
+		final boolean recentTakeOver = this.tookOver && nowNanos - this.tookOverAtNanos <= this.windowNanos;
+		final double previousLoads = recentTakeOver ? maxPreviousLoads(engine) : 0;
+		if (previousLoads + this.startedAtNanos.size() + loads > maxLoads) {
 			return false;
 		}
 		for (int i = 0; i < loads; i++) {
@@ -74,8 +76,9 @@
 		return true;
 	}
 
-	// A planner begins no load while as many run as the store serves at full speed, so in
-	// one window it begins that number once for each load that fits into it.
+	// A planner starts no load while the store already runs as many as it serves at full
+	// speed. In one window it therefore starts that number once for each load duration
+	// that fits in.
 	private double maxPreviousLoads(EngineSpec engine) {
 		final double shortestMillis = engine.models().stream().mapToLong(EngineModel::loadMillis).min().orElse(0);
 		final double rounds = Math.ceil(this.windowNanos / NANOS_PER_MILLI / Math.max(1, shortestMillis));
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightStaging.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightStaging.java
@@ -13,22 +13,25 @@
 import org.pistachioline.core.route.EngineModel;
 
 /**
- * Chooses which hosts load weights while their instances serve or wait.
+ * Selects which hosts load weights in the background while their instances serve or wait.
  * <p>
- * A load takes a quarter of a minute. Were it done by joining a group, the other members
- * would wait for it and could not help when the next group of their fabric domain breaks.
- * A host takes weights in beside all other work, and its instance then joins a group of
- * that model in a second or two. So once requests come all loads are done this way. Empty
- * hosts go first, for the model that the instances free in their domain can form soonest.
- * Then each domain that serves a model with larger groups gets {@value #SPARE_INSTANCES}
- * more instances with its weights than its groups need; they serve in smaller groups
- * until a loss has to be made good.
+ * A load takes about 15 s. If it were part of joining a group, the other members would
+ * wait for it and could not help when the next group of their fabric domain breaks. A
+ * host stages weights alongside all other work, and its instance can then join a group of
+ * that model in one to two seconds. Once requests arrive, all loads are therefore staged.
+ * Free instances come first, for the model that the free instances of a domain can form
+ * soonest. Then each domain that serves a model with larger groups gets
+ * {@value #SPARE_INSTANCES} more instances with its weights than its groups need; these
+ * serve in smaller groups until a loss has to be replaced.
  */
 final class WeightStaging {
 
 	private static final int SPARE_INSTANCES = 2;
 
-	/** A load that takes this many times as long as it should was never begun. */
+	/**
+	 * Multiple of a load's expected duration after which the load is assumed never to
+	 * have started.
+	 */
 	private static final double LOAD_TIMEOUT_RATIO = 1.4;
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
@@ -58,7 +61,7 @@
 	}
 
 	/**
-	 * Takes word that an instance does not know the order.
+	 * Records that an instance does not support staging.
 	 * @param instanceId the instance
 	 */
 	void markUnsupported(String instanceId) {
@@ -67,31 +70,31 @@
 	}
 
 	/**
-	 * Returns whether some instance does not know the order, so that only joining loads.
-	 * @return whether loads have to be done by joining
+	 * Returns whether any listed instance does not support staging.
+	 * @return whether weights have to be loaded by joining a group instead
 	 */
 	boolean hasUnsupported() {
 		return !this.unsupportedIds.isEmpty();
 	}
 
 	/**
-	 * Chooses the next host.
+	 * Selects the next host to load weights.
 	 * @param view what the planner sees
-	 * @param census how many instances serve each model
+	 * @param counts how many instances serve each model
 	 * @param free the instances that are in no group
-	 * @return the order; empty where no host is to load
+	 * @return the order; empty if no host has to load
 	 */
-	Optional<ReplicaOrder.Stage> nextOrder(PlannerView view, ModelInstanceCounts census, List<ServingInstance> free) {
-		// Before requests come empty instances load by joining; more of them are on their
-		// way to the list.
-		final Optional<ReplicaOrder.Stage> chosen = view.beforeTraffic() ? Optional.empty()
-				: orderForFreeInstances(view, census, free);
-		return chosen.or(() -> orderForSpare(view, census, free)).map((order) -> recordLoad(view, order));
+	Optional<ReplicaOrder.Stage> nextOrder(PlannerView view, ModelInstanceCounts counts, List<ServingInstance> free) {
+		// Before the first request, empty instances load by joining, and more of them are
+		// about to be listed.
+		final Optional<ReplicaOrder.Stage> selected = view.beforeTraffic() ? Optional.empty()
+				: orderForFreeInstances(view, counts, free);
+		return selected.or(() -> orderForSpare(view, counts, free)).map((order) -> recordLoad(view, order));
 	}
 
-	// The free instances of a domain that lack the fewest loads for the instances that
-	// serve afterwards; an empty host where no such load completes a group.
-	private Optional<ReplicaOrder.Stage> orderForFreeInstances(PlannerView view, ModelInstanceCounts census,
+	// Selects the free instances of a domain that complete a group with the fewest loads
+	// per member. If no group can be completed, selects an empty host.
+	private Optional<ReplicaOrder.Stage> orderForFreeInstances(PlannerView view, ModelInstanceCounts counts,
 			List<ServingInstance> free) {
 		final Map<String, List<ServingInstance>> byDomain = new TreeMap<>();
 		free.forEach((instance) -> byDomain.computeIfAbsent(instance.fabricDomain(), (name) -> new ArrayList<>())
@@ -102,60 +105,61 @@
 			.stream()
 			.filter((model) -> model.members() > 0)
 			.forEach((model) -> byDomain.values()
-				.forEach((near) -> completionFor(model, near).ifPresent(completions::add)));
+				.forEach((domainInstances) -> completionFor(model, domainInstances).ifPresent(completions::add)));
 		return completions.stream()
 			.min(Comparator.comparingDouble(Completion::missingRatio)
-				.thenComparingDouble((completion) -> census.nextFillRatio(completion.model())))
+				.thenComparingDouble((completion) -> counts.nextFillRatio(completion.model())))
 			.map((completion) -> new ReplicaOrder.Stage(completion.host(), completion.model().name()))
-			.or(() -> orderForEmptyHost(view, census, free));
+			.or(() -> orderForEmptyHost(view, counts, free));
 	}
 
-	private Optional<Completion> completionFor(EngineModel model, List<ServingInstance> near) {
-		final long lacking = countMissingHolders(model, near);
-		final List<ServingInstance> hosts = near.stream()
+	private Optional<Completion> completionFor(EngineModel model, List<ServingInstance> domainInstances) {
+		final long missingHolders = countMissingHolders(model, domainInstances);
+		final List<ServingInstance> hosts = domainInstances.stream()
 			.filter((instance) -> !holdsOrLoads(instance, model) && mayLoad(instance))
 			.toList();
-		if (lacking <= 0 || hosts.size() < lacking) {
+		if (missingHolders <= 0 || hosts.size() < missingHolders) {
 			return Optional.empty();
 		}
 		return hosts.stream()
 			.min(Comparator.comparingInt(this.weights::countModels).thenComparing(ServingInstance::id))
-			.map((host) -> new Completion(model, lacking, host));
+			.map((host) -> new Completion(model, missingHolders, host));
 	}
 
-	private Optional<ReplicaOrder.Stage> orderForEmptyHost(PlannerView view, ModelInstanceCounts census,
+	private Optional<ReplicaOrder.Stage> orderForEmptyHost(PlannerView view, ModelInstanceCounts counts,
 			List<ServingInstance> free) {
 		return free.stream()
 			.filter((instance) -> !this.weights.holdsAny(instance) && mayLoad(instance))
 			.min(Comparator.comparing(ServingInstance::id))
-			.flatMap((instance) -> modelForEmptyHost(view, census, instance, free)
+			.flatMap((instance) -> modelForEmptyHost(view, counts, instance, free)
 				.map((model) -> new ReplicaOrder.Stage(instance, model.name())));
 	}
 
-	// The model that lacks the fewest instances in the domain; of two, the less filled.
-	private Optional<EngineModel> modelForEmptyHost(PlannerView view, ModelInstanceCounts census,
+	// Returns the model that lacks the fewest instances in the domain; if equal, the one
+	// with the lower fill ratio.
+	private Optional<EngineModel> modelForEmptyHost(PlannerView view, ModelInstanceCounts counts,
 			ServingInstance instance, List<ServingInstance> free) {
-		final List<ServingInstance> near = free.stream()
+		final List<ServingInstance> domainInstances = free.stream()
 			.filter((other) -> other.fabricDomain().equals(instance.fabricDomain()))
 			.toList();
 		return view.engine()
 			.models()
 			.stream()
 			.filter((model) -> model.members() > 0)
-			.min(Comparator
-				.comparingLong((EngineModel model) -> Math.floorMod(countMissingHolders(model, near), model.members()))
-				.thenComparingDouble(census::nextFillRatio));
+			.min(Comparator.comparingLong(
+					(EngineModel model) -> Math.floorMod(countMissingHolders(model, domainInstances), model.members()))
+				.thenComparingDouble(counts::nextFillRatio));
 	}
 
-	private long countMissingHolders(EngineModel model, List<ServingInstance> near) {
-		return model.members() - near.stream().filter((other) -> holdsOrLoads(other, model)).count();
+	private long countMissingHolders(EngineModel model, List<ServingInstance> domainInstances) {
+		return model.members() - domainInstances.stream().filter((other) -> holdsOrLoads(other, model)).count();
 	}
 
 	private boolean holdsOrLoads(ServingInstance instance, EngineModel model) {
 		return this.weights.holds(instance, model.name()) || model.name().equals(this.loadingModels.get(instance.id()));
 	}
 
-	private Optional<ReplicaOrder.Stage> orderForSpare(PlannerView view, ModelInstanceCounts census,
+	private Optional<ReplicaOrder.Stage> orderForSpare(PlannerView view, ModelInstanceCounts counts,
 			List<ServingInstance> free) {
 		final Map<String, List<ServingInstance>> byDomain = new TreeMap<>();
 		view.instances()
@@ -168,10 +172,10 @@
 			.models()
 			.stream()
 			.filter((model) -> model.members() > smallest)
-			.sorted(Comparator.comparingDouble(census::nextFillRatio))
+			.sorted(Comparator.comparingDouble(counts::nextFillRatio))
 			.flatMap((model) -> byDomain.entrySet()
 				.stream()
-				.filter((entry) -> needsHolders(model, entry.getValue(), census.inDomain(model.name(), entry.getKey())))
+				.filter((entry) -> needsHolders(model, entry.getValue(), counts.inDomain(model.name(), entry.getKey())))
 				.flatMap((entry) -> selectHost(model, entry.getValue(), free).stream())
 				.map((instance) -> new ReplicaOrder.Stage(instance, model.name())))
 			.findFirst();
@@ -185,43 +189,48 @@
 		return order;
 	}
 
-	private boolean needsHolders(EngineModel model, List<ServingInstance> domain, int grouped) {
-		final long holders = domain.stream().filter((instance) -> holdsOrLoads(instance, model)).count();
-		if (grouped == 0) {
-			// Survivors of the last group there; to form one again takes all its members.
+	private boolean needsHolders(EngineModel model, List<ServingInstance> domainInstances, int groupedInstances) {
+		final long holders = domainInstances.stream().filter((instance) -> holdsOrLoads(instance, model)).count();
+		if (groupedInstances == 0) {
+			// These are survivors of the domain's last group; forming it again takes all
+			// of its members.
 			return holders > 0 && holders < model.members();
 		}
-		return holders < grouped + SPARE_INSTANCES;
+		return holders < groupedInstances + SPARE_INSTANCES;
 	}
 
-	private Optional<ServingInstance> selectHost(EngineModel model, List<ServingInstance> domain,
+	private Optional<ServingInstance> selectHost(EngineModel model, List<ServingInstance> domainInstances,
 			List<ServingInstance> free) {
 		final Map<GroupId, Long> holders = new HashMap<>();
-		domain.stream()
+		domainInstances.stream()
 			.filter((instance) -> holdsOrLoads(instance, model))
-			.forEach((instance) -> instance.membership().ifPresent((own) -> holders.merge(own.group(), 1L, Long::sum)));
-		return domain.stream()
+			.forEach((instance) -> instance.membership()
+				.ifPresent((membership) -> holders.merge(membership.group(), 1L, Long::sum)));
+		return domainInstances.stream()
 			.filter((instance) -> !this.weights.holds(instance, model.name()) && mayLoad(instance))
 			.min(Comparator.comparing((ServingInstance instance) -> !free.contains(instance))
-				// Members of one group together, so that closing it frees both.
+				// Prefers members of the same group, so that closing that group frees
+				// them together.
 				.thenComparingLong((instance) -> -instance.membership()
-					.map((own) -> holders.getOrDefault(own.group(), 0L))
+					.map((membership) -> holders.getOrDefault(membership.group(), 0L))
 					.orElse(0L))
 				.thenComparing(ServingInstance::id));
 	}
 
 	private boolean mayLoad(ServingInstance instance) {
-		final boolean joining = instance.membership().filter((own) -> own.state() == MemberState.JOINING).isPresent();
+		final boolean joining = instance.membership()
+			.filter((membership) -> membership.state() == MemberState.JOINING)
+			.isPresent();
 		return !joining && !this.loadDeadlineNanos.containsKey(instance.id())
 				&& !this.unsupportedIds.contains(instance.id());
 	}
 
 	/**
-	 * A group that free instances of one domain can form once some of them have loaded.
+	 * A group that free instances of one domain can form after some of them have loaded.
 	 *
-	 * @param model its model
-	 * @param countMissingHolders how many of them have to load
-	 * @param selectHost the one that loads first
+	 * @param model the model
+	 * @param missingHolders the number of instances that have to load
+	 * @param host the instance that loads first
 	 */
 	private record Completion(EngineModel model, long missingHolders, ServingInstance host) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Groups of instances that serve a model together: what they report, and which orders
- * they need next.
+ * Assigns instances to groups that serve a model together, from what the instances
+ * report, and derives the request targets.
  */
 package org.pistachioline.core.replica;
