--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/GroupRebalancerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/GroupRebalancerTests.java
@@ -18,11 +18,11 @@
 	private final List<ServingInstance> instances = new ArrayList<>();
 
 	/**
-	 * A group of four lost a member. Its three survivors find no fourth, as all others of
-	 * their domain are in pairs; callers of the larger model are refused meanwhile. Both
-	 * models have less than their share of all instances, since survivors wait
-	 * everywhere. One of the pairs has the weights of the larger model too, and is closed
-	 * for it.
+	 * Guards against callers of a larger model being refused because the three survivors
+	 * of a group of four find no fourth member, as all other instances of their domain
+	 * are in groups of two. Both models have less than their share of all instances. One
+	 * of the groups of two also holds the weights of the larger model, and is closed for
+	 * it.
 	 */
 	@Test
 	void aSmallGroupHoldingTheWeightsIsClosedToCompleteALargerGroup() {
@@ -35,9 +35,10 @@
 	}
 
 	/**
-	 * After many losses survivors wait everywhere and both models have less than their
-	 * share. Taken from the smaller model then, it fell from eight groups to five, and
-	 * most of its callers, who are most of all callers, were late.
+	 * After many losses survivors wait everywhere and both models are below their shares.
+	 * Guards against taking instances from the smaller model in that state: it then fell
+	 * from eight groups to five, and most of its callers, who are the majority, were
+	 * late.
 	 */
 	@Test
 	void noGroupIsClosedWhenBothModelsAreUnderprovisioned() {
@@ -49,7 +50,7 @@
 		assertThat(closedGroups()).isEmpty();
 	}
 
-	/** Were the pair closed here, the smaller model would be the one that is short. */
+	/** Closing the group of two here would leave the smaller model underprovisioned. */
 	@Test
 	void noGroupIsClosedWhenTheDonorModelWouldBecomeUnderprovisioned() {
 		addSurvivors(3);
@@ -89,7 +90,7 @@
 
 	private void addIsolatedInstances(int count) {
 		for (int i = 0; i < count; i++) {
-			addInstance("lonely-" + i, "other-" + i, Set.of("small"), Optional.empty());
+			addInstance("isolated-" + i, "other-" + i, Set.of("small"), Optional.empty());
 		}
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/PlannerCandidatesTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/PlannerCandidatesTests.java
@@ -9,7 +9,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Load: 300 daemons, of which many die at once and come again.
+ * Runs with 300 daemons, many of which fail at once and return.
  */
 class PlannerCandidatesTests {
 
@@ -34,21 +34,21 @@
 	}
 
 	/**
-	 * All candidates die at once. Were nobody to take their places, groups would break
-	 * and no group would be formed again.
+	 * Guards against a fleet without a planner after all candidates have failed at once:
+	 * groups would break and none would be formed again.
 	 */
 	@Test
 	void failedCandidatesAreReplaced() {
-		final List<String> left = new ArrayList<>(IDS);
-		left.removeAll(candidates(IDS));
-		assertThat(candidates(left)).hasSize(MAX_CANDIDATES);
+		final List<String> remaining = new ArrayList<>(IDS);
+		remaining.removeAll(candidates(IDS));
+		assertThat(candidates(remaining)).hasSize(MAX_CANDIDATES);
 	}
 
 	@Test
 	void aNewDaemonLeavesMostCandidatesInPlace() {
-		final List<String> more = new ArrayList<>(IDS);
-		more.add("edge-new");
-		assertThat(candidates(more)).filteredOn(candidates(IDS)::contains)
+		final List<String> extended = new ArrayList<>(IDS);
+		extended.add("edge-new");
+		assertThat(candidates(extended)).filteredOn(candidates(IDS)::contains)
 			.hasSizeGreaterThanOrEqualTo(MAX_CANDIDATES - 1);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaPlannerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaPlannerTests.java
@@ -24,73 +24,71 @@
 
 	@Test
 	void allInstancesServeBeforeTheFirstRequest() {
-		final ReplicaSimulation world = new ReplicaSimulation(1, 6, 0, 0);
-		world.run(25_000, false);
-		assertThat(world.countServingInstances()).isEqualTo(60);
-		assertThat(world.violations).isEmpty();
+		final ReplicaSimulation simulation = new ReplicaSimulation(1, 6, 0, 0);
+		simulation.run(25_000, false);
+		assertThat(simulation.countServingInstances()).isEqualTo(60);
+		assertThat(simulation.violations).isEmpty();
 	}
 
 	/**
-	 * An engine dies every second and a half, some lose the way to the list while they
-	 * serve on, and the planning daemon changes every few seconds. If a member were taken
-	 * from a group whose head still runs requests, callers would lose their answers; if a
-	 * group opened without a member, callers would wait for nothing.
+	 * An instance fails every 1.5 s, some lose their connection to the instance list
+	 * while they serve, and the planner changes every few seconds. Guards against taking
+	 * a member from a group whose head still runs requests, which loses answers, and
+	 * against opening a group without all members, in which requests never complete.
 	 */
 	@Test
 	void noMemberIsTakenFromAServingGroupWhileInstancesAndPlannersFail() {
 		int serving = 0;
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0, 0);
-			world.run(60_000, true);
-			assertThat(world.violations).as("seed " + seed).isEmpty();
-			serving += world.countServingInstances();
+			final ReplicaSimulation simulation = new ReplicaSimulation(seed, 6, 0, 0);
+			simulation.run(60_000, true);
+			assertThat(simulation.violations).as("seed " + seed).isEmpty();
+			serving += simulation.countServingInstances();
 		}
-		// A quarter of the fleet and more, while an instance dies every second and a
-		// half.
+		// More than a quarter of the fleet serves while an instance fails every 1.5 s.
 		assertThat(serving / SEED_COUNT).isGreaterThan(15);
 	}
 
 	/**
-	 * Beside the deaths a third of the orders get no answer: they are lost, or carried
-	 * out up to twelve seconds later and after newer ones. The planner cannot know which;
-	 * a late order to open or to join must not harm a newer group.
+	 * In addition to the failures, a third of the orders are not answered: they are lost,
+	 * or executed up to 12 s later and after newer ones. The planner cannot tell which.
+	 * Guards against a late open or join order that affects a newer group.
 	 */
 	@Test
 	void lateAndLostOrdersDoNotAffectNewerGroups() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.1, 0.25);
-			world.run(60_000, true);
-			assertThat(world.violations).as("seed " + seed).isEmpty();
+			final ReplicaSimulation simulation = new ReplicaSimulation(seed, 6, 0.1, 0.25);
+			simulation.run(60_000, true);
+			assertThat(simulation.violations).as("seed " + seed).isEmpty();
 		}
 	}
 
 	/**
-	 * Instances start again at once under their address, in the midst of joins and opens,
-	 * and orders that are sent for the life that is over reach the next one. An instance
-	 * that has forgotten its group must not count as one of its members.
+	 * Instances restart at once at the same address, in the middle of joins and opens,
+	 * and orders sent to the terminated instance reach the restarted one. Guards against
+	 * counting an instance that has lost its group as a member of that group.
 	 */
 	@Test
 	void ordersForATerminatedInstanceDoNotAffectItsRestart() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.1, 0.25);
-			world.restartAtSameAddress = true;
-			world.run(60_000, true);
-			assertThat(world.violations).as("seed " + seed).isEmpty();
+			final ReplicaSimulation simulation = new ReplicaSimulation(seed, 6, 0.1, 0.25);
+			simulation.restartAtSameAddress = true;
+			simulation.run(60_000, true);
+			assertThat(simulation.violations).as("seed " + seed).isEmpty();
 		}
 	}
 
 	private static List<String> violationsWhenLateOrdersReachARestartedInstance(long seed, double lateRatio) {
-		final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.1, lateRatio);
-		world.restartAtSameAddress = true;
-		world.lateOrdersReachRestarted = true;
-		world.run(60_000, true);
-		return world.violations;
+		final ReplicaSimulation simulation = new ReplicaSimulation(seed, 6, 0.1, lateRatio);
+		simulation.restartAtSameAddress = true;
+		simulation.lateOrdersReachRestarted = true;
+		simulation.run(60_000, true);
+		return simulation.violations;
 	}
 
 	/**
-	 * Guards against an instance that started again, carried out an order to join that
-	 * its former life had left unanswered, and is taken from that group while its head
-	 * serves.
+	 * Guards against a restarted instance that executes a join order which the terminated
+	 * instance left unanswered, and is then taken from that group while its head serves.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 29, 140, 158, 199, 298 })
@@ -99,8 +97,8 @@
 	}
 
 	/**
-	 * Guards against a group that is over, is joined and opened again by orders that were
-	 * carried out late, and loses its members while it serves.
+	 * Guards against an ended group that late orders join and open again, and that then
+	 * loses its members while it serves.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "379, 0.25", "1022, 0.25", "1861, 0.25", "187, 0.5" })
@@ -109,9 +107,9 @@
 	}
 
 	/**
-	 * Guards against a new life that is ordered into a group before the list shows that
-	 * it has carried out an order to join another, left unanswered by its former life.
-	 * Half of all orders are late here.
+	 * Guards against assigning a restarted instance to a group before the instance list
+	 * shows that it has executed a join order for another group, which the terminated
+	 * instance left unanswered. Half of all orders are late.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 191, 435, 456 })
@@ -120,37 +118,37 @@
 	}
 
 	/**
-	 * A head loses the way to the store and to all daemons for most of a minute, while
-	 * its members still reach it. It serves on and never breaks by itself. Whoever takes
-	 * its members after some time out only waited too briefly; the requests that it runs
-	 * are lost.
+	 * A head loses its connection to the store and to all daemons for most of a minute,
+	 * while its members can still reach it, so that it serves and never breaks. Guards
+	 * against reassigning its members after any timeout, which loses the requests that it
+	 * runs.
 	 */
 	@Test
 	void noMemberIsTakenFromAHeadDuringALongPartition() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.05, 0.1);
-			world.longPartitions = true;
-			world.run(90_000, true);
-			assertThat(world.violations).as("seed " + seed).isEmpty();
+			final ReplicaSimulation simulation = new ReplicaSimulation(seed, 6, 0.05, 0.1);
+			simulation.longPartitions = true;
+			simulation.run(90_000, true);
+			assertThat(simulation.violations).as("seed " + seed).isEmpty();
 		}
 	}
 
 	/**
-	 * The machine of a group's head dies. Its members cannot know whether it is dead or
-	 * only out of reach, so one of them leaves; that breaks the head after its stall time
-	 * wherever it is. The survivors have to serve again soon after that and not later.
+	 * The host of a group's head fails. As the planner cannot tell a failed head from an
+	 * unreachable one, a member leaves, which breaks the head after its stall timeout.
+	 * Guards against reassigning the survivors earlier than that, or much later.
 	 */
 	@Test
 	void survivorsOfAFailedHeadAreFreeAfterItsStallTimeout() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
-		final ServingInstance other = member("b", group, 1, MemberState.READY);
+		final ServingInstance follower = member("b", group, 1, MemberState.READY);
 		final ServingInstance spare = free("c", "small");
 		this.planner.beginTerm(0, 1, false);
-		this.planner.plan(view(10 * SECOND_NANOS, head, other));
+		this.planner.plan(view(10 * SECOND_NANOS, head, follower));
 		planAndAnswer(10 * SECOND_NANOS + 5 * TICK_NANOS, new ReplicaOrder.Close(head, group, true),
-				OrderOutcome.UNKNOWN, other, spare);
-		planAndAnswer(11 * SECOND_NANOS, new ReplicaOrder.Leave(other, group), OrderOutcome.HOLDS, other, spare);
+				OrderOutcome.UNKNOWN, follower, spare);
+		planAndAnswer(11 * SECOND_NANOS, new ReplicaOrder.Leave(follower, group), OrderOutcome.HOLDS, follower, spare);
 		final ServingInstance left = new ServingInstance("b", "pool", "b:1", "zone", "d", false, 12, Set.of("small"),
 				Optional.empty());
 		assertThat(this.planner.plan(view(11 * SECOND_NANOS + TICK_NANOS, left, spare))).isEmpty();
@@ -163,53 +161,53 @@
 	}
 
 	/**
-	 * Two instances of serving groups die every three seconds; after ten seconds as many
-	 * empty ones come. Two survivors find each other sooner than four, so that the model
-	 * with the larger groups loses instances to the other one, until all of its callers
-	 * are refused. It has to keep half of the seven groups with which it began, on
-	 * average.
+	 * Two instances of serving groups fail every 3 s; after 10 s as many empty ones join.
+	 * Two survivors find each other sooner than four. Guards against the model with the
+	 * larger groups losing its instances to the other one until all of its callers are
+	 * refused: it has to keep half of its initial seven groups on average.
 	 */
 	@Test
 	void theModelWithTheLargerGroupsKeepsServingWhileInstancesFailInPairs() {
 		int large = 0;
 		int small = 0;
 		for (long seed = 1; seed <= 10; seed++) {
-			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0, 0);
-			world.run(16_000, false);
-			for (int death = 0; death < 10; death++) {
-				world.failTwoMembers(death >= 3);
-				world.run(3_000, false);
-				large += world.countServingGroups("large");
-				small += world.countServingGroups("small");
+			final ReplicaSimulation simulation = new ReplicaSimulation(seed, 6, 0, 0);
+			simulation.run(16_000, false);
+			for (int failure = 0; failure < 10; failure++) {
+				simulation.failTwoMembers(failure >= 3);
+				simulation.run(3_000, false);
+				large += simulation.countServingGroups("large");
+				small += simulation.countServingGroups("small");
 			}
-			assertThat(world.violations).as("seed " + seed).isEmpty();
+			assertThat(simulation.violations).as("seed " + seed).isEmpty();
 		}
 		assertThat(large).isGreaterThanOrEqualTo(100 * 7 / 2);
 		assertThat(small).isGreaterThanOrEqualTo(100 * 8);
 	}
 
 	/**
-	 * Requests stand still at a group, and its head alone of all members answers nothing.
-	 * The head's order to close would be waited for in vain; each second of that is one
-	 * more in which the survivors serve nobody.
+	 * Requests stall at a group, and only its head does not answer. Guards against
+	 * waiting for the head to answer a close order, as the survivors do not serve during
+	 * that time.
 	 */
 	@Test
 	void aFollowerIsOrderedToLeaveAtOnceWhenTheHeadIsUnresponsive() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
-		final ServingInstance other = member("b", group, 1, MemberState.READY);
+		final ServingInstance follower = member("b", group, 1, MemberState.READY);
 		this.planner.beginTerm(0, 1, false);
-		this.planner.plan(view(10 * SECOND_NANOS, head, other));
-		assertThat(this.planner.plan(new PlannerView(11 * SECOND_NANOS, ReplicaSimulation.ENGINE_SPEC, List.of(other),
-				List.of(), Set.of("a"), false)))
-			.containsExactlyInAnyOrder(new ReplicaOrder.Close(head, group, true), new ReplicaOrder.Leave(other, group));
+		this.planner.plan(view(10 * SECOND_NANOS, head, follower));
+		assertThat(this.planner.plan(new PlannerView(11 * SECOND_NANOS, ReplicaSimulation.ENGINE_SPEC,
+				List.of(follower), List.of(), Set.of("a"), false)))
+			.containsExactlyInAnyOrder(new ReplicaOrder.Close(head, group, true),
+					new ReplicaOrder.Leave(follower, group));
 	}
 
 	/**
-	 * The store is away until the planner's lease has lapsed, and nobody else took it
-	 * meanwhile: the same daemon holds it again under the same number. Counted from the
-	 * start once more, a new group would get the name and epoch of one that serves, and
-	 * the members of that one would be taken from its open head.
+	 * The store is unavailable until the planner's lease has expired, and the same daemon
+	 * then reacquires it with the same term. Guards against restarting the epochs: a new
+	 * group would get the name and epoch of a serving one, and take the members from its
+	 * open head.
 	 */
 	@Test
 	void epochsKeepRisingWhenTheLeaseIsReacquiredInTheSameTerm() {
@@ -227,55 +225,56 @@
 
 	@Test
 	void allSurvivorsServeAgainAfterTheFailuresStop() {
-		final ReplicaSimulation world = new ReplicaSimulation(7, 6, 0.1, 0.2);
-		world.run(30_000, true);
-		world.run(60_000, false);
-		assertThat(world.countServingInstances()).isGreaterThanOrEqualTo(54);
-		assertThat(world.violations).isEmpty();
+		final ReplicaSimulation simulation = new ReplicaSimulation(7, 6, 0.1, 0.2);
+		simulation.run(30_000, true);
+		simulation.run(60_000, false);
+		assertThat(simulation.countServingInstances()).isGreaterThanOrEqualTo(54);
+		assertThat(simulation.violations).isEmpty();
 	}
 
 	/**
-	 * The head of a group loses the way to the store and drops from the list, but it goes
-	 * on serving. Were its members taken at once, the requests that it runs would be
-	 * lost.
+	 * A head loses its connection to the store and is delisted, but continues to serve.
+	 * Guards against reassigning its members at once, which loses the requests that it
+	 * runs.
 	 */
 	@Test
 	void aDelistedHeadIsOrderedToCloseBeforeItsMembersAreReassigned() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
-		final ServingInstance other = member("b", group, 1, MemberState.READY);
+		final ServingInstance follower = member("b", group, 1, MemberState.READY);
 		final ServingInstance spare = free("c", "small");
 		this.planner.beginTerm(0, 1, false);
-		this.planner.plan(view(10 * SECOND_NANOS, head, other));
-		planAndAnswer(11 * SECOND_NANOS, new ReplicaOrder.Close(head, group, true), OrderOutcome.STARTED, other, spare);
-		planAndAnswer(11 * SECOND_NANOS + TICK_NANOS, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED, other,
+		this.planner.plan(view(10 * SECOND_NANOS, head, follower));
+		planAndAnswer(11 * SECOND_NANOS, new ReplicaOrder.Close(head, group, true), OrderOutcome.STARTED, follower,
 				spare);
-		assertThat(this.planner.plan(view(11 * SECOND_NANOS + 2 * TICK_NANOS, other, spare)))
+		planAndAnswer(11 * SECOND_NANOS + TICK_NANOS, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED,
+				follower, spare);
+		assertThat(this.planner.plan(view(11 * SECOND_NANOS + 2 * TICK_NANOS, follower, spare)))
 			.allMatch((order) -> order instanceof ReplicaOrder.Join)
 			.extracting((order) -> order.instance().id())
 			.containsExactlyInAnyOrder("b", "c");
 	}
 
 	/**
-	 * A planner closed a group to give its members away and died; one of its orders is
-	 * carried out seconds later. If the next planner opened the group again, that order
-	 * would take a member out of a group that serves.
+	 * A planner closes a group to reassign its members and fails; one of its orders is
+	 * executed seconds later. Guards against the next planner reopening the group, as
+	 * that order would remove a member while the group serves.
 	 */
 	@Test
 	void aReadyGroupOfAnEarlierPlannerIsFormedAgain() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.READY);
-		final ServingInstance other = member("b", group, 1, MemberState.READY);
+		final ServingInstance follower = member("b", group, 1, MemberState.READY);
 		this.planner.beginTerm(0, 1, false);
-		assertThat(this.planner.plan(view(SECOND_NANOS, head, other))).isEmpty();
-		planAndAnswer(2 * SECOND_NANOS, new ReplicaOrder.Close(head, group, true), OrderOutcome.HOLDS, head, other);
+		assertThat(this.planner.plan(view(SECOND_NANOS, head, follower))).isEmpty();
+		planAndAnswer(2 * SECOND_NANOS, new ReplicaOrder.Close(head, group, true), OrderOutcome.HOLDS, head, follower);
 		planAndAnswer(2 * SECOND_NANOS + TICK_NANOS, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED, head,
-				other);
-		assertThat(this.planner.plan(view(2 * SECOND_NANOS + 2 * TICK_NANOS, head, other))).hasSize(2)
+				follower);
+		assertThat(this.planner.plan(view(2 * SECOND_NANOS + 2 * TICK_NANOS, head, follower))).hasSize(2)
 			.allMatch((order) -> order instanceof ReplicaOrder.Join join && join.group().epoch() > group.epoch());
 	}
 
-	/** Plans, expects one order, and answers it. */
+	/** Plans, expects exactly one order, and reports its outcome. */
 	private void planAndAnswer(long nowNanos, ReplicaOrder expected, OrderOutcome outcome,
 			ServingInstance... instances) {
 		assertThat(this.planner.plan(view(nowNanos, instances))).containsExactly(expected);
@@ -294,8 +293,9 @@
 	}
 
 	/**
-	 * After a domain came back many hosts want weights at once. Beyond the weight store's
-	 * rate all loads slow down, and the fleet gets none of its groups back soon.
+	 * After a whole domain has recovered, many hosts need weights at once. Guards against
+	 * exceeding the weight store's rate, which slows all loads down and delays every
+	 * group.
 	 */
 	@Test
 	void loadsStayWithinTheRateOfTheWeightStore() {
@@ -309,7 +309,7 @@
 			this.planner.plan(view(6 * SECOND_NANOS + tick * SECOND_NANOS / 10, hosts.toArray(new ServingInstance[0])))
 				.forEach((order) -> loading.add(order.instance().id()));
 		}
-		// Seven loads run at full speed at once, and a group is not begun in part.
+		// Seven loads run at full speed at once, and the loads of a group start together.
 		assertThat(Set.copyOf(loading)).hasSizeBetween(7, 10);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaSimulation.java
@@ -13,9 +13,9 @@
 import org.pistachioline.core.route.EngineSpec;
 
 /**
- * Instances that die, lose the way to the list and carry orders out late, and two daemons
- * that plan by turns, in virtual time. It notes every order that must not have been
- * carried out.
+ * Simulates, in virtual time, instances that fail, are disconnected from the instance
+ * list and execute orders late, and two daemons that alternate as the planner. It records
+ * every order that violates the planner's guarantees.
  */
 final class ReplicaSimulation {
 
@@ -62,18 +62,19 @@
 	private int nextId;
 
 	/**
-	 * Where an instance that died has started again: orders for it reach the new life.
+	 * Maps a terminated instance to the one that restarted at its address and receives
+	 * its orders.
 	 */
 	private final Map<String, String> restartedAs = new HashMap<>();
 
-	/** Whether instances that nobody reaches stay so for longer than any timeout. */
+	/** Whether unreachable instances stay unreachable for longer than any timeout. */
 	boolean longPartitions;
 
-	/** Whether instances that die start again at once at the same address. */
+	/** Whether failed instances restart at once at the same address. */
 	boolean restartAtSameAddress;
 
 	/**
-	 * Whether an order that an instance left unanswered is carried out by its next life.
+	 * Whether a restarted instance executes the late orders of the terminated one.
 	 */
 	boolean lateOrdersReachRestarted;
 
@@ -91,16 +92,16 @@
 	}
 
 	private SimulatedInstance addInstance(String domain) {
-		final SimulatedInstance engine = new SimulatedInstance("i-" + this.nextId++, domain);
-		this.instances.put(engine.id, engine);
-		return engine;
+		final SimulatedInstance instance = new SimulatedInstance("i-" + this.nextId++, domain);
+		this.instances.put(instance.id, instance);
+		return instance;
 	}
 
-	void run(long millis, boolean troubled) {
+	void run(long millis, boolean withFaults) {
 		final long endMillis = this.nowMillis + millis;
 		while (this.nowMillis < endMillis) {
 			this.nowMillis += STEP_MILLIS;
-			if (troubled) {
+			if (withFaults) {
 				injectFaults();
 			}
 			deliverLateOrders();
@@ -114,19 +115,19 @@
 		if (this.random.nextInt(15) == 0) {
 			final List<SimulatedInstance> alive = this.instances.values()
 				.stream()
-				.filter((engine) -> engine.alive)
+				.filter((instance) -> instance.alive)
 				.toList();
-			final SimulatedInstance dead = alive.get(this.random.nextInt(alive.size()));
-			dead.alive = false;
-			dead.failedAtMillis = this.nowMillis;
-			replace(dead);
+			final SimulatedInstance failed = alive.get(this.random.nextInt(alive.size()));
+			failed.alive = false;
+			failed.failedAtMillis = this.nowMillis;
+			replace(failed);
 		}
 		if (this.random.nextInt(40) == 0) {
 			final List<SimulatedInstance> all = List.copyOf(this.instances.values());
-			final SimulatedInstance cut = all.get(this.random.nextInt(all.size()));
-			cut.unreachable = this.random.nextInt(3) == 0;
-			cut.partitionedUntilMillis = this.nowMillis
-					+ ((cut.unreachable && this.longPartitions) ? LONG_PARTITION_MILLIS : PARTITION_MILLIS);
+			final SimulatedInstance partitioned = all.get(this.random.nextInt(all.size()));
+			partitioned.unreachable = this.random.nextInt(3) == 0;
+			partitioned.partitionedUntilMillis = this.nowMillis
+					+ ((partitioned.unreachable && this.longPartitions) ? LONG_PARTITION_MILLIS : PARTITION_MILLIS);
 		}
 		if (this.random.nextInt(60) == 0) {
 			this.leaseHolder = 1 - this.leaseHolder;
@@ -135,13 +136,13 @@
 		}
 	}
 
-	private void replace(SimulatedInstance dead) {
-		final SimulatedInstance next = addInstance(dead.domain);
+	private void replace(SimulatedInstance failed) {
+		final SimulatedInstance successor = addInstance(failed.domain);
 		if (this.restartAtSameAddress) {
-			next.address = dead.address;
-			this.restartedAs.put(dead.id, next.id);
-			// The list has one entry for both lives, and shows the later one.
-			dead.restarted = true;
+			successor.address = failed.address;
+			this.restartedAs.put(failed.id, successor.id);
+			// The list has one entry for the address, and shows the restarted instance.
+			failed.restarted = true;
 		}
 	}
 
@@ -153,69 +154,69 @@
 		return this.instances.get(id);
 	}
 
-	private void advance(SimulatedInstance engine) {
-		if (engine.alive && !engine.stagingModel.isEmpty() && this.nowMillis >= engine.stagedAtMillis) {
-			engine.stagedModels = Set.of(engine.stagingModel);
-			engine.stagingModel = "";
+	private void advance(SimulatedInstance instance) {
+		if (instance.alive && !instance.stagingModel.isEmpty() && this.nowMillis >= instance.stagedAtMillis) {
+			instance.stagedModels = Set.of(instance.stagingModel);
+			instance.stagingModel = "";
 		}
-		if (!engine.alive || engine.group == null) {
+		if (!instance.alive || instance.group == null) {
 			return;
 		}
-		if (engine.state == MemberState.JOINING && this.nowMillis >= engine.readyAtMillis) {
-			engine.state = MemberState.READY;
-			engine.everReady.add(engine.group);
+		if (instance.state == MemberState.JOINING && this.nowMillis >= instance.readyAtMillis) {
+			instance.state = MemberState.READY;
+			instance.everReady.add(instance.group);
 		}
-		if (engine.state == MemberState.OPEN) {
-			final long lostAtMillis = memberLostSince(engine);
+		if (instance.state == MemberState.OPEN) {
+			final long lostAtMillis = memberLostSince(instance);
 			if (lostAtMillis >= 0 && this.nowMillis - lostAtMillis >= STALL_TIMEOUT_MILLIS) {
-				engine.state = MemberState.BROKEN;
+				instance.state = MemberState.BROKEN;
 			}
 		}
 	}
 
 	private long memberLostSince(SimulatedInstance head) {
-		long since = -1;
+		long sinceMillis = -1;
 		for (final String id : head.members) {
 			final SimulatedInstance member = this.instances.get(id);
 			if (!member.alive) {
-				since = Math.max(since, member.failedAtMillis);
+				sinceMillis = Math.max(sinceMillis, member.failedAtMillis);
 			}
 			else if (!head.group.equals(member.group)) {
-				since = Math.max(since, member.groupChangedAtMillis);
+				sinceMillis = Math.max(sinceMillis, member.groupChangedAtMillis);
 			}
 		}
-		return since;
+		return sinceMillis;
 	}
 
 	private void updateList() {
 		final Map<String, ServingInstance> listed = new HashMap<>();
-		for (final SimulatedInstance engine : this.instances.values()) {
-			final long silentMillis = engine.alive ? this.nowMillis - engine.partitionedSince(this.nowMillis)
-					: this.nowMillis - engine.failedAtMillis;
-			if (silentMillis >= 3 * HEARTBEAT_MILLIS || engine.restarted) {
-				engine.lastListed = null;
+		for (final SimulatedInstance instance : this.instances.values()) {
+			final long unreachableMillis = instance.alive ? this.nowMillis - instance.partitionedSince(this.nowMillis)
+					: this.nowMillis - instance.failedAtMillis;
+			if (unreachableMillis >= 3 * HEARTBEAT_MILLIS || instance.restarted) {
+				instance.lastListed = null;
 			}
-			else if (engine.alive && silentMillis == 0) {
-				engine.lastListed = engine.report();
+			else if (instance.alive && unreachableMillis == 0) {
+				instance.lastListed = instance.report();
 			}
-			if (engine.lastListed != null) {
-				listed.put(engine.id, engine.lastListed);
+			if (instance.lastListed != null) {
+				listed.put(instance.id, instance.lastListed);
 			}
 		}
 		this.listHistory.add(listed);
 	}
 
 	private void plan() {
-		final int lag = (int) (LIST_LAG_MILLIS / STEP_MILLIS);
-		if (this.listHistory.size() <= lag) {
+		final int lagSteps = (int) (LIST_LAG_MILLIS / STEP_MILLIS);
+		if (this.listHistory.size() <= lagSteps) {
 			return;
 		}
-		final Map<String, ServingInstance> seen = this.listHistory.get(this.listHistory.size() - 1 - lag);
-		this.delisted.update(this.nowMillis * 1_000_000, seen.values());
+		final Map<String, ServingInstance> listed = this.listHistory.get(this.listHistory.size() - 1 - lagSteps);
+		this.delisted.update(this.nowMillis * 1_000_000, listed.values());
 		final ReplicaPlanner planner = this.planners[this.leaseHolder];
 		final long fencingToken = this.term;
 		planner
-			.plan(new PlannerView(this.nowMillis * 1_000_000, ENGINE_SPEC, seen.values(), this.delisted.instances(),
+			.plan(new PlannerView(this.nowMillis * 1_000_000, ENGINE_SPEC, listed.values(), this.delisted.instances(),
 					Set.of(), this.nowMillis < 15_000))
 			.forEach((order) -> send(planner, order, fencingToken));
 	}
@@ -237,91 +238,91 @@
 
 	private void deliverLateOrders() {
 		while (!this.lateOrders.isEmpty() && this.lateOrders.peek().atMillis() <= this.nowMillis) {
-			final LateOrder delivery = this.lateOrders.poll();
-			final boolean ended = this.restartedAs.containsKey(delivery.order().instance().id());
-			if (ended && !this.lateOrdersReachRestarted) {
+			final LateOrder lateOrder = this.lateOrders.poll();
+			final boolean restarted = this.restartedAs.containsKey(lateOrder.order().instance().id());
+			if (restarted && !this.lateOrdersReachRestarted) {
 				continue;
 			}
-			execute(delivery.order(), delivery.fencingToken());
+			execute(lateOrder.order(), lateOrder.fencingToken());
 		}
 	}
 
 	private OrderOutcome execute(ReplicaOrder order, long fencingToken) {
-		final SimulatedInstance engine = currentInstance(order);
-		if (!engine.alive || (engine.unreachable && this.nowMillis < engine.partitionedUntilMillis)) {
+		final SimulatedInstance instance = currentInstance(order);
+		if (!instance.alive || (instance.unreachable && this.nowMillis < instance.partitionedUntilMillis)) {
 			return OrderOutcome.UNKNOWN;
 		}
-		if (fencingToken < engine.highestFencingToken) {
+		if (fencingToken < instance.highestFencingToken) {
 			return OrderOutcome.FENCED;
 		}
-		engine.highestFencingToken = fencingToken;
+		instance.highestFencingToken = fencingToken;
 		if (order instanceof ReplicaOrder.Stage stage) {
-			return stage(engine, stage.model());
+			return stage(instance, stage.model());
 		}
 		final GroupId group = ((ReplicaOrder.GroupOrder) order).group();
 		if (order instanceof ReplicaOrder.Join join) {
-			return join(engine, join);
+			return join(instance, join);
 		}
-		if (!group.equals(engine.group)) {
+		if (!group.equals(instance.group)) {
 			return OrderOutcome.UNFIT;
 		}
 		if (order instanceof ReplicaOrder.Leave) {
-			engine.group = null;
-			engine.state = null;
-			engine.groupChangedAtMillis = this.nowMillis;
+			instance.group = null;
+			instance.state = null;
+			instance.groupChangedAtMillis = this.nowMillis;
 			return OrderOutcome.STARTED;
 		}
-		return (order instanceof ReplicaOrder.Open) ? open(engine) : close(engine);
+		return (order instanceof ReplicaOrder.Open) ? open(instance) : close(instance);
 	}
 
-	private OrderOutcome stage(SimulatedInstance engine, String model) {
-		if (engine.stagedModels.contains(model) || engine.stagingModel.equals(model)) {
+	private OrderOutcome stage(SimulatedInstance instance, String model) {
+		if (instance.stagedModels.contains(model) || instance.stagingModel.equals(model)) {
 			return OrderOutcome.HOLDS;
 		}
 		final long loadMillis = ENGINE_SPEC.model(model).orElseThrow().loadMillis();
-		engine.stagingModel = model;
-		engine.stagedAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? loadMillis / 10 : loadMillis);
+		instance.stagingModel = model;
+		instance.stagedAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? loadMillis / 10 : loadMillis);
 		return OrderOutcome.STARTED;
 	}
 
-	private OrderOutcome join(SimulatedInstance engine, ReplicaOrder.Join join) {
-		if (join.group().equals(engine.group)) {
-			return engine.members.equals(join.memberIds()) ? OrderOutcome.HOLDS : OrderOutcome.FENCED;
+	private OrderOutcome join(SimulatedInstance instance, ReplicaOrder.Join join) {
+		if (join.group().equals(instance.group)) {
+			return instance.members.equals(join.memberIds()) ? OrderOutcome.HOLDS : OrderOutcome.FENCED;
 		}
-		if (join.group().epoch() < engine.epoch) {
+		if (join.group().epoch() < instance.epoch) {
 			return OrderOutcome.FENCED;
 		}
-		checkNotTakenFromServingGroup(engine, join);
-		engine.epoch = join.group().epoch();
-		engine.group = join.group();
-		engine.members = join.memberIds();
-		engine.groupChangedAtMillis = this.nowMillis;
-		engine.state = MemberState.JOINING;
+		checkNotTakenFromServingGroup(instance, join);
+		instance.epoch = join.group().epoch();
+		instance.group = join.group();
+		instance.members = join.memberIds();
+		instance.groupChangedAtMillis = this.nowMillis;
+		instance.state = MemberState.JOINING;
 		final String model = join.group().model();
-		if (model.equals(engine.lastModel)) {
-			engine.readyAtMillis = this.nowMillis + 200;
+		if (model.equals(instance.lastModel)) {
+			instance.readyAtMillis = this.nowMillis + 200;
 		}
-		else if (engine.stagedModels.contains(model)) {
-			engine.readyAtMillis = this.nowMillis + 1_200;
+		else if (instance.stagedModels.contains(model)) {
+			instance.readyAtMillis = this.nowMillis + 1_200;
 		}
 		else {
-			engine.stagedModels = Set.of(model);
-			engine.readyAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? 1_600 : 14_000);
+			instance.stagedModels = Set.of(model);
+			instance.readyAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? 1_600 : 14_000);
 		}
-		engine.lastModel = model;
+		instance.lastModel = model;
 		return OrderOutcome.STARTED;
 	}
 
-	private void checkNotTakenFromServingGroup(SimulatedInstance engine, ReplicaOrder.Join join) {
-		if (engine.group == null) {
+	private void checkNotTakenFromServingGroup(SimulatedInstance instance, ReplicaOrder.Join join) {
+		if (instance.group == null) {
 			return;
 		}
-		final SimulatedInstance head = this.instances.get(engine.members.get(0));
-		if (head.alive && engine.group.equals(head.group)
+		final SimulatedInstance head = this.instances.get(instance.members.get(0));
+		if (head.alive && instance.group.equals(head.group)
 				&& (head.state == MemberState.OPEN || head.state == MemberState.CLOSING)) {
-			this.violations.add(this.nowMillis + ": " + engine.id + " taken into " + join.group() + " while " + head.id
-					+ " serves " + engine.group + "; when it was ordered the list showed it in "
-					+ join.instance().membership().map((own) -> own.group().name()).orElse("none"));
+			this.violations.add(this.nowMillis + ": " + instance.id + " reassigned to " + join.group() + " while head "
+					+ head.id + " serves " + instance.group + "; listed group when it was ordered: "
+					+ join.instance().membership().map((membership) -> membership.group().name()).orElse("none"));
 		}
 	}
 
@@ -350,47 +351,48 @@
 	}
 
 	/**
-	 * Counts the instances in groups that serve as a whole.
+	 * Counts the instances in open groups that have all their members.
 	 * @return the number of instances
 	 */
 	int countServingInstances() {
 		int count = 0;
-		for (final SimulatedInstance engine : this.instances.values()) {
-			if (engine.alive && engine.state == MemberState.OPEN && memberLostSince(engine) < 0) {
-				count += engine.members.size();
+		for (final SimulatedInstance instance : this.instances.values()) {
+			if (instance.alive && instance.state == MemberState.OPEN && memberLostSince(instance) < 0) {
+				count += instance.members.size();
 			}
 		}
 		return count;
 	}
 
 	/**
-	 * Counts a model's groups that serve as a whole.
+	 * Counts a model's open groups that have all their members.
 	 * @param model the model
 	 * @return the number of groups
 	 */
 	int countServingGroups(String model) {
 		return (int) this.instances.values()
 			.stream()
-			.filter((engine) -> engine.alive && engine.state == MemberState.OPEN && memberLostSince(engine) < 0)
-			.filter((engine) -> engine.group.model().equals(model))
+			.filter((instance) -> instance.alive && instance.state == MemberState.OPEN && memberLostSince(instance) < 0)
+			.filter((instance) -> instance.group.model().equals(model))
 			.count();
 	}
 
 	/**
-	 * Kills two members of groups in one zone, which two domains share, and adds two
-	 * empty instances there.
+	 * Fails two members of groups in one availability zone, which consists of two
+	 * domains, and optionally adds an empty instance to each of these domains.
+	 * @param replaced whether empty instances are added
 	 */
 	void failTwoMembers(boolean replaced) {
-		final int zone = this.random.nextInt(3);
-		final List<String> domains = List.of("domain-" + 2 * zone, "domain-" + (2 * zone + 1));
+		final int availabilityZone = this.random.nextInt(3);
+		final List<String> domains = List.of("domain-" + 2 * availabilityZone, "domain-" + (2 * availabilityZone + 1));
 		for (int i = 0; i < 2; i++) {
-			final List<SimulatedInstance> grouped = this.instances.values()
+			final List<SimulatedInstance> groupedInstances = this.instances.values()
 				.stream()
-				.filter((engine) -> engine.alive && engine.group != null && domains.contains(engine.domain))
+				.filter((instance) -> instance.alive && instance.group != null && domains.contains(instance.domain))
 				.toList();
-			final SimulatedInstance dead = grouped.get(this.random.nextInt(grouped.size()));
-			dead.alive = false;
-			dead.failedAtMillis = this.nowMillis;
+			final SimulatedInstance failed = groupedInstances.get(this.random.nextInt(groupedInstances.size()));
+			failed.alive = false;
+			failed.failedAtMillis = this.nowMillis;
 			if (replaced) {
 				addInstance(domains.get(i));
 			}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/SimulatedInstance.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/SimulatedInstance.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * One instance of a {@link ReplicaSimulation}, as it is and as the list last showed it.
+ * An instance of a {@link ReplicaSimulation}: its actual state and the last listed one.
  */
 final class SimulatedInstance {
 
@@ -22,7 +22,10 @@
 
 	long failedAtMillis;
 
-	/** Whether a later life has taken its place in the list. */
+	/**
+	 * Whether an instance that restarted at the same address has replaced this one in the
+	 * list.
+	 */
 	boolean restarted;
 
 	long groupChangedAtMillis;
@@ -74,7 +77,7 @@
 
 	ServingInstance report() {
 		final Optional<Membership> membership = Optional.ofNullable(this.group)
-			.map((own) -> new Membership(own, this.members.indexOf(this.id), this.state));
+			.map((current) -> new Membership(current, this.members.indexOf(this.id), this.state));
 		return new ServingInstance(this.id, "pool", this.address, "zone", this.domain, false, 12, this.stagedModels,
 				membership);
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/WeightLoadLimiterTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/WeightLoadLimiterTests.java
@@ -13,15 +13,15 @@
 
 	private static final long SECOND_NANOS = 1_000_000_000L;
 
-	/** Five loads a second, seven at once; twenty in five seconds are used. */
+	/** Allows 5 loads per second and 7 at once, of which 20 loads in 5 s are used. */
 	private static final EngineSpec ENGINE_SPEC = ReplicaSimulation.ENGINE_SPEC;
 
 	private final WeightLoadLimiter limiter = new WeightLoadLimiter(5 * SECOND_NANOS);
 
 	/**
-	 * The planning daemon dies every few seconds, and empty hosts wait for weights. Were
-	 * each planner to wait for a window first, nobody would load, and callers would be
-	 * refused beside idle instances.
+	 * The planner fails every few seconds while empty hosts wait for weights. Guards
+	 * against each new planner waiting for a whole window first: no load would start, and
+	 * callers would be refused although instances are idle.
 	 */
 	@Test
 	void aNewPlannerStartsLoadsAtOnceButNotAWholeWindowOfThem() {
@@ -32,28 +32,29 @@
 	}
 
 	/**
-	 * Three daemons plan within one window, each with seven loads at once. All together
-	 * must stay under the rate that the weight store stands.
+	 * Three daemons plan within one window, each with seven loads at once. Guards against
+	 * the sum of their loads exceeding the rate of the weight store.
 	 */
 	@Test
 	void successivePlannersStayWithinTheRateTogether() {
-		int begun = 0;
+		int startedLoads = 0;
 		for (int planner = 0; planner < 3; planner++) {
-			final WeightLoadLimiter own = new WeightLoadLimiter(5 * SECOND_NANOS);
-			own.takeOver(planner * SECOND_NANOS);
+			final WeightLoadLimiter limiterOfPlanner = new WeightLoadLimiter(5 * SECOND_NANOS);
+			limiterOfPlanner.takeOver(planner * SECOND_NANOS);
 			for (int load = 0; load < ENGINE_SPEC.concurrentLoads(); load++) {
-				begun += own.tryStart(planner * SECOND_NANOS + SECOND_NANOS / 2, 1, ENGINE_SPEC) ? 1 : 0;
+				startedLoads += limiterOfPlanner.tryStart(planner * SECOND_NANOS + SECOND_NANOS / 2, 1, ENGINE_SPEC) ? 1
+						: 0;
 			}
 		}
-		assertThat(begun).isLessThanOrEqualTo(5 * 5);
+		assertThat(startedLoads).isLessThanOrEqualTo(5 * 5);
 	}
 
 	@Test
 	void withShortLoadsThePreviousPlannerMayHaveUsedTheWholeWindow() {
-		final EngineSpec quick = new EngineSpec(12, List.of(new EngineModel("m", 2, 1, 1, 1_000, 100)), 5, 7, 300);
+		final EngineSpec shortLoads = new EngineSpec(12, List.of(new EngineModel("m", 2, 1, 1, 1_000, 100)), 5, 7, 300);
 		this.limiter.takeOver(0);
-		assertThat(this.limiter.tryStart(SECOND_NANOS, 1, quick)).isFalse();
-		assertThat(this.limiter.tryStart(5 * SECOND_NANOS + 1, 1, quick)).isTrue();
+		assertThat(this.limiter.tryStart(SECOND_NANOS, 1, shortLoads)).isFalse();
+		assertThat(this.limiter.tryStart(5 * SECOND_NANOS + 1, 1, shortLoads)).isTrue();
 	}
 
 	@Test
