--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
@@ -37,23 +37,26 @@
 import org.pistachioline.daemon.port.PlannerLease;
 
 /**
- * Derives the targets from the list of instances, and gives orders while this daemon
- * holds the planner's lease.
+ * Derives the targets from the instance list, and sends orders to instances while this
+ * daemon holds the planner lease.
  */
 public final class ReplicaDuty implements Lifecycle, DutyHandler<ReplicaMessage> {
 
-	/** A list or a load report for which there is no room is followed by a newer one. */
+	/** A dropped load report is superseded by the next one. */
 	private static final int RING_CAPACITY = 4_096;
 
 	/**
-	 * How soon after a change a lost member is acted on: a small part of its recovery.
+	 * Bounds the delay before the loss of a member is handled to a small part of the time
+	 * that recovery takes.
 	 */
 	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
-	/** How often loads are handed on; they are a tenth of a second old when they come. */
+	/**
+	 * Interval at which load reports are passed on; they are about 100 ms old on arrival.
+	 */
 	private static final long TARGETS_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
-	/** Often enough to follow a loss of capacity, seldom enough for a busy log. */
+	/** Short enough to follow a loss of capacity, long enough not to flood the log. */
 	private static final long SUMMARY_INTERVAL_NANOS = Duration.ofSeconds(2).toNanos();
 
 	private final PlannerLease lease;
@@ -101,11 +104,12 @@
 	/**
 	 * Creates the duty.
 	 * @param system the process's actor system
-	 * @param lease the planner's lease
-	 * @param orderSender gives orders
-	 * @param times the times that planners keep to
-	 * @param targetsListener takes the targets
-	 * @param beforeTraffic whether no request has come yet to a system that starts
+	 * @param lease the planner lease
+	 * @param orderSender sends orders and probes to instances
+	 * @param times the planners' timeouts
+	 * @param targetsListener receives the targets after each change
+	 * @param beforeTraffic returns whether no request has arrived since the system
+	 * started
 	 */
 	public ReplicaDuty(ActorSystem<?> system, PlannerLease lease, OrderSender orderSender, PlannerTimes times,
 			Consumer<List<TargetView>> targetsListener, BooleanSupplier beforeTraffic) {
@@ -135,7 +139,7 @@
 	}
 
 	/**
-	 * Takes over the list of instances.
+	 * Replaces the instance list.
 	 * @param listed all instances
 	 */
 	public void updateInstances(List<ServingInstance> listed) {
@@ -143,7 +147,7 @@
 	}
 
 	/**
-	 * Takes over a configuration.
+	 * Puts a configuration into force.
 	 * @param inForce the configuration
 	 */
 	public void configure(RouteTable inForce) {
@@ -151,7 +155,7 @@
 	}
 
 	/**
-	 * Takes what a target told of its load.
+	 * Records the load that a target reported; dropped if the ring is full.
 	 * @param targetId the target
 	 * @param load the load
 	 */
@@ -160,7 +164,7 @@
 	}
 
 	/**
-	 * Takes word of an instance that leaves: its group is formed anew without it.
+	 * Marks an instance as leaving, so that its group is formed again without it.
 	 * @param instanceId the instance
 	 */
 	public void onInstanceLeaving(String instanceId) {
@@ -168,8 +172,8 @@
 	}
 
 	/**
-	 * Takes word of a target that stands still; where the ring is full the next request
-	 * that stands still tells it.
+	 * Reports a target that makes no progress. If the ring is full the report is dropped,
+	 * as the next stalled request repeats it.
 	 * @param targetId the target
 	 */
 	public void onTargetStalled(String targetId) {
@@ -178,14 +182,15 @@
 
 	/**
 	 * Returns the groups that this daemon plans, for operators.
-	 * @return for each group the ids of its members; empty while it does not plan
+	 * @return the ids of the members, by the name of the group; empty while this daemon
+	 * is not the planner
 	 */
 	public Map<String, List<String>> plannedGroups() {
 		return this.plannedGroups;
 	}
 
 	/**
-	 * Returns how many targets take requests.
+	 * Returns the number of targets that accept requests.
 	 * @return the number of targets
 	 */
 	public int servingTargetCount() {
@@ -194,8 +199,8 @@
 
 	@Override
 	public void onMessage(ReplicaMessage message) {
-		if (message instanceof ReplicaMessage.InstancesUpdated listed) {
-			this.instances = this.leavingInstances.markDraining(listed.instances());
+		if (message instanceof ReplicaMessage.InstancesUpdated updated) {
+			this.instances = this.leavingInstances.markDraining(updated.instances());
 			final Set<String> ids = this.instances.stream().map(ServingInstance::id).collect(Collectors.toSet());
 			this.loadReports.keySet().retainAll(ids);
 			this.delisted.update(System.nanoTime(), this.instances);
@@ -209,8 +214,8 @@
 			this.loadReports.put(loaded.instanceId(), loaded.load());
 			this.loadReportsChanged = true;
 		}
-		else if (message instanceof ReplicaMessage.InstanceLeaving gone) {
-			handleLeaving(gone.instanceId());
+		else if (message instanceof ReplicaMessage.InstanceLeaving announced) {
+			handleLeaving(announced.instanceId());
 		}
 		else if (message instanceof ReplicaMessage.TargetStalled stalled) {
 			if (this.heldTerm != 0) {
@@ -235,7 +240,8 @@
 
 	private void onOrderCompleted(ReplicaOrder order, OrderOutcome outcome) {
 		if (outcome == OrderOutcome.FENCED && !(order instanceof ReplicaOrder.Join)) {
-			// Another planner has begun: whatever this one still wants is out of date.
+			// Another daemon has become the planner, so the remaining orders of this term
+			// are obsolete.
 			this.fencedTerm = this.heldTerm;
 		}
 		final ReplicaPlanner planner = this.planners.get(order.instance().service());
@@ -260,47 +266,49 @@
 	}
 
 	private void plan(long nowNanos, long term) {
-		final boolean heldBefore = this.heldTerm != 0;
-		final boolean begins = this.heldTerm != term;
+		final boolean heldContinuously = this.heldTerm != 0;
+		final boolean termBegins = this.heldTerm != term;
 		this.heldTerm = term;
 		if (term <= this.fencedTerm) {
 			return;
 		}
-		final Map<String, List<String>> all = new HashMap<>();
-		final Set<String> gone = this.unresponsive.ids(nowNanos);
-		final boolean sumUp = nowNanos - this.summaryLoggedAtNanos >= SUMMARY_INTERVAL_NANOS;
-		if (sumUp) {
+		final Map<String, List<String>> groupsByName = new HashMap<>();
+		final Set<String> unresponsiveIds = this.unresponsive.ids(nowNanos);
+		final boolean logSummary = nowNanos - this.summaryLoggedAtNanos >= SUMMARY_INTERVAL_NANOS;
+		if (logSummary) {
 			this.summaryLoggedAtNanos = nowNanos;
 		}
 		for (final ServiceSpec service : this.routeTable.services()) {
 			if (service.grouped()) {
 				final ReplicaPlanner planner = this.planners.computeIfAbsent(service.name(),
 						(name) -> new ReplicaPlanner(this.times));
-				if (begins) {
-					planner.beginTerm(nowNanos, term, heldBefore);
+				if (termBegins) {
+					planner.beginTerm(nowNanos, term, heldContinuously);
 				}
 				planner
-					.plan(new PlannerView(nowNanos, service.engine().orElseThrow(), usableInstancesOf(service, gone),
-							this.delisted.instances(), gone, this.beforeTraffic.getAsBoolean()))
+					.plan(new PlannerView(nowNanos, service.engine().orElseThrow(),
+							usableInstancesOf(service, unresponsiveIds), this.delisted.instances(), unresponsiveIds,
+							this.beforeTraffic.getAsBoolean()))
 					.forEach((order) -> sendOrder(order, term));
-				all.putAll(planner.groups());
-				if (sumUp) {
-					logSummary(service, planner.summary(usableInstancesOf(service, gone)));
+				groupsByName.putAll(planner.groups());
+				if (logSummary) {
+					logSummary(service, planner.summary(usableInstancesOf(service, unresponsiveIds)));
 				}
 			}
 		}
-		this.plannedGroups = all;
+		this.plannedGroups = groupsByName;
 	}
 
-	private static void logSummary(ServiceSpec service, PoolSummary sums) {
-		Events.log(EventId.POOL_SUMMED_UP, "service", service.name(), "listed", sums.listed(), "draining",
-				sums.draining(), "serving", sums.serving(), "forming", sums.forming(), "waiting", sums.waiting(),
-				"free_warm", sums.freeWarm(), "free_empty", sums.freeEmpty(), "loading", sums.loading());
+	private static void logSummary(ServiceSpec service, PoolSummary summary) {
+		Events.log(EventId.POOL_SUMMED_UP, "service", service.name(), "listed", summary.listed(), "draining",
+				summary.draining(), "serving", summary.serving(), "forming", summary.forming(), "waiting",
+				summary.waiting(), "free_warm", summary.freeWarm(), "free_empty", summary.freeEmpty(), "loading",
+				summary.loading());
 	}
 
-	private List<ServingInstance> usableInstancesOf(ServiceSpec service, Set<String> gone) {
+	private List<ServingInstance> usableInstancesOf(ServiceSpec service, Set<String> unresponsiveIds) {
 		return this.instances.stream()
-			.filter((instance) -> instance.service().equals(service.name()) && !gone.contains(instance.id()))
+			.filter((instance) -> instance.service().equals(service.name()) && !unresponsiveIds.contains(instance.id()))
 			.toList();
 	}
 
@@ -315,7 +323,7 @@
 
 	private static String reportedMembership(ServingInstance instance) {
 		return instance.membership()
-			.map((own) -> own.group().name() + ' ' + own.state().name().toLowerCase(Locale.ROOT))
+			.map((membership) -> membership.group().name() + ' ' + membership.state().name().toLowerCase(Locale.ROOT))
 			.orElse("");
 	}
 
@@ -323,18 +331,18 @@
 		this.targetsPublishedAtNanos = nowNanos;
 		this.loadReportsChanged = false;
 		final List<TargetView> views = ServingGroups.targets(this.routeTable, this.instances, this.loadReports);
-		final Set<String> now = views.stream()
+		final Set<String> servingNow = views.stream()
 			.filter(TargetView::serving)
 			.map((view) -> view.name() + ' ' + view.targetId())
 			.collect(Collectors.toSet());
-		now.stream()
+		servingNow.stream()
 			.filter((name) -> !this.servingTargets.contains(name))
 			.forEach((name) -> Events.log(EventId.TARGET_SERVING, "target", name));
 		this.servingTargets.stream()
-			.filter((name) -> !now.contains(name))
+			.filter((name) -> !servingNow.contains(name))
 			.forEach((name) -> Events.log(EventId.TARGET_STOPPED, "target", name));
-		this.servingTargets = now;
-		this.servingTargetCount = now.size();
+		this.servingTargets = servingNow;
+		this.servingTargetCount = servingNow.size();
 		this.targetsListener.accept(views);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaMessage.java
@@ -10,21 +10,21 @@
 import org.pistachioline.core.route.RouteTable;
 
 /**
- * What the replica duty is told.
+ * A message to the replica duty.
  */
 sealed interface ReplicaMessage {
 
 	/**
-	 * The list of instances has changed.
+	 * Reports that the instance list has changed.
 	 *
-	 * @param instances all of them
+	 * @param instances all listed instances
 	 */
 	record InstancesUpdated(List<ServingInstance> instances) implements ReplicaMessage {
 
 	}
 
 	/**
-	 * A configuration is in force.
+	 * Reports that a configuration has come into force.
 	 *
 	 * @param table the configuration
 	 */
@@ -33,17 +33,17 @@
 	}
 
 	/**
-	 * A target told of its load.
+	 * Reports the load of an instance.
 	 *
 	 * @param instanceId the instance
-	 * @param load its load
+	 * @param load the load
 	 */
 	record LoadReported(String instanceId, LoadReport load) implements ReplicaMessage {
 
 	}
 
 	/**
-	 * An instance said that it leaves.
+	 * Reports that an instance has announced that it is leaving.
 	 *
 	 * @param instanceId the instance
 	 */
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * A target stands still while it holds requests.
+	 * Reports a target that holds requests but makes no progress.
 	 *
 	 * @param targetId the target
 	 */
@@ -61,19 +61,19 @@
 	}
 
 	/**
-	 * The members of a group that stood still were asked whether they live.
+	 * Reports the results of probing all members of a stalled group.
 	 *
-	 * @param answeredById for each member whether it answered
+	 * @param answeredById whether each member answered, by its id
 	 */
 	record GroupProbed(Map<String, Boolean> answeredById) implements ReplicaMessage {
 
 	}
 
 	/**
-	 * An order was answered, or not.
+	 * Reports that an order was answered or timed out.
 	 *
 	 * @param order the order
-	 * @param outcome what came of it
+	 * @param outcome the result
 	 */
 	record OrderCompleted(ReplicaOrder order, OrderOutcome outcome) implements ReplicaMessage {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
@@ -18,24 +18,24 @@
 import org.pistachioline.daemon.port.OrderSender;
 
 /**
- * Finds the dead member of a group that stands still, earlier than the list drops it.
+ * Detects the failed member of a stalled group before it is delisted.
  * <p>
- * The list drops an instance some heartbeats after its last word; until then its group's
- * head takes requests that get no answer. Requests that stand still tell within a
- * fraction of a second that something is wrong with a group, though not with which
- * member. So all its members are asked, and those that do not answer while others of the
- * group do count as gone. Where none answers the fault may be this daemon's own link, and
- * nothing is concluded.
+ * An instance is delisted several heartbeats after its last one; until then the head of
+ * its group accepts requests that are never answered. Stalled requests show within a
+ * fraction of a second that a group has failed, but not which member. All members are
+ * therefore probed, and those that do not answer while others of the group do are treated
+ * as failed. If none answers, this daemon's own network link may have failed, and no
+ * conclusion is drawn.
  */
 final class UnresponsiveInstances {
 
-	/** By then the list has dropped it, or it has shown that it lives. */
+	/** By this time the instance has been delisted, or has shown that it is alive. */
 	private static final long UNRESPONSIVE_NANOS = Duration.ofSeconds(6).toNanos();
 
-	/** A group is asked again after this time at the earliest. */
+	/** Minimum interval between two probes of the same group. */
 	private static final long MIN_PROBE_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
-	private final OrderSender orders;
+	private final OrderSender orderSender;
 
 	private final Consumer<Map<String, Boolean>> resultsListener;
 
@@ -43,13 +43,13 @@
 
 	private final Map<GroupId, Long> probedAtNanos = new HashMap<>();
 
-	UnresponsiveInstances(OrderSender orders, Consumer<Map<String, Boolean>> resultsListener) {
-		this.orders = orders;
+	UnresponsiveInstances(OrderSender orderSender, Consumer<Map<String, Boolean>> resultsListener) {
+		this.orderSender = orderSender;
 		this.resultsListener = resultsListener;
 	}
 
 	/**
-	 * Asks the members of a group.
+	 * Probes the members of a group, unless it was probed recently.
 	 * @param nowNanos the monotonic time
 	 * @param headId the group's head
 	 * @param instances all listed instances
@@ -60,42 +60,42 @@
 			.findFirst()
 			.flatMap(ServingInstance::membership)
 			.map(Membership::group);
-		this.probedAtNanos.values().removeIf((askedNanos) -> nowNanos - askedNanos >= MIN_PROBE_INTERVAL_NANOS);
+		this.probedAtNanos.values().removeIf((probedNanos) -> nowNanos - probedNanos >= MIN_PROBE_INTERVAL_NANOS);
 		if (group.isEmpty() || this.probedAtNanos.putIfAbsent(group.get(), nowNanos) != null) {
 			return;
 		}
 		final List<ServingInstance> members = instances.stream()
 			.filter((instance) -> instance.isMemberOf(group.get()))
 			.toList();
-		final Map<String, CompletableFuture<Boolean>> asked = new HashMap<>();
-		members.forEach((member) -> asked.put(member.id(), this.orders.probe(member)));
-		CompletableFuture.allOf(asked.values().toArray(new CompletableFuture<?>[0])).thenRun(() -> {
-			final Map<String, Boolean> answers = new HashMap<>();
-			asked.forEach((id, answer) -> answers.put(id, answer.join()));
-			this.resultsListener.accept(answers);
+		final Map<String, CompletableFuture<Boolean>> probes = new HashMap<>();
+		members.forEach((member) -> probes.put(member.id(), this.orderSender.probe(member)));
+		CompletableFuture.allOf(probes.values().toArray(new CompletableFuture<?>[0])).thenRun(() -> {
+			final Map<String, Boolean> answeredById = new HashMap<>();
+			probes.forEach((id, answer) -> answeredById.put(id, answer.join()));
+			this.resultsListener.accept(answeredById);
 		});
 	}
 
 	/**
-	 * Takes the answers of a group's members.
+	 * Processes the probe results of a group's members.
 	 * @param nowNanos the monotonic time
-	 * @param answered for each member whether it answered
+	 * @param answeredById whether each member answered, by its id
 	 */
-	void onProbeResults(long nowNanos, Map<String, Boolean> answered) {
-		answered.keySet().forEach(this.unresponsiveUntilNanos::remove);
-		if (!answered.containsValue(true)) {
+	void onProbeResults(long nowNanos, Map<String, Boolean> answeredById) {
+		answeredById.keySet().forEach(this.unresponsiveUntilNanos::remove);
+		if (!answeredById.containsValue(true)) {
 			return;
 		}
-		answered.forEach((id, alive) -> {
-			if (!alive) {
-				Events.log(EventId.INSTANCE_SILENT, "instance", id, "asked", answered.size());
+		answeredById.forEach((id, answered) -> {
+			if (!answered) {
+				Events.log(EventId.INSTANCE_SILENT, "instance", id, "asked", answeredById.size());
 				this.unresponsiveUntilNanos.put(id, nowNanos + UNRESPONSIVE_NANOS);
 			}
 		});
 	}
 
 	/**
-	 * Returns the instances that count as gone.
+	 * Returns the instances that are currently treated as failed.
 	 * @param nowNanos the monotonic time
 	 * @return their ids
 	 */
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Keeps instances in groups and tells the traffic duty which targets there are.
+ * Runs the replica planner, and passes the targets that it derives from the instance list
+ * to the traffic duty.
  */
 package org.pistachioline.daemon.replica;
