--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ModelInstanceCounts.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ModelInstanceCounts.java
@@ -48,7 +48,7 @@
 	}
 
 	private static double shareRatio(EngineModel model) {
-		return Math.max(model.shareRatio(), MIN_SHARE_RATIO);
+		return Math.max(model.initialShareRatio(), MIN_SHARE_RATIO);
 	}
 
 	int inDomain(String model, String domain) {
