--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSimulation.java
@@ -169,7 +169,7 @@
 		this.refusedDaemons.addAll(readers());
 	}
 
-	void refuseOneMore(int index) {
+	void refuseOnly(int index) {
 		this.refusedDaemons.clear();
 		this.refusedDaemons.add(index);
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSynchronizerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSynchronizerTests.java
@@ -293,7 +293,7 @@
 		world.kill(3);
 		world.run(500);
 		world.refuse(0);
-		world.refuseOneMore(3);
+		world.refuseOnly(3);
 		world.restart(3);
 		world.run(2_500);
 		assertThat(world.published(3)).isNotEmpty();
