--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/DistributionTree.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/DistributionTree.java
@@ -9,21 +9,27 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Which daemons read the platform's list, and whom the others ask.
+ * The tree along which the platform's instance list is distributed among the daemons.
  * <p>
- * All daemons put the live ones into the same order, by a hash of their names, without a
- * message. The first two read; each other asks one that stands before it, such that
- * nobody is asked by more than a handful. So the platform is asked as often by hundreds
- * of daemons as by two, and a change passes through at most three of 300. Views of who
- * lives may differ for seconds: then one daemon more reads, or somebody is asked by more.
+ * Every daemon computes the same tree without exchanging messages, by sorting the live
+ * daemons by a hash of their names. The first {@value #READER_COUNT} read from the
+ * platform; every other daemon polls a parent that precedes it in the order, and no
+ * daemon has more than {@value #MAX_CHILDREN} children. So the load on the platform does
+ * not depend on the size of the fleet, and in a fleet of 300 a change is relayed at most
+ * three times. Daemons may disagree for some seconds about which of them are live; then
+ * an additional daemon reads, or one has more children than usual.
  */
 final class DistributionTree {
 
-	/** One may be dead for seconds before all know it; the other is there meanwhile. */
+	/**
+	 * Two, because it takes seconds until all daemons have detected that a reader failed;
+	 * the other one serves meanwhile.
+	 */
 	static final int READER_COUNT = 2;
 
 	/**
-	 * How many daemons ask one: a few hundredths of the weakest machine's processor.
+	 * The most daemons that poll one parent. Serving eight takes a few percent of the
+	 * processor of the smallest machine.
 	 */
 	static final int MAX_CHILDREN = 8;
 
@@ -37,17 +43,17 @@
 	}
 
 	/**
-	 * Puts daemons into order.
-	 * @param selfId this daemon
-	 * @param liveIds the live daemons, this one included or not
-	 * @return the order
+	 * Builds the tree of the live daemons.
+	 * @param selfId this daemon's name
+	 * @param liveIds the names of the live daemons; this daemon's own name may be absent
+	 * @return the tree, seen from this daemon
 	 */
 	static DistributionTree of(String selfId, Collection<String> liveIds) {
-		final List<Node> places = new ArrayList<>();
-		liveIds.stream().filter((id) -> !id.equals(selfId)).forEach((id) -> places.add(Node.of(id)));
-		places.add(Node.of(selfId));
-		places.sort(Node.ORDER);
-		final List<String> ids = places.stream().map(Node::daemonId).toList();
+		final List<Node> nodes = new ArrayList<>();
+		liveIds.stream().filter((id) -> !id.equals(selfId)).forEach((id) -> nodes.add(Node.of(id)));
+		nodes.add(Node.of(selfId));
+		nodes.sort(Node.ORDER);
+		final List<String> ids = nodes.stream().map(Node::daemonId).toList();
 		return new DistributionTree(ids, ids.indexOf(selfId));
 	}
 
@@ -56,7 +62,7 @@
 	}
 
 	/**
-	 * Returns whether this daemon reads the platform's list.
+	 * Returns whether this daemon reads from the platform.
 	 * @return whether it does
 	 */
 	boolean isReader() {
@@ -64,7 +70,8 @@
 	}
 
 	/**
-	 * Returns whom this daemon asks as a rule.
+	 * Returns the daemon that this one polls by default; only daemons that do not read
+	 * from the platform have one.
 	 * @return the daemon's name
 	 */
 	String parent() {
@@ -72,23 +79,23 @@
 	}
 
 	/**
-	 * Returns one of the other daemons.
-	 * @param draw a number drawn by chance, from 0 to 1
-	 * @return the daemon's name; empty where there is no other
+	 * Picks one of the other daemons.
+	 * @param draw a uniformly distributed random number from 0 to 1
+	 * @return the daemon's name; empty if there is no other daemon
 	 */
 	String randomPeer(double draw) {
 		if (this.ids.size() < 2) {
 			return "";
 		}
-		final int drawn = (int) (draw * (this.ids.size() - 1));
-		return this.ids.get((drawn < this.position) ? drawn : drawn + 1);
+		final int index = (int) (draw * (this.ids.size() - 1));
+		return this.ids.get((index < this.position) ? index : index + 1);
 	}
 
 	/**
-	 * A daemon's place.
+	 * A daemon and its sort key.
 	 *
-	 * @param daemonId its name
-	 * @param hash the hash that the order goes by
+	 * @param daemonId the daemon's name
+	 * @param hash the hash that the daemons are sorted by
 	 */
 	private record Node(String daemonId, int hash) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/HistoryCoverage.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/HistoryCoverage.java
@@ -1,12 +1,13 @@
 package org.pistachioline.core.listing;
 
 /**
- * Which part of the list's history a daemon has seen record by record, so that it can
- * tell another daemon all that happened from some offset on.
+ * The part of the list's history that a daemon knows record by record, which decides
+ * whether it can send a peer a delta or only a snapshot.
  * <p>
- * A look at the whole list shows what is there, not what came and went since the look
- * before. A daemon that stands between the two may have seen an instance come that nobody
- * who looked knows of; told only the rest, it would keep that instance for good.
+ * A snapshot shows which instances are listed, not which were added and removed since the
+ * previous snapshot. A peer whose offset lies between the two may have read the addition
+ * of an instance that the reader of the snapshots never saw. If it were sent a delta
+ * without that instance's removal, it would keep the instance forever.
  */
 final class HistoryCoverage {
 
@@ -17,17 +18,17 @@
 	private long gapEndOffset;
 
 	/**
-	 * Begins anew with a whole list.
-	 * @param offset the offset that the list stands for
+	 * Starts over from a snapshot.
+	 * @param offset the offset of the snapshot
 	 */
 	void startAt(long offset) {
 		this.completeFromOffset = offset;
 	}
 
 	/**
-	 * Notes that nothing is known of what came and went between two offsets.
-	 * @param fromOffset the offset up to which all was known
-	 * @param toOffset the offset from which all is known again
+	 * Records that additions and removals between two offsets are unknown.
+	 * @param fromOffset the offset up to which the history is known
+	 * @param toOffset the offset from which it is known again
 	 */
 	void addGap(long fromOffset, long toOffset) {
 		this.completeFromOffset = Math.max(this.completeFromOffset, this.gapEndOffset);
@@ -36,17 +37,17 @@
 	}
 
 	/**
-	 * Notes that a drop is remembered no longer.
-	 * @param offset the drop's offset
+	 * Records that the history is no longer complete before an evicted tombstone.
+	 * @param offset the tombstone's offset
 	 */
 	void onTombstoneEvicted(long offset) {
 		this.completeFromOffset = Math.max(this.completeFromOffset, offset + 1);
 	}
 
 	/**
-	 * Returns whether all that happened from an offset on can be told.
-	 * @param fromOffset the first offset that another daemon lacks
-	 * @return whether it can
+	 * Returns whether the history from an offset on is complete.
+	 * @param fromOffset the first offset that a peer lacks
+	 * @return whether a delta from there contains every change
 	 */
 	boolean covers(long fromOffset) {
 		final boolean inGap = fromOffset > this.gapStartOffset && fromOffset < this.gapEndOffset;
@@ -54,8 +55,8 @@
 	}
 
 	/**
-	 * Returns the end of the last gap.
-	 * @return the first offset after it; 0 where there is none
+	 * Returns the end of the latest gap.
+	 * @return the first offset after it; 0 if there is no gap
 	 */
 	long gapEndOffset() {
 		return this.gapEndOffset;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceListing.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceListing.java
@@ -16,29 +16,33 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * The platform's list of instances as far as this daemon knows it, whether it read it or
- * was told by another daemon.
+ * A daemon's copy of the platform's instance list, kept up to date by its own reads and
+ * by deltas from peers.
  * <p>
- * Two things hold at any time, whoever told what in which order:
+ * Two invariants hold whatever the sources of the updates and their order:
  * <ul>
- * <li>What is held as listed is the platform's list at {@link #nextOffset()}, no more and
- * no less, so any two daemons at one offset hold the same.</li>
- * <li>What is told from one offset to another turns the list at the first into the list
- * at the second; nothing is told that lies beyond.</li>
+ * <li>The entries held as listed are exactly the platform's list at
+ * {@link #nextOffset()}, so any two daemons at the same offset hold the same
+ * entries.</li>
+ * <li>A delta that is sent from one offset to another turns the list at the first into
+ * the list at the second, and contains nothing beyond it.</li>
  * </ul>
- * An entry that the list shows no more and whose instance may live all the same is used
- * on for a moment ({@link UnconfirmedRemovals}). That a drop is in doubt is told beside
- * it, and changes neither of the two.
+ * A removed entry whose instance may still be alive stays in use for a while
+ * ({@link UnconfirmedRemovals}). Peers are told which removals are unconfirmed next to
+ * the records, which does not affect the invariants.
  */
 final class InstanceListing {
 
 	/**
-	 * How many drops are remembered for daemons that were told nothing for a while; some
-	 * minutes' worth where ten instances die every three seconds.
+	 * The most tombstones retained for peers that have not polled for a while: about five
+	 * minutes' worth if ten instances are removed every three seconds.
 	 */
 	private static final int MAX_TOMBSTONES = 1_024;
 
-	/** A longer list is read from the platform rather than told. */
+	/**
+	 * A longer list is not sent as a snapshot; the peer reads it from the platform
+	 * instead.
+	 */
 	private static final int MAX_SNAPSHOT_RECORDS = 2_000;
 
 	private final Map<String, InstanceRecord.Listed> listed = new HashMap<>();
@@ -55,7 +59,10 @@
 
 	private long lastChangeOffset;
 
-	/** A look at the whole list may show records that were written while it went on. */
+	/**
+	 * The offset after the last snapshot record, which exceeds {@code nextOffset} if
+	 * records were written while the snapshot was read.
+	 */
 	private long snapshotRecordsEnd;
 
 	private long asOfNanos;
@@ -65,23 +72,24 @@
 	private boolean resolved;
 
 	/**
-	 * Returns whether the list is known at all.
-	 * @return whether it is
+	 * Returns whether this daemon has a list at all.
+	 * @return whether it has
 	 */
 	boolean known() {
 		return this.known;
 	}
 
 	/**
-	 * Returns whether others can be told what is known.
-	 * @return whether all that is known lies before the first offset that is not
+	 * Returns whether the list can be sent to peers.
+	 * @return whether there is a list that reflects no record at or after
+	 * {@link #nextOffset()}
 	 */
 	boolean isShareable() {
 		return this.known && this.snapshotRecordsEnd <= this.nextOffset;
 	}
 
 	/**
-	 * Returns the first offset that is not known.
+	 * Returns the first offset whose record is not reflected in the list.
 	 * @return the offset
 	 */
 	long nextOffset() {
@@ -89,44 +97,46 @@
 	}
 
 	/**
-	 * Returns how old the list is at most.
+	 * Returns the upper bound of the list's age.
 	 * @param nowNanos the monotonic time
-	 * @return the time since the platform was asked for what is known
+	 * @return the time since the platform read that the list is based on, or
+	 * {@link ListingSynchronizer#UNKNOWN_AGE_NANOS} if there is no list
 	 */
 	long ageNanos(long nowNanos) {
 		return this.known ? nowNanos - this.asOfNanos : ListingSynchronizer.UNKNOWN_AGE_NANOS;
 	}
 
 	/**
-	 * Takes the newest record of every instance.
+	 * Applies a snapshot that this daemon read from the platform.
 	 * @param nowNanos the monotonic time
-	 * @param askedAtNanos when the platform was asked
-	 * @param whole the records; they count from its first offset
-	 * @param unsettled whether entries may have lapsed though their instances live
+	 * @param asOfNanos the monotonic time at which the platform was asked
+	 * @param snapshot the latest record of every instance
+	 * @param expiryUnreliable whether entries may expire although their instances are
+	 * alive, because the platform's store is or was recently unavailable
 	 */
-	void applySnapshot(long nowNanos, long askedAtNanos, ListingDelta whole, boolean unsettled) {
-		if (this.known && whole.fromOffset() < this.nextOffset) {
+	void applySnapshot(long nowNanos, long asOfNanos, ListingDelta snapshot, boolean expiryUnreliable) {
+		if (this.known && snapshot.fromOffset() < this.nextOffset) {
 			return;
 		}
-		replace(nowNanos, whole, (key) -> expiryCause(unsettled));
-		whole.records()
+		replace(nowNanos, snapshot, (key) -> expiryCause(expiryUnreliable));
+		snapshot.records()
 			.forEach((each) -> this.snapshotRecordsEnd = Math.max(this.snapshotRecordsEnd, each.offset() + 1));
-		advance(whole.nextOffset(), askedAtNanos);
+		advance(snapshot.nextOffset(), asOfNanos);
 	}
 
-	private static Optional<Cause> expiryCause(boolean unsettled) {
-		return unsettled ? Optional.of(Cause.LEASE_EXPIRED) : Optional.empty();
+	private static Optional<Cause> expiryCause(boolean expiryUnreliable) {
+		return expiryUnreliable ? Optional.of(Cause.LEASE_EXPIRED) : Optional.empty();
 	}
 
-	// What a whole list shows goes before all that was known, so one look settles
-	// whatever was wrong here.
-	private void replace(long nowNanos, ListingDelta whole, Function<String, Optional<Cause>> doubtOf) {
-		final long offset = whole.nextOffset();
-		final Map<String, InstanceRecord.Listed> found = new HashMap<>();
+	// A snapshot takes precedence over everything known, so it repairs any error in the
+	// copy.
+	private void replace(long nowNanos, ListingDelta snapshot, Function<String, Optional<Cause>> causeOf) {
+		final long offset = snapshot.nextOffset();
+		final Map<String, InstanceRecord.Listed> entries = new HashMap<>();
 		final Set<String> overwritten = new HashSet<>();
-		for (final InstanceRecord each : whole.records()) {
+		for (final InstanceRecord each : snapshot.records()) {
 			if (each instanceof InstanceRecord.Listed entry) {
-				found.put(entry.key(), entry);
+				entries.put(entry.key(), entry);
 			}
 			else {
 				overwritten.add(each.key());
@@ -134,10 +144,10 @@
 		}
 		final Set<String> missing = new HashSet<>(this.listed.keySet());
 		missing.addAll(this.unconfirmed.keys());
-		missing.removeAll(found.keySet());
+		missing.removeAll(entries.keySet());
 		missing.forEach((key) -> removeEntry(nowNanos, new InstanceRecord.Tombstone(key, offset - 1),
-				overwritten.contains(key) ? Optional.of(Cause.OVERWRITTEN) : doubtOf.apply(key)));
-		found.values().forEach((entry) -> addEntry(nowNanos, withResendOffset(entry, offset), true));
+				overwritten.contains(key) ? Optional.of(Cause.OVERWRITTEN) : causeOf.apply(key)));
+		entries.values().forEach((entry) -> addEntry(nowNanos, withResendOffset(entry, offset), true));
 		if (this.known) {
 			this.coverage.addGap(this.nextOffset, offset);
 		}
@@ -146,130 +156,134 @@
 		}
 	}
 
-	// An entry that lies before what was known and is new all the same was missed here,
-	// and whoever was told by this daemon misses it, too.
+	// An entry that this daemon should have known before, judging by its offset, is also
+	// missing from the copies of the peers it has updated. It moves to the snapshot's
+	// offset so that it is sent again.
 	private InstanceRecord.Listed withResendOffset(InstanceRecord.Listed entry, long offset) {
-		final InstanceRecord.Listed before = this.listed.get(entry.key());
+		final InstanceRecord.Listed previous = this.listed.get(entry.key());
 		final boolean missed = this.known && entry.offset() < this.nextOffset
-				&& (before == null || !entry.hasSameContent(before));
+				&& (previous == null || !entry.hasSameContent(previous));
 		return missed ? new InstanceRecord.Listed(entry.key(), offset - 1, entry.startedAtMillis(), entry.instance())
 				: entry;
 	}
 
 	/**
-	 * Takes records that this daemon read from where its knowledge ends.
+	 * Applies records that this daemon read from {@link #nextOffset()} on.
 	 * @param nowNanos the monotonic time
-	 * @param askedAtNanos when the platform was asked
-	 * @param change the records
-	 * @param unsettled whether entries may have lapsed though their instances live
+	 * @param asOfNanos the monotonic time at which the platform was asked
+	 * @param delta the records
+	 * @param expiryUnreliable whether entries may expire although their instances are
+	 * alive, because the platform's store is or was recently unavailable
 	 */
-	void applyRead(long nowNanos, long askedAtNanos, ListingDelta change, boolean unsettled) {
-		if (change.fromOffset() > this.nextOffset) {
+	void applyRead(long nowNanos, long asOfNanos, ListingDelta delta, boolean expiryUnreliable) {
+		if (delta.fromOffset() > this.nextOffset) {
 			return;
 		}
-		for (final InstanceRecord each : unknownRecords(change)) {
+		for (final InstanceRecord each : unknownRecords(delta)) {
 			if (each instanceof InstanceRecord.Listed entry) {
 				addEntry(nowNanos, entry, false);
 			}
-			else if (each instanceof InstanceRecord.Tombstone gone) {
-				removeEntry(nowNanos, gone, expiryCause(unsettled));
+			else if (each instanceof InstanceRecord.Tombstone tombstone) {
+				removeEntry(nowNanos, tombstone, expiryCause(expiryUnreliable));
 			}
 			else if (this.listed.containsKey(each.key())) {
 				removeEntry(nowNanos, new InstanceRecord.Tombstone(each.key(), each.offset()),
 						Optional.of(Cause.OVERWRITTEN));
 			}
 		}
-		advance(change.nextOffset(), askedAtNanos);
+		advance(delta.nextOffset(), asOfNanos);
 	}
 
-	// All that lies before the next offset is known, drops included: what is told of it
-	// again may be of an instance that was dropped since and is forgotten here.
-	private List<InstanceRecord> unknownRecords(ListingDelta change) {
-		final long before = this.known ? this.nextOffset : 0;
-		return change.records().stream().filter((each) -> each.offset() >= before).toList();
+	// Records before the next offset are known already. Applying one again could bring
+	// back an instance whose tombstone has been evicted.
+	private List<InstanceRecord> unknownRecords(ListingDelta delta) {
+		final long knownUntilOffset = this.known ? this.nextOffset : 0;
+		return delta.records().stream().filter((each) -> each.offset() >= knownUntilOffset).toList();
 	}
 
 	/**
-	 * Takes what another daemon told.
+	 * Applies a complete delta or snapshot from a peer.
 	 * @param nowNanos the monotonic time
-	 * @param askedAtNanos when the platform was asked for it
-	 * @param change what was told
+	 * @param asOfNanos the monotonic time at which the platform was asked for its
+	 * contents
+	 * @param delta the delta
 	 */
-	void applyFromPeer(long nowNanos, long askedAtNanos, ListingDelta change) {
-		if (!isApplicable(change)) {
+	void applyFromPeer(long nowNanos, long asOfNanos, ListingDelta delta) {
+		if (!isApplicable(delta)) {
 			return;
 		}
-		if (change.fromOffset() == 0) {
-			replace(nowNanos, change, (key) -> peerCause(change, key));
+		if (delta.fromOffset() == 0) {
+			replace(nowNanos, delta, (key) -> peerCause(delta, key));
 		}
 		else {
-			if (change.gapEndOffset() > this.nextOffset) {
-				this.coverage.addGap(this.nextOffset, change.gapEndOffset());
+			if (delta.gapEndOffset() > this.nextOffset) {
+				this.coverage.addGap(this.nextOffset, delta.gapEndOffset());
 			}
-			unknownRecords(change).forEach((each) -> applyPeerRecord(nowNanos, change, each));
+			unknownRecords(delta).forEach((each) -> applyPeerRecord(nowNanos, delta, each));
 		}
-		noteResolved(this.unconfirmed.resolveReportedByPeer(change));
-		advance(change.nextOffset(), askedAtNanos);
+		noteResolved(this.unconfirmed.resolveReportedByPeer(delta));
+		advance(delta.nextOffset(), asOfNanos);
 	}
 
-	private void applyPeerRecord(long nowNanos, ListingDelta change, InstanceRecord found) {
-		if (found instanceof InstanceRecord.Listed entry) {
+	private void applyPeerRecord(long nowNanos, ListingDelta delta, InstanceRecord peerRecord) {
+		if (peerRecord instanceof InstanceRecord.Listed entry) {
 			addEntry(nowNanos, entry, true);
 		}
-		else if (found instanceof InstanceRecord.Tombstone gone) {
-			removeEntry(nowNanos, gone, peerCause(change, gone.key()));
+		else if (peerRecord instanceof InstanceRecord.Tombstone tombstone) {
+			removeEntry(nowNanos, tombstone, peerCause(delta, tombstone.key()));
 		}
 	}
 
-	private static Optional<Cause> peerCause(ListingDelta change, String key) {
-		return change.unconfirmedKeys().contains(key) ? Optional.of(Cause.REPORTED_BY_PEER) : Optional.empty();
+	private static Optional<Cause> peerCause(ListingDelta delta, String key) {
+		return delta.unconfirmedKeys().contains(key) ? Optional.of(Cause.REPORTED_BY_PEER) : Optional.empty();
 	}
 
-	private void noteResolved(boolean any) {
-		this.resolved |= any;
-		this.changed |= any;
+	private void noteResolved(boolean anyResolved) {
+		this.resolved |= anyResolved;
+		this.changed |= anyResolved;
 	}
 
-	// What was asked for later than the start is not the whole list, and what came and
-	// went in a gap is missing in what was told: this daemon may have read of its coming
-	// since it asked.
-	private boolean isApplicable(ListingDelta change) {
-		if (change.fromOffset() == 0) {
-			return !this.known || change.nextOffset() >= this.nextOffset;
+	// A delta that starts after this list's end cannot be applied. Neither can one that
+	// spans a gap if this list has moved on since the request: it may contain an instance
+	// that was added and removed within the gap, and the delta lacks its tombstone.
+	private boolean isApplicable(ListingDelta delta) {
+		if (delta.fromOffset() == 0) {
+			return !this.known || delta.nextOffset() >= this.nextOffset;
 		}
-		final boolean acrossGap = change.gapEndOffset() > this.nextOffset;
-		final boolean readOn = change.fromOffset() < this.nextOffset || !isShareable();
-		return this.known && change.fromOffset() <= this.nextOffset && !(acrossGap && readOn);
+		final boolean acrossGap = delta.gapEndOffset() > this.nextOffset;
+		final boolean readAhead = delta.fromOffset() < this.nextOffset || !isShareable();
+		return this.known && delta.fromOffset() <= this.nextOffset && !(acrossGap && readAhead);
 	}
 
-	private void advance(long offset, long askedAtNanos) {
+	private void advance(long offset, long asOfNanos) {
 		this.changed |= !this.known;
-		this.asOfNanos = this.known ? Math.max(this.asOfNanos, askedAtNanos) : askedAtNanos;
+		this.asOfNanos = this.known ? Math.max(this.asOfNanos, asOfNanos) : asOfNanos;
 		this.known = true;
 		this.nextOffset = Math.max(this.nextOffset, offset);
 	}
 
-	// What was not seen written may have come anew since others were told of it. Its
-	// place is renewed, though it says what is known, so that they hear of it again.
-	private void addEntry(long nowNanos, InstanceRecord.Listed entry, boolean renews) {
-		final InstanceRecord.Listed before = this.listed.get(entry.key());
-		final InstanceRecord.Tombstone gone = this.tombstones.get(entry.key());
-		final boolean old = (before != null && entry.offset() <= before.offset())
-				|| (gone != null && entry.offset() <= gone.offset());
-		final boolean heartbeat = before != null && entry.hasSameContent(before) && !renews;
-		if (old || heartbeat) {
+	// An entry from a snapshot or a peer may have been removed and added again since
+	// peers were updated. With resend set, its offset advances even if its content is
+	// unchanged, so that it is sent to them again.
+	private void addEntry(long nowNanos, InstanceRecord.Listed entry, boolean resend) {
+		final InstanceRecord.Listed previous = this.listed.get(entry.key());
+		final InstanceRecord.Tombstone tombstone = this.tombstones.get(entry.key());
+		final boolean outdated = (previous != null && entry.offset() <= previous.offset())
+				|| (tombstone != null && entry.offset() <= tombstone.offset());
+		final boolean unchanged = previous != null && entry.hasSameContent(previous) && !resend;
+		if (outdated || unchanged) {
 			return;
 		}
-		final Optional<InstanceRecord.Listed> used = entryInUse(entry.key());
-		if (used.isEmpty() || entry.startedAtMillis() >= used.get().startedAtMillis()) {
+		final Optional<InstanceRecord.Listed> inUse = entryInUse(entry.key());
+		if (inUse.isEmpty() || entry.startedAtMillis() >= inUse.get().startedAtMillis()) {
 			noteResolved(this.unconfirmed.resolve(entry.key()));
 		}
 		else {
-			this.unconfirmed.retain(nowNanos, used.get(), entry.offset(), Cause.OVERWRITTEN);
+			this.unconfirmed.retain(nowNanos, inUse.get(), entry.offset(), Cause.OVERWRITTEN);
 		}
 		this.listed.put(entry.key(), entry);
 		this.tombstones.remove(entry.key());
-		this.changed |= used.isEmpty() || !entry.hasSameContent(used.get());
+		this.changed |= inUse.isEmpty() || !entry.hasSameContent(inUse.get());
 		this.lastChangeOffset = Math.max(this.lastChangeOffset, entry.offset());
 	}
 
@@ -277,26 +291,25 @@
 		return this.unconfirmed.entry(key).or(() -> Optional.ofNullable(this.listed.get(key)));
 	}
 
-	// A drop is remembered even where its instance was never heard of here: what is told
-	// leaves out the coming of an instance that has gone, but others may have heard of
-	// it.
-	private void removeEntry(long nowNanos, InstanceRecord.Tombstone gone, Optional<Cause> cause) {
-		final InstanceRecord.Listed before = this.listed.get(gone.key());
-		final InstanceRecord.Tombstone earlier = this.tombstones.get(gone.key());
-		if ((before != null && gone.offset() <= before.offset())
-				|| (earlier != null && gone.offset() <= earlier.offset())) {
+	// A tombstone is retained even if the instance is unknown here. Deltas omit the entry
+	// of an instance that has been removed since, but other peers may have received it.
+	private void removeEntry(long nowNanos, InstanceRecord.Tombstone tombstone, Optional<Cause> cause) {
+		final InstanceRecord.Listed previous = this.listed.get(tombstone.key());
+		final InstanceRecord.Tombstone previousTombstone = this.tombstones.get(tombstone.key());
+		if ((previous != null && tombstone.offset() <= previous.offset())
+				|| (previousTombstone != null && tombstone.offset() <= previousTombstone.offset())) {
 			return;
 		}
 		if (cause.isEmpty()) {
-			noteResolved(this.unconfirmed.resolve(gone.key()));
+			noteResolved(this.unconfirmed.resolve(tombstone.key()));
 		}
-		else if (before != null) {
-			this.unconfirmed.retain(nowNanos, before, gone.offset(), cause.get());
+		else if (previous != null) {
+			this.unconfirmed.retain(nowNanos, previous, tombstone.offset(), cause.get());
 		}
-		this.changed |= this.listed.remove(gone.key()) != null;
-		this.tombstones.remove(gone.key());
-		this.tombstones.put(gone.key(), gone);
-		this.lastChangeOffset = Math.max(this.lastChangeOffset, gone.offset());
+		this.changed |= this.listed.remove(tombstone.key()) != null;
+		this.tombstones.remove(tombstone.key());
+		this.tombstones.put(tombstone.key(), tombstone);
+		this.lastChangeOffset = Math.max(this.lastChangeOffset, tombstone.offset());
 		evictOldTombstones();
 	}
 
@@ -309,19 +322,21 @@
 	}
 
 	/**
-	 * Drops what was kept in doubt and has not come back.
+	 * Removes the unconfirmed removals that have been confirmed by time or by the store's
+	 * recovery.
 	 * @param nowNanos the monotonic time
-	 * @param unsettled whether entries may have lapsed though their instances live
+	 * @param expiryUnreliable whether entries may expire although their instances are
+	 * alive, because the platform's store is or was recently unavailable
 	 */
-	void resolveExpired(long nowNanos, boolean unsettled) {
-		noteResolved(this.unconfirmed.resolveExpired(nowNanos, unsettled));
+	void resolveExpired(long nowNanos, boolean expiryUnreliable) {
+		noteResolved(this.unconfirmed.resolveExpired(nowNanos, expiryUnreliable));
 	}
 
 	/**
-	 * Returns what another daemon lacks.
-	 * @param fromOffset the first offset that it lacks; 0 where it knows nothing
-	 * @return the change; the whole list where drops that it may not know of are
-	 * forgotten here; empty where that is too long to tell
+	 * Returns what a peer lacks.
+	 * @param fromOffset the first offset that the peer lacks; 0 if it has no list
+	 * @return the delta; a snapshot if the history from that offset on is incomplete
+	 * here; empty if there is no list or the snapshot would be too long
 	 */
 	Optional<ListingDelta> deltaSince(long fromOffset) {
 		if (!this.known) {
@@ -330,29 +345,29 @@
 		if (fromOffset > 0 && !this.coverage.covers(fromOffset)) {
 			return deltaSince(0);
 		}
-		final List<InstanceRecord> news = recordsSince(fromOffset);
-		if (fromOffset == 0 && news.size() > MAX_SNAPSHOT_RECORDS) {
+		final List<InstanceRecord> records = recordsSince(fromOffset);
+		if (fromOffset == 0 && records.size() > MAX_SNAPSHOT_RECORDS) {
 			return Optional.empty();
 		}
 		return Optional.of(new ListingDelta(fromOffset, Math.max(fromOffset, this.nextOffset),
-				this.coverage.gapEndOffset(), news, this.unconfirmed.keys()));
+				this.coverage.gapEndOffset(), records, this.unconfirmed.keys()));
 	}
 
 	private List<InstanceRecord> recordsSince(long fromOffset) {
-		final List<InstanceRecord> news = new ArrayList<>();
+		final List<InstanceRecord> records = new ArrayList<>();
 		if (fromOffset > this.lastChangeOffset) {
-			return news;
+			return records;
 		}
-		this.listed.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(news::add);
+		this.listed.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(records::add);
 		if (fromOffset > 0) {
-			this.tombstones.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(news::add);
+			this.tombstones.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(records::add);
 		}
-		return news;
+		return records;
 	}
 
 	/**
-	 * Returns whether a daemon that knows the list up to an offset lacks anything.
-	 * @param fromOffset the first offset that it lacks
+	 * Returns whether a peer at an offset lacks any change.
+	 * @param fromOffset the first offset that the peer lacks
 	 * @return whether it does
 	 */
 	boolean hasChangesSince(long fromOffset) {
@@ -360,33 +375,35 @@
 	}
 
 	/**
-	 * Returns whether a doubt that others share has ended since this was last asked.
+	 * Returns whether an unconfirmed removal has been resolved since the last call; peers
+	 * that wait for a change are informed then.
 	 * @return whether one has
 	 */
 	boolean takeResolved() {
-		final boolean was = this.resolved;
+		final boolean wasSet = this.resolved;
 		this.resolved = false;
-		return was;
+		return wasSet;
 	}
 
 	/**
-	 * Returns whether the list has changed since this was last asked.
-	 * @return whether it has
+	 * Returns whether the instances in use have changed since the last call.
+	 * @return whether they have
 	 */
 	boolean takeChanged() {
-		final boolean was = this.changed;
+		final boolean wasSet = this.changed;
 		this.changed = false;
-		return was;
+		return wasSet;
 	}
 
 	/**
-	 * Returns all instances that are listed, or may live though they are not.
-	 * @return the instances, by id
+	 * Returns all instances in use: the listed ones and those whose removal is
+	 * unconfirmed.
+	 * @return the instances, sorted by ID
 	 */
 	List<ServingInstance> instances() {
-		final Map<String, InstanceRecord.Listed> used = new HashMap<>(this.listed);
-		this.unconfirmed.entries().forEach((each) -> used.put(each.key(), each));
-		return used.values()
+		final Map<String, InstanceRecord.Listed> inUse = new HashMap<>(this.listed);
+		this.unconfirmed.entries().forEach((each) -> inUse.put(each.key(), each));
+		return inUse.values()
 			.stream()
 			.map(InstanceRecord.Listed::instance)
 			.sorted(Comparator.comparing(ServingInstance::id))
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceRecord.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceRecord.java
@@ -3,31 +3,28 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * One record of the platform's list of instances. Its offset is its place among all
- * records, the same for every daemon, whoever read it.
+ * A record of the platform's instance list. The platform assigns each record an offset,
+ * which is the same for every daemon, so that deltas can be exchanged between daemons.
  */
 public sealed interface InstanceRecord
 		permits InstanceRecord.Listed, InstanceRecord.Tombstone, InstanceRecord.Unusable {
 
 	/**
-	 * Returns the instance's key in the list; it stays when the instance starts again.
+	 * Returns the key under which the instance is listed. It stays the same when the
+	 * instance restarts.
 	 * @return the key
 	 */
 	String key();
 
-	/**
-	 * Returns the record's offset.
-	 * @return the offset
-	 */
 	long offset();
 
 	/**
-	 * The instance is listed as this from here on.
+	 * Adds or replaces the instance's entry.
 	 *
-	 * @param key the instance's key
+	 * @param key the key under which the instance is listed
 	 * @param offset the record's offset
-	 * @param startedAtMillis when the instance's process started, by its own clock; 0
-	 * where it does not tell
+	 * @param startedAtMillis when the instance's process started, in Unix time by its own
+	 * clock; 0 if it does not say
 	 * @param instance the instance
 	 */
 	record Listed(String key, long offset, long startedAtMillis, ServingInstance instance) implements InstanceRecord {
@@ -39,9 +36,9 @@
 	}
 
 	/**
-	 * The instance is not listed any more.
+	 * Removes the instance's entry.
 	 *
-	 * @param key the instance's key
+	 * @param key the key under which the instance was listed
 	 * @param offset the record's offset
 	 */
 	record Tombstone(String key, long offset) implements InstanceRecord {
@@ -49,9 +46,10 @@
 	}
 
 	/**
-	 * The record names no instance: another writer has put it there, or it was damaged.
+	 * A record that holds no usable instance, because another writer has overwritten the
+	 * key or the value is damaged.
 	 *
-	 * @param key the instance's key
+	 * @param key the record's key
 	 * @param offset the record's offset
 	 */
 	record Unusable(String key, long offset) implements InstanceRecord {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingAction.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingAction.java
@@ -5,51 +5,51 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * What must be done next to follow the list.
+ * A side effect that {@link ListingSynchronizer} asks its caller to perform.
  */
 public sealed interface ListingAction permits ListingAction.SendRequest, ListingAction.SendResponse,
 		ListingAction.ReadSnapshot, ListingAction.ReadDelta, ListingAction.Publish {
 
 	/**
-	 * SendRequest another daemon.
+	 * Send a request to another daemon.
 	 *
-	 * @param daemonId the daemon
-	 * @param request the question
+	 * @param daemonId the receiving daemon
+	 * @param request the request
 	 */
 	record SendRequest(String daemonId, ListingRequest request) implements ListingAction {
 
 	}
 
 	/**
-	 * SendResponse another daemon.
+	 * Send a response to another daemon.
 	 *
-	 * @param daemonId the daemon
-	 * @param response the answer
+	 * @param daemonId the receiving daemon
+	 * @param response the response
 	 */
 	record SendResponse(String daemonId, ListingResponse response) implements ListingAction {
 
 	}
 
 	/**
-	 * ReadCompleted the newest record of every instance from the platform.
+	 * Read the latest record of every instance from the platform.
 	 */
 	record ReadSnapshot() implements ListingAction {
 
 	}
 
 	/**
-	 * ReadCompleted the records from an offset on from the platform.
+	 * Read all records from an offset on from the platform.
 	 *
-	 * @param fromOffset the first offset
+	 * @param fromOffset the first offset to read
 	 */
 	record ReadDelta(long fromOffset) implements ListingAction {
 
 	}
 
 	/**
-	 * Use this list from now on.
+	 * Replace the instance list in use.
 	 *
-	 * @param instances all listed instances, by id
+	 * @param instances all instances, sorted by ID
 	 */
 	record Publish(List<ServingInstance> instances) implements ListingAction {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingDelta.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingDelta.java
@@ -4,24 +4,29 @@
 import java.util.Set;
 
 /**
- * What the list's records from one offset to another come to. Records that change nothing
- * may be left out.
+ * The net effect of the list's records from one offset up to another. Records without
+ * effect on the list, such as heartbeats, may be omitted.
+ * <p>
+ * A snapshot replaces the whole list and contains no tombstones. A snapshot from a peer
+ * has a {@code fromOffset} of 0; one that is read from the platform has the offset at
+ * which the read began as both offsets.
  *
- * @param fromOffset the offset of the first record that counts
- * @param nextOffset the offset after the last one
- * @param gapEndOffset an instance that came and went before this offset may be missing
- * altogether, if it came after the first one; 0 where none is
+ * @param fromOffset the offset of the first record covered
+ * @param nextOffset the offset after the last record covered
+ * @param gapEndOffset the end of the last gap in the sender's history: an instance that
+ * was both added and removed between {@code fromOffset} and here may be missing from the
+ * records; 0 if there is no gap
  * @param records the records
- * @param unconfirmedKeys instances that are dropped by then and may live all the same, as
- * far as whoever tells it knows
+ * @param unconfirmedKeys keys of instances that are removed at {@code nextOffset} but may
+ * still be alive as far as the sender knows
  */
 public record ListingDelta(long fromOffset, long nextOffset, long gapEndOffset, List<InstanceRecord> records,
 		Set<String> unconfirmedKeys) {
 
 	/**
-	 * Creates a change in which nothing is missing.
-	 * @param fromOffset the offset of the first record that counts
-	 * @param nextOffset the offset after the last one
+	 * Creates a delta without gaps and unconfirmed removals.
+	 * @param fromOffset the offset of the first record covered
+	 * @param nextOffset the offset after the last record covered
 	 * @param records the records
 	 */
 	public ListingDelta(long fromOffset, long nextOffset, List<InstanceRecord> records) {
@@ -29,11 +34,11 @@
 	}
 
 	/**
-	 * Creates a change that no instance outlives in doubt.
-	 * @param fromOffset the offset of the first record that counts
-	 * @param nextOffset the offset after the last one
-	 * @param gapEndOffset an instance that came and went before this offset may be
-	 * missing altogether, if it came after the first one; 0 where none is
+	 * Creates a delta without unconfirmed removals.
+	 * @param fromOffset the offset of the first record covered
+	 * @param nextOffset the offset after the last record covered
+	 * @param gapEndOffset the end of the last gap in the sender's history; 0 if there is
+	 * no gap
 	 * @param records the records
 	 */
 	public ListingDelta(long fromOffset, long nextOffset, long gapEndOffset, List<InstanceRecord> records) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingPageAssembler.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingPageAssembler.java
@@ -6,12 +6,13 @@
 import java.util.Optional;
 
 /**
- * Joins the portions in which another daemon tells one change.
+ * Assembles the pages in which a peer sends one delta.
  * <p>
- * Nothing of a change counts before all of it was told. A daemon that held a part, and
- * said that it knows the list up to there, would be told by others what has changed
- * since, which is not what it lacks. The teller's list goes on changing meanwhile, but an
- * entry that changes moves on to a later offset, into a portion that is still to come.
+ * No page is applied before the last one has arrived. A daemon that applied only the
+ * first pages and reported their last offset as its own would be sent what changed after
+ * that offset, which is not what it lacks. The responder's list may change between two
+ * pages; a changed entry moves to a later offset and so appears on a page that is still
+ * to come.
  */
 final class ListingPageAssembler {
 
@@ -22,42 +23,45 @@
 	private long continuationOffset;
 
 	/**
-	 * Takes what a daemon told that was asked for the rest, or for all where there is no
-	 * rest.
-	 * @param answer the answer
-	 * @param change what it tells
-	 * @return the whole change; empty while something of it is left out
+	 * Adds a page.
+	 * @param response the response to a request for the next page, or for the first page
+	 * if none is missing
+	 * @param delta the page's delta
+	 * @return the complete delta, or the snapshot that was sent instead of the next page;
+	 * empty while pages are missing and if the page does not continue the earlier ones
 	 */
-	Optional<ListingDelta> add(ListingResponse answer, ListingDelta change) {
-		if (this.firstPage.isPresent() && !continues(this.firstPage.get(), answer)) {
+	Optional<ListingDelta> add(ListingResponse response, ListingDelta delta) {
+		if (this.firstPage.isPresent() && !continues(this.firstPage.get(), response)) {
 			clear();
-			// A whole list stands for itself; anything else lacks its beginning.
-			return (change.fromOffset() == 0 && answer.continuationOffset() == 0) ? Optional.of(change)
+			// A snapshot is complete in itself; any other page lacks its predecessors.
+			return (delta.fromOffset() == 0 && response.continuationOffset() == 0) ? Optional.of(delta)
 					: Optional.empty();
 		}
-		this.firstPage = this.firstPage.or(() -> Optional.of(answer));
-		this.continuationOffset = answer.continuationOffset();
-		change.records().forEach((each) -> this.records.put(each.key(), each));
+		this.firstPage = this.firstPage.or(() -> Optional.of(response));
+		this.continuationOffset = response.continuationOffset();
+		delta.records().forEach((each) -> this.records.put(each.key(), each));
 		if (this.continuationOffset > 0) {
 			return Optional.empty();
 		}
-		final ListingDelta whole = new ListingDelta(change.fromOffset(), change.nextOffset(), change.gapEndOffset(),
-				List.copyOf(this.records.values()), change.unconfirmedKeys());
+		final ListingDelta whole = new ListingDelta(delta.fromOffset(), delta.nextOffset(), delta.gapEndOffset(),
+				List.copyOf(this.records.values()), delta.unconfirmedKeys());
 		clear();
 		return Optional.of(whole);
 	}
 
-	// What came and went in a gap that the teller has had since is in no portion, and a
-	// later life of the teller may have heard of what was left out at earlier offsets.
-	private static boolean continues(ListingResponse begun, ListingResponse answer) {
-		final ListingDelta first = begun.delta().orElseThrow();
-		final ListingDelta next = answer.delta().orElseThrow();
-		return answer.incarnationId() == begun.incarnationId() && next.fromOffset() == first.fromOffset()
-				&& next.gapEndOffset() <= first.nextOffset();
+	// Instances that were added and removed in a gap that opened since the first page are
+	// on no page. After a restart the responder may know the records of the earlier pages
+	// at other offsets.
+	private static boolean continues(ListingResponse firstResponse, ListingResponse response) {
+		final ListingDelta firstDelta = firstResponse.delta().orElseThrow();
+		final ListingDelta nextDelta = response.delta().orElseThrow();
+		return response.incarnationId() == firstResponse.incarnationId()
+				&& nextDelta.fromOffset() == firstDelta.fromOffset()
+				&& nextDelta.gapEndOffset() <= firstDelta.nextOffset();
 	}
 
 	/**
-	 * Forgets what was told in part.
+	 * Discards the pages received so far.
 	 */
 	void clear() {
 		this.records.clear();
@@ -66,25 +70,25 @@
 	}
 
 	/**
-	 * Returns which daemon must be asked for the rest.
-	 * @return the daemon; empty where no rest is left
+	 * Returns the daemon that must be asked for the next page.
+	 * @return the daemon's name; empty if no page is missing
 	 */
 	Optional<String> responderId() {
 		return this.firstPage.map(ListingResponse::responderId);
 	}
 
 	/**
-	 * Returns from where on the change is told.
-	 * @param otherwise what to return where no rest is left
-	 * @return the first offset that this daemon lacked when it asked first
+	 * Returns the offset from which the delta in progress starts.
+	 * @param defaultOffset the offset to return if no page is missing
+	 * @return the first offset that this daemon lacked when it requested the first page
 	 */
-	long fromOffset(long otherwise) {
-		return this.firstPage.flatMap(ListingResponse::delta).map(ListingDelta::fromOffset).orElse(otherwise);
+	long fromOffset(long defaultOffset) {
+		return this.firstPage.flatMap(ListingResponse::delta).map(ListingDelta::fromOffset).orElse(defaultOffset);
 	}
 
 	/**
-	 * Returns where the records begin that are still to be told.
-	 * @return the offset; 0 where no rest is left
+	 * Returns the offset at which the next page starts.
+	 * @return the offset; 0 if no page is missing
 	 */
 	long continuationOffset() {
 		return this.continuationOffset;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingRead.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingRead.java
@@ -3,49 +3,50 @@
 import java.util.Optional;
 
 /**
- * What came of a read of the platform's list.
+ * The result of reading the platform's instance list.
  *
- * @param outcome what came of it
- * @param delta what was read; empty where nothing was
+ * @param outcome the kind of result
+ * @param delta the records read; empty unless the read succeeded
  */
 public record ListingRead(Outcome outcome, Optional<ListingDelta> delta) {
 
 	/** The platform did not answer. */
 	public static final ListingRead FAILED = new ListingRead(Outcome.FAILED, Optional.empty());
 
-	/** The platform does not keep the wanted records any more. */
+	/** The platform no longer retains the requested records. */
 	public static final ListingRead HISTORY_GONE = new ListingRead(Outcome.HISTORY_GONE, Optional.empty());
 
 	/**
-	 * Returns a read of the newest record of every instance.
-	 * @param delta the records; they count from where the list ended when the read began
-	 * @return the read
+	 * Creates the result of reading the latest record of every instance.
+	 * @param delta the records; both of its offsets are the end of the list when the read
+	 * began
+	 * @return the result
 	 */
-	public static ListingRead snapshot(ListingDelta change) {
-		return new ListingRead(Outcome.SNAPSHOT, Optional.of(change));
+	public static ListingRead snapshot(ListingDelta delta) {
+		return new ListingRead(Outcome.SNAPSHOT, Optional.of(delta));
 	}
 
 	/**
-	 * Returns a read of the records from an offset on.
+	 * Creates the result of reading all records from an offset on.
 	 * @param delta the records
-	 * @return the read
+	 * @return the result
 	 */
-	public static ListingRead delta(ListingDelta change) {
-		return new ListingRead(Outcome.DELTA, Optional.of(change));
+	public static ListingRead delta(ListingDelta delta) {
+		return new ListingRead(Outcome.DELTA, Optional.of(delta));
 	}
 
 	/**
-	 * What a read can come to.
+	 * The kinds of results.
 	 */
 	public enum Outcome {
 
-		/** The newest record of every instance was read. */
+		/** The latest record of every instance was read. */
 		SNAPSHOT,
 
 		/** All records from an offset on were read. */
 		DELTA,
 
-		/** The records from that offset on are not kept any more. */
+		/** The requested records are no longer retained. */
 		HISTORY_GONE,
 
 		/** The platform did not answer. */
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingResponse.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingResponse.java
@@ -3,28 +3,32 @@
 import java.util.Optional;
 
 /**
- * What a daemon knows of the list.
+ * Answers a {@link ListingRequest}.
  *
  * @param responderId the daemon that answers
- * @param correlationId the question's token
- * @param heldNanos how long the answerer kept the question, in case something changed
- * @param ageNanos how long before the answer the platform was asked for what it tells
- * @param delta what the asker lacks; empty where the answerer cannot tell it
- * @param continuationOffset where the records begin that are left out of the change; 0
- * where none are
- * @param incarnationId differs for each life of the answerer, which may begin with
+ * @param correlationId the request's correlation ID
+ * @param heldNanos how long the responder held the request while waiting for a change
+ * @param ageNanos the time from the platform read that the responder's list is based on
+ * until the response
+ * @param delta what the requester lacks, or one page of it; empty if the responder has no
+ * list or its list is too long to send
+ * @param continuationOffset the offset at which the next page of the delta starts; 0 on
+ * the last page
+ * @param incarnationId changes when the responder restarts, as it may then start from
  * another list
  */
 public record ListingResponse(String responderId, long correlationId, long heldNanos, long ageNanos,
 		Optional<ListingDelta> delta, long continuationOffset, long incarnationId) {
 
 	/**
-	 * Creates an answer that leaves nothing out and continues none.
+	 * Creates a response with a single page, from a responder whose incarnation does not
+	 * matter.
 	 * @param responderId the daemon that answers
-	 * @param correlationId the question's token
-	 * @param heldNanos how long the answerer kept the question, in case something changed
-	 * @param ageNanos how long before the answer the platform was asked for what it tells
-	 * @param delta what the asker lacks; empty where the answerer cannot tell it
+	 * @param correlationId the request's correlation ID
+	 * @param heldNanos how long the responder held the request while waiting for a change
+	 * @param ageNanos the time from the platform read that the responder's list is based
+	 * on until the response
+	 * @param delta what the requester lacks; empty if the responder cannot send it
 	 */
 	public ListingResponse(String responderId, long correlationId, long heldNanos, long ageNanos,
 			Optional<ListingDelta> delta) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingSynchronizer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingSynchronizer.java
@@ -14,69 +14,94 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Follows the platform's list of instances on one daemon of many, without input, output
- * or a clock.
+ * Keeps one daemon's copy of the platform's instance list current, together with the
+ * other daemons. It performs no I/O and reads no clock: the caller passes in the time and
+ * carries out the returned actions.
  * <p>
- * Made for hundreds of daemons before hundreds of instances that write a heartbeat each
- * second. If each daemon reads all of it, calls of the platform and the processor time of
- * each daemon grow with the fleet. So two daemons read, and the others ask one that knows
- * ({@link DistributionTree}). A question is kept until there is something to tell, so a
- * change is told on at once, and calm costs two questions a second.
+ * The platform's list changes constantly, as each of hundreds of instances writes a
+ * heartbeat every second. If every daemon read all of it, the load on the platform and
+ * the processor time of each daemon would grow with the fleet. Therefore only the readers
+ * of the {@link DistributionTree} read from the platform, and every other daemon
+ * long-polls its parent: a change is relayed at once, and a daemon sends about two
+ * requests a second while nothing changes.
  * <p>
- * Whoever is asked may be dead, cut off from the platform or late. So each answer says
- * how old its word is. A daemon that does not answer, or knows nothing fresh, is left out
- * of the asker's order for some seconds, in which the next one takes its place: where
- * both readers are gone, the next two read within a second or two, long before all have
- * noticed a death. Meanwhile a daemon whose list gets old asks others, drawn by chance,
- * and reads for itself, though rarely enough that all of them together make a hundred
- * reads a second at most.
+ * A parent may be dead, cut off from the platform or out of date, so every response
+ * carries the age of its list. A daemon that does not respond, or whose list is stale, is
+ * excluded from the requester's tree for some seconds, and the next daemon in the order
+ * takes its place. If both readers fail, the next two take over within one or two
+ * seconds, long before all daemons have detected the failure. In the meantime a daemon
+ * whose own list becomes stale polls random peers and also reads from the platform, at a
+ * rate that limits all daemons together to 100 reads a second.
  */
 public final class ListingSynchronizer {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** The age of a list of which nothing is known. */
+	/** The age that is reported while there is no list. */
 	public static final long UNKNOWN_AGE_NANOS = Long.MAX_VALUE;
 
-	/** A change is known half this time later on average, and told on at once. */
+	/**
+	 * The interval between the reads of a reader. A change is read after half this time
+	 * on average and relayed at once.
+	 */
 	private static final long READ_INTERVAL_NANOS = 250 * NANOS_PER_MILLI;
 
-	/** The planner acts on what it reads: a group that broke serves again sooner. */
+	/**
+	 * The planner reads more often, so that broken groups recover sooner.
+	 */
 	private static final long PLANNER_READ_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
 
-	/** A refused or unanswered read is made again after this time, and up to twice it. */
+	/** A reader retries a failed read after one to two times this time. */
 	private static final long MIN_RETRY_NANOS = 200 * NANOS_PER_MILLI;
 
-	/** How often a daemon reads that should be told, at least. */
+	/**
+	 * The shortest interval, before jitter, between the reads of a daemon that is not a
+	 * reader but whose list is stale or missing.
+	 */
 	private static final long MIN_FALLBACK_READ_INTERVAL_NANOS = 400 * NANOS_PER_MILLI;
 
-	/** Each daemon's part of the time between two reads of daemons that are not told. */
+	/**
+	 * The interval grows by this much with every live daemon, so that the total rate of
+	 * such reads is limited.
+	 */
 	private static final long FALLBACK_READ_NANOS_PER_DAEMON = 20 * NANOS_PER_MILLI;
 
-	/** How long a question is kept while there is nothing to tell. */
+	/** How long a request is held while there is no change to send. */
 	private static final long LONG_POLL_NANOS = 300 * NANOS_PER_MILLI;
 
 	/**
-	 * The time from an answer to the next question bounds what a storm of changes costs.
+	 * The pause between a response and the next request, which limits the number of
+	 * responses when changes are frequent.
 	 */
 	private static final long POLL_PAUSE_NANOS = 100 * NANOS_PER_MILLI;
 
-	/** An answer that is not there by then is not waited for. */
+	/**
+	 * How long a response is waited for, and how long a responder that cannot share its
+	 * list keeps a request.
+	 */
 	private static final long RESPONSE_TIMEOUT_NANOS = LONG_POLL_NANOS + 300 * NANOS_PER_MILLI;
 
-	/** How long a daemon that did not answer, or knew nothing fresh, is left out. */
+	/**
+	 * How long a daemon that did not respond, or whose list was stale, is left out of the
+	 * tree.
+	 */
 	private static final long EXCLUSION_NANOS = 5_000 * NANOS_PER_MILLI;
 
-	/** Who lives is looked at this often; the order costs a sort of all names. */
+	/**
+	 * How often the tree is rebuilt; each rebuild sorts the names of all live daemons.
+	 */
 	private static final long TREE_REFRESH_NANOS = 500 * NANOS_PER_MILLI;
 
 	/**
-	 * How many records one answer holds; at some 150 bytes each, and as many drops again,
-	 * it fits into a frame.
+	 * The most records in one response. At about 150 bytes each, with as many tombstones,
+	 * they fit into a frame.
 	 */
 	static final int MAX_RECORDS_PER_PAGE = 1_000;
 
-	/** Daemons that may ask this one at once; more are not kept, and ask elsewhere. */
+	/**
+	 * The most requests held at once. Further ones are dropped, and their senders ask
+	 * another daemon.
+	 */
 	private static final int MAX_PENDING_REQUESTS = 64;
 
 	private final String selfId;
@@ -118,11 +143,12 @@
 	private Collection<String> liveIds = List.of();
 
 	/**
-	 * Creates a node that knows nothing.
+	 * Creates a synchronizer without a list.
 	 * @param selfId this daemon's name
-	 * @param maxAgeNanos how old the list may become before this daemon reads for itself
+	 * @param maxAgeNanos the age from which on the list is stale and this daemon reads it
+	 * itself
 	 * @param nowNanos the monotonic time
-	 * @param seed what makes this daemon's draws differ from the others'
+	 * @param seed the seed of random choices; it must differ between daemons
 	 */
 	public ListingSynchronizer(String selfId, long maxAgeNanos, long nowNanos, long seed) {
 		this.selfId = selfId;
@@ -132,53 +158,56 @@
 		this.treeBuiltAtNanos = nowNanos - TREE_REFRESH_NANOS;
 		this.nextReadAtNanos = nowNanos;
 		this.nextRequestAtNanos = nowNanos;
-		// A late answer to this daemon's former life must match none of its questions.
+		// Random, so that a late response to a previous incarnation matches no request of
+		// this one.
 		this.incarnationId = this.random.nextLong() >>> 1;
 		this.lastCorrelationId = this.incarnationId;
 	}
 
 	/**
-	 * Lets time pass.
+	 * Reads from the platform and polls peers when it is time to.
 	 * @param nowNanos the monotonic time
-	 * @param live returns the live daemons that are not leaving; asked twice a second
-	 * @param plans whether this daemon plans
-	 * @param unsettled whether entries may have lapsed though their instances live
-	 * @return what must be done next
+	 * @param liveIds returns the names of the live daemons that are not leaving; called
+	 * twice a second
+	 * @param isPlanner whether this daemon is the planner
+	 * @param expiryUnreliable whether entries may expire although their instances are
+	 * alive, because the platform's store is or was recently unavailable
+	 * @return the actions to carry out
 	 */
-	public List<ListingAction> onTick(long nowNanos, Supplier<? extends Collection<String>> live, boolean plans,
-			boolean unsettled) {
+	public List<ListingAction> onTick(long nowNanos, Supplier<? extends Collection<String>> liveIds, boolean isPlanner,
+			boolean expiryUnreliable) {
 		if (nowNanos - this.treeBuiltAtNanos >= TREE_REFRESH_NANOS) {
 			this.treeBuiltAtNanos = nowNanos;
-			this.liveIds = live.get();
+			this.liveIds = liveIds.get();
 			rebuildTree(nowNanos);
 		}
-		this.listing.resolveExpired(nowNanos, unsettled);
-		readWhenDue(nowNanos, plans);
+		this.listing.resolveExpired(nowNanos, expiryUnreliable);
+		readWhenDue(nowNanos, isPlanner);
 		sendRequestWhenDue(nowNanos);
 		return takeActions(nowNanos);
 	}
 
 	private void rebuildTree(long nowNanos) {
-		this.excludedSinceNanos.values().removeIf((sinceNanos) -> nowNanos - sinceNanos > EXCLUSION_NANOS);
+		this.excludedSinceNanos.values().removeIf((excludedAtNanos) -> nowNanos - excludedAtNanos > EXCLUSION_NANOS);
 		this.tree = DistributionTree.of(this.selfId,
 				this.liveIds.stream().filter((id) -> !this.excludedSinceNanos.containsKey(id)).toList());
 	}
 
-	private void readWhenDue(long nowNanos, boolean plans) {
+	private void readWhenDue(long nowNanos, boolean isPlanner) {
 		final boolean due = nowNanos - this.nextReadAtNanos >= 0;
 		if (this.readInProgress || !due
-				|| !(plans || this.tree.isReader() || this.snapshotNeeded || isStale(nowNanos))) {
+				|| !(isPlanner || this.tree.isReader() || this.snapshotNeeded || isStale(nowNanos))) {
 			return;
 		}
 		this.readInProgress = true;
 		this.readStartedAtNanos = nowNanos;
-		this.nextReadAtNanos = nowNanos + readIntervalNanos(plans);
+		this.nextReadAtNanos = nowNanos + readIntervalNanos(isPlanner);
 		this.actions.add(this.snapshotNeeded ? new ListingAction.ReadSnapshot()
 				: new ListingAction.ReadDelta(this.listing.nextOffset()));
 	}
 
-	private long readIntervalNanos(boolean plans) {
-		if (plans) {
+	private long readIntervalNanos(boolean isPlanner) {
+		if (isPlanner) {
 			return PLANNER_READ_INTERVAL_NANOS;
 		}
 		return this.tree.isReader() ? READ_INTERVAL_NANOS : jitter(fallbackReadIntervalNanos());
@@ -188,7 +217,8 @@
 		return Math.max(MIN_FALLBACK_READ_INTERVAL_NANOS, this.liveIds.size() * FALLBACK_READ_NANOS_PER_DAEMON);
 	}
 
-	// Spread, so that daemons that lost their source together do not read together.
+	// Keeps daemons that lost their parent at the same time from reading at the same
+	// time.
 	private long jitter(long nanos) {
 		return (long) (nanos * (1 + this.random.nextDouble()) / 2);
 	}
@@ -207,12 +237,12 @@
 		if (this.outstanding != null || nowNanos - this.nextRequestAtNanos < 0) {
 			return;
 		}
-		final boolean old = isStale(nowNanos);
-		if (this.tree.isReader() && !old) {
+		final boolean stale = isStale(nowNanos);
+		if (this.tree.isReader() && !stale) {
 			this.pages.clear();
 			return;
 		}
-		final String daemonId = this.pages.responderId().orElseGet(() -> choosePeer(old));
+		final String daemonId = this.pages.responderId().orElseGet(() -> choosePeer(stale));
 		if (!daemonId.isEmpty()) {
 			this.lastCorrelationId++;
 			this.outstanding = new OutstandingRequest(daemonId, this.lastCorrelationId, nowNanos);
@@ -222,9 +252,10 @@
 		}
 	}
 
-	// Whoever is late itself asks at random: those that stand before it may be as late.
-	private String choosePeer(boolean old) {
-		return (this.tree.isReader() || old) ? this.tree.randomPeer(this.random.nextDouble()) : this.tree.parent();
+	// A stale daemon asks a random peer, as all daemons before it in the tree may be
+	// stale, too.
+	private String choosePeer(boolean stale) {
+		return (this.tree.isReader() || stale) ? this.tree.randomPeer(this.random.nextDouble()) : this.tree.parent();
 	}
 
 	private void exclude(long nowNanos, String daemonId) {
@@ -233,10 +264,10 @@
 	}
 
 	/**
-	 * Takes a question of another daemon.
+	 * Handles a request from another daemon.
 	 * @param nowNanos the monotonic time
-	 * @param request the question
-	 * @return what must be done next
+	 * @param request the request
+	 * @return the actions to carry out
 	 */
 	public List<ListingAction> onRequest(long nowNanos, ListingRequest request) {
 		if (this.pendingRequests.size() < MAX_PENDING_REQUESTS
@@ -247,34 +278,34 @@
 	}
 
 	/**
-	 * Takes an answer of another daemon.
+	 * Handles a response from another daemon.
 	 * @param nowNanos the monotonic time
-	 * @param response the answer
-	 * @return what must be done next
+	 * @param response the response
+	 * @return the actions to carry out
 	 */
 	public List<ListingAction> onResponse(long nowNanos, ListingResponse response) {
-		// The answer to an earlier question may be older than what is known by now.
+		// A response to an earlier request may be older than the list.
 		if (this.outstanding == null || this.outstanding.correlationId() != response.correlationId()) {
 			return takeActions(nowNanos);
 		}
-		final long askedAtNanos = this.outstanding.sentAtNanos();
+		final long sentAtNanos = this.outstanding.sentAtNanos();
 		this.outstanding = null;
 		this.nextRequestAtNanos = nowNanos + POLL_PAUSE_NANOS;
-		applyResponse(nowNanos, askedAtNanos + response.heldNanos() - response.ageNanos(), response);
+		applyResponse(nowNanos, sentAtNanos + response.heldNanos() - response.ageNanos(), response);
 		if (response.ageNanos() > this.maxAgeNanos) {
 			exclude(nowNanos, response.responderId());
 		}
 		return takeActions(nowNanos);
 	}
 
-	private void applyResponse(long nowNanos, long toldOfNanos, ListingResponse response) {
+	private void applyResponse(long nowNanos, long asOfNanos, ListingResponse response) {
 		if (response.delta().isEmpty()) {
 			this.pages.clear();
 			this.snapshotNeeded = true;
 			return;
 		}
-		this.pages.add(response, response.delta().get()).ifPresent((change) -> {
-			this.listing.applyFromPeer(nowNanos, toldOfNanos, change);
+		this.pages.add(response, response.delta().get()).ifPresent((delta) -> {
+			this.listing.applyFromPeer(nowNanos, asOfNanos, delta);
 			this.snapshotNeeded = false;
 		});
 		if (this.pages.continuationOffset() > 0) {
@@ -284,21 +315,23 @@
 	}
 
 	/**
-	 * Takes what came of a read of the platform's list.
+	 * Handles the result of a read from the platform.
 	 * @param nowNanos the monotonic time
-	 * @param read what came of it
-	 * @param unsettled whether entries may have lapsed though their instances live
-	 * @return what must be done next
+	 * @param read the result
+	 * @param expiryUnreliable whether entries may expire although their instances are
+	 * alive, because the platform's store is or was recently unavailable
+	 * @return the actions to carry out
 	 */
-	public List<ListingAction> onRead(long nowNanos, ListingRead read, boolean unsettled) {
+	public List<ListingAction> onRead(long nowNanos, ListingRead read, boolean expiryUnreliable) {
 		this.readInProgress = false;
 		switch (read.outcome()) {
 			case SNAPSHOT -> {
 				this.snapshotNeeded = false;
-				this.listing.applySnapshot(nowNanos, this.readStartedAtNanos, read.delta().orElseThrow(), unsettled);
+				this.listing.applySnapshot(nowNanos, this.readStartedAtNanos, read.delta().orElseThrow(),
+						expiryUnreliable);
 			}
 			case DELTA ->
-				this.listing.applyRead(nowNanos, this.readStartedAtNanos, read.delta().orElseThrow(), unsettled);
+				this.listing.applyRead(nowNanos, this.readStartedAtNanos, read.delta().orElseThrow(), expiryUnreliable);
 			case HISTORY_GONE -> {
 				this.snapshotNeeded = true;
 				this.nextReadAtNanos = nowNanos;
@@ -316,52 +349,52 @@
 			this.actions.add(new ListingAction.Publish(this.listing.instances()));
 		}
 		answerPendingRequests(nowNanos);
-		final List<ListingAction> now = List.copyOf(this.actions);
+		final List<ListingAction> taken = List.copyOf(this.actions);
 		this.actions.clear();
-		return now;
+		return taken;
 	}
 
 	private void answerPendingRequests(long nowNanos) {
-		final boolean settled = this.listing.takeResolved();
-		final Iterator<PendingRequest> waiting = this.pendingRequests.values().iterator();
-		while (waiting.hasNext()) {
-			final PendingRequest each = waiting.next();
-			final long keptNanos = nowNanos - each.receivedAtNanos();
+		final boolean removalResolved = this.listing.takeResolved();
+		final Iterator<PendingRequest> remaining = this.pendingRequests.values().iterator();
+		while (remaining.hasNext()) {
+			final PendingRequest pending = remaining.next();
+			final long heldNanos = nowNanos - pending.receivedAtNanos();
 			if (!this.listing.isShareable()) {
-				// Others may know it; the asker goes to them when this one is silent.
-				if (keptNanos >= RESPONSE_TIMEOUT_NANOS) {
-					waiting.remove();
+				// Dropped without a response, so that the requester times out and turns
+				// to another daemon, which may have a list.
+				if (heldNanos >= RESPONSE_TIMEOUT_NANOS) {
+					remaining.remove();
 				}
 			}
-			else if (settled || keptNanos >= LONG_POLL_NANOS
-					|| this.listing.hasChangesSince(each.request().fromOffset())) {
-				waiting.remove();
-				this.actions.add(new ListingAction.SendResponse(each.request().requesterId(),
-						response(nowNanos, keptNanos, each.request())));
+			else if (removalResolved || heldNanos >= LONG_POLL_NANOS
+					|| this.listing.hasChangesSince(pending.request().fromOffset())) {
+				remaining.remove();
+				this.actions.add(new ListingAction.SendResponse(pending.request().requesterId(),
+						response(nowNanos, heldNanos, pending.request())));
 			}
 		}
 	}
 
-	private ListingResponse response(long nowNanos, long keptNanos, ListingRequest request) {
-		final Optional<ListingPage> portion = this.listing.deltaSince(request.fromOffset())
-			.map((change) -> ListingPage.of(change, request, MAX_RECORDS_PER_PAGE));
-		return new ListingResponse(this.selfId, request.correlationId(), keptNanos, this.listing.ageNanos(nowNanos),
-				portion.map(ListingPage::delta), portion.map(ListingPage::continuationOffset).orElse(0L),
-				this.incarnationId);
+	private ListingResponse response(long nowNanos, long heldNanos, ListingRequest request) {
+		final Optional<ListingPage> page = this.listing.deltaSince(request.fromOffset())
+			.map((delta) -> ListingPage.of(delta, request, MAX_RECORDS_PER_PAGE));
+		return new ListingResponse(this.selfId, request.correlationId(), heldNanos, this.listing.ageNanos(nowNanos),
+				page.map(ListingPage::delta), page.map(ListingPage::continuationOffset).orElse(0L), this.incarnationId);
 	}
 
 	/**
-	 * Returns how old the list is at most.
+	 * Returns the upper bound of the list's age.
 	 * @param nowNanos the monotonic time
-	 * @return the time since the platform was asked for what is known, or
-	 * {@link #UNKNOWN_AGE_NANOS}
+	 * @return the time since the platform read that the list is based on, or
+	 * {@link #UNKNOWN_AGE_NANOS} if there is no list
 	 */
 	public long ageNanos(long nowNanos) {
 		return this.listing.ageNanos(nowNanos);
 	}
 
 	/**
-	 * Returns the first offset that is not known.
+	 * Returns the first offset whose record is not reflected in the list.
 	 * @return the offset
 	 */
 	long nextOffset() {
@@ -369,7 +402,7 @@
 	}
 
 	/**
-	 * Returns whether this daemon reads the platform's list for others.
+	 * Returns whether this daemon reads the platform's list on behalf of others.
 	 * @return whether it does
 	 */
 	public boolean readsForOthers() {
@@ -377,21 +410,21 @@
 	}
 
 	/**
-	 * A question that waits for its answer.
+	 * A request to a peer that has not been answered yet.
 	 *
-	 * @param daemonId the daemon that was asked
-	 * @param correlationId the question's token
-	 * @param sentAtNanos when it was asked, by the monotonic clock
+	 * @param daemonId the daemon that the request was sent to
+	 * @param correlationId the request's correlation ID
+	 * @param sentAtNanos the monotonic time at which it was sent
 	 */
 	private record OutstandingRequest(String daemonId, long correlationId, long sentAtNanos) {
 
 	}
 
 	/**
-	 * Another daemon's question that is kept until there is something to tell.
+	 * A peer's request that is held until there is a change to send.
 	 *
-	 * @param request the question
-	 * @param receivedAtNanos when it came, by the monotonic clock
+	 * @param request the request
+	 * @param receivedAtNanos the monotonic time at which it was received
 	 */
 	private record PendingRequest(ListingRequest request, long receivedAtNanos) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/UnconfirmedRemovals.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/UnconfirmedRemovals.java
@@ -9,87 +9,92 @@
 import java.util.Set;
 
 /**
- * Entries that are used on though the list shows them no longer, as their instances may
- * live.
+ * Removed entries that remain in use because their instances may still be alive.
  * <p>
- * While the platform's store is away, entries lapse that their instances could not renew;
- * a stranger's record, or the late word of an instance's former life, may stand in an
- * entry's place. A live instance writes again within a heartbeat. Taken out before, it
- * would break its group for nothing.
+ * While the platform's store is unavailable, entries expire because their instances
+ * cannot renew them. An entry may also be replaced by another writer's record, or by a
+ * late record of the instance's previous incarnation. A live instance renews its entry
+ * with its next heartbeat; removing it earlier would break its replica group for nothing.
  */
 final class UnconfirmedRemovals {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	/** Three heartbeats: by then an instance has written again, or is taken for gone. */
+	/**
+	 * Three heartbeat intervals: an instance that has not renewed its entry by then is
+	 * considered gone.
+	 */
 	private static final long CONFIRMATION_NANOS = 3_600 * NANOS_PER_MILLI;
 
 	private final Map<String, UnconfirmedRemoval> removals = new HashMap<>();
 
 	/**
-	 * Keeps an entry that went, unless one is kept already.
+	 * Retains a removed entry, unless one is retained for the instance already.
 	 * @param nowNanos the monotonic time
 	 * @param entry the entry
-	 * @param removedOffset where it went
-	 * @param cause why its instance may live
+	 * @param removedOffset the offset of the removal
+	 * @param cause why the instance may be alive
 	 */
 	void retain(long nowNanos, InstanceRecord.Listed entry, long removedOffset, Cause cause) {
 		this.removals.putIfAbsent(entry.key(), new UnconfirmedRemoval(entry, removedOffset, nowNanos, cause));
 	}
 
 	/**
-	 * Ends the doubt about an instance, as it is listed again or has certainly gone.
+	 * Forgets a removal, because the instance is listed again or is certainly gone.
 	 * @param key the instance's key
-	 * @return whether there was a doubt
+	 * @return whether its removal was unconfirmed
 	 */
 	boolean resolve(String key) {
 		return this.removals.remove(key) != null;
 	}
 
 	/**
-	 * Ends what time or the platform's state has settled.
+	 * Forgets the removals whose confirmation time has passed and, while the store works
+	 * normally, those of expired leases.
 	 * @param nowNanos the monotonic time
-	 * @param unsettled whether entries may have lapsed though their instances live
-	 * @return whether a doubt ended
+	 * @param expiryUnreliable whether entries may expire although their instances are
+	 * alive, because the platform's store is or was recently unavailable
+	 * @return whether there was such a removal
 	 */
-	boolean resolveExpired(long nowNanos, boolean unsettled) {
+	boolean resolveExpired(long nowNanos, boolean expiryUnreliable) {
 		return this.removals.values()
-			.removeIf((doubt) -> (doubt.cause() == Cause.LEASE_EXPIRED) ? !unsettled
-					: nowNanos - doubt.sinceNanos() >= CONFIRMATION_NANOS);
+			.removeIf((removal) -> (removal.cause() == Cause.LEASE_EXPIRED) ? !expiryUnreliable
+					: nowNanos - removal.sinceNanos() >= CONFIRMATION_NANOS);
 	}
 
 	/**
-	 * Ends the doubts that another daemon told and that are shared no longer.
-	 * @param change what a daemon tells now
-	 * @return whether a doubt ended
+	 * Forgets the removals that were reported by a peer and are now confirmed by one.
+	 * @param delta a delta from a peer
+	 * @return whether there was such a removal
 	 */
-	boolean resolveReportedByPeer(ListingDelta change) {
+	boolean resolveReportedByPeer(ListingDelta delta) {
 		return this.removals.values()
-			.removeIf((doubt) -> doubt.cause() == Cause.REPORTED_BY_PEER && doubt.removedOffset() < change.nextOffset()
-					&& !change.unconfirmedKeys().contains(doubt.entry().key()));
+			.removeIf((removal) -> removal.cause() == Cause.REPORTED_BY_PEER
+					&& removal.removedOffset() < delta.nextOffset()
+					&& !delta.unconfirmedKeys().contains(removal.entry().key()));
 	}
 
 	/**
-	 * Returns the entry that a doubtful instance had.
+	 * Returns the retained entry of an instance.
 	 * @param key the instance's key
-	 * @return the entry; empty where there is no doubt
+	 * @return the entry; empty if the instance has no unconfirmed removal
 	 */
 	Optional<InstanceRecord.Listed> entry(String key) {
 		return Optional.ofNullable(this.removals.get(key)).map(UnconfirmedRemoval::entry);
 	}
 
 	/**
-	 * Returns the entries that the doubtful instances had.
+	 * Returns all retained entries.
 	 * @return the entries
 	 */
 	Collection<InstanceRecord.Listed> entries() {
 		final List<InstanceRecord.Listed> entries = new ArrayList<>();
-		this.removals.values().forEach((doubt) -> entries.add(doubt.entry()));
+		this.removals.values().forEach((removal) -> entries.add(removal.entry()));
 		return entries;
 	}
 
 	/**
-	 * Returns the keys of the doubtful instances.
+	 * Returns the keys of all retained entries.
 	 * @return the keys
 	 */
 	Set<String> keys() {
@@ -97,30 +102,33 @@
 	}
 
 	/**
-	 * Why an instance may live whose entry went.
+	 * Reasons why an instance may be alive although its entry was removed.
 	 */
 	enum Cause {
 
-		/** Its entry may have lapsed while the platform's store was away. */
+		/**
+		 * The entry may have expired only because the platform's store was unavailable.
+		 */
 		LEASE_EXPIRED,
 
 		/**
-		 * Another writer's record, or its own former life's, stands in its entry's place.
+		 * The entry was replaced by a record of another writer or of an earlier
+		 * incarnation.
 		 */
 		OVERWRITTEN,
 
-		/** The daemon that told of it doubts that it has gone. */
+		/** The peer that sent the removal considers it unconfirmed. */
 		REPORTED_BY_PEER
 
 	}
 
 	/**
-	 * An instance that may live.
+	 * A removal that is not confirmed yet.
 	 *
-	 * @param entry the entry that it had
-	 * @param removedOffset where it went
-	 * @param sinceNanos since when it is in doubt, by the monotonic clock
-	 * @param cause why it may live
+	 * @param entry the removed entry
+	 * @param removedOffset the offset of the removal
+	 * @param sinceNanos the monotonic time at which this daemon learned of the removal
+	 * @param cause why the instance may be alive
 	 */
 	private record UnconfirmedRemoval(InstanceRecord.Listed entry, long removedOffset, long sinceNanos, Cause cause) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/package-info.java
@@ -1,4 +1,5 @@
 /**
- * How many daemons follow the platform's list of instances while few of them read it.
+ * Replicates the platform's instance list to all daemons: a few daemons read it, and the
+ * others long-poll them along a distribution tree.
  */
 package org.pistachioline.core.listing;
