--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/InstanceListingTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/InstanceListingTests.java
@@ -12,14 +12,13 @@
 
 class InstanceListingTests {
 
-	/** Past every doubt. */
+	/** Longer than any removal stays unconfirmed. */
 	private static final long PAST_CONFIRMATION_NANOS = 60_000_000_000L;
 
 	/**
-	 * An instance comes and goes between two questions, so that only its drop is told.
-	 * Another daemon has read of its coming and asks for the rest. Not told of the drop,
-	 * it would send requests to an instance that has gone, for as long as it lives
-	 * itself.
+	 * Guards against a daemon that keeps sending requests to an instance that is gone.
+	 * The instance is added and removed between two polls, so only its tombstone is
+	 * received. A peer that has read the addition must be sent the tombstone.
 	 */
 	@Test
 	void aTombstoneOfAnUnknownInstanceIsPassedOn() {
@@ -31,131 +30,136 @@
 	}
 
 	/**
-	 * The platform has dropped its history, and a daemon looks at the whole list. What
-	 * came and went meanwhile it never saw, nor does whoever is told by it. A third one
-	 * that saw it come must not be told that the rest is complete.
+	 * Guards against a delta that is taken for complete although its sender missed
+	 * changes. The sender, or the daemon that updated it, has read a snapshot after the
+	 * platform discarded its history, and never saw an instance that was added and
+	 * removed in between. A peer that has read the addition needs a snapshot.
 	 */
 	@Test
 	void aGapInTheHistoryIsPassedOnToPeers() {
-		final InstanceListing looked = emptyListingAt(100);
-		looked.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
-		assertSendsSnapshot(looked);
-		final InstanceListing told = emptyListingAt(100);
-		told.applyFromPeer(0, 0, looked.deltaSince(100).orElseThrow());
-		assertThat(told.nextOffset()).isEqualTo(140);
-		assertSendsSnapshot(told);
-		assertThat(told.deltaSince(140).orElseThrow().fromOffset()).isEqualTo(140);
+		final InstanceListing snapshotReader = emptyListingAt(100);
+		snapshotReader.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
+		assertSendsSnapshot(snapshotReader);
+		final InstanceListing peer = emptyListingAt(100);
+		peer.applyFromPeer(0, 0, snapshotReader.deltaSince(100).orElseThrow());
+		assertThat(peer.nextOffset()).isEqualTo(140);
+		assertSendsSnapshot(peer);
+		assertThat(peer.deltaSince(140).orElseThrow().fromOffset()).isEqualTo(140);
 	}
 
-	private static void assertSendsSnapshot(InstanceListing teller) {
-		assertThat(teller.deltaSince(120).orElseThrow().fromOffset()).isZero();
+	private static void assertSendsSnapshot(InstanceListing sender) {
+		assertThat(sender.deltaSince(120).orElseThrow().fromOffset()).isZero();
 		final InstanceListing third = emptyListingAt(100);
 		third.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110), listed("i-2", 111))), false);
 		assertThat(third.instances()).hasSize(2);
-		third.applyFromPeer(0, 0, teller.deltaSince(120).orElseThrow());
+		third.applyFromPeer(0, 0, sender.deltaSince(120).orElseThrow());
 		assertThat(third.instances()).isEmpty();
 		assertThat(third.nextOffset()).isEqualTo(140);
 	}
 
 	/**
-	 * Guards against an answer that comes after its asker has read on: an instance that
-	 * came and went in the teller's gap, and that the asker has read of, would be kept.
+	 * Guards against a response that arrives after its requester has read on. The
+	 * requester has read the addition of an instance that was added and removed in the
+	 * responder's gap, and would keep it.
 	 */
 	@Test
 	void aDeltaAcrossAGapIsIgnoredByAListInsideTheGap() {
-		final InstanceListing teller = emptyListingAt(100);
-		teller.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
-		final ListingDelta late = teller.deltaSince(100).orElseThrow();
-		final InstanceListing asker = emptyListingAt(100);
-		asker.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		asker.applyFromPeer(0, 0, late);
-		assertThat(asker.nextOffset()).isEqualTo(120);
-		asker.applyFromPeer(0, 0, teller.deltaSince(120).orElseThrow());
-		assertThat(asker.instances()).isEmpty();
+		final InstanceListing sender = emptyListingAt(100);
+		sender.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
+		final ListingDelta lateDelta = sender.deltaSince(100).orElseThrow();
+		final InstanceListing requester = emptyListingAt(100);
+		requester.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		requester.applyFromPeer(0, 0, lateDelta);
+		assertThat(requester.nextOffset()).isEqualTo(120);
+		requester.applyFromPeer(0, 0, sender.deltaSince(120).orElseThrow());
+		assertThat(requester.instances()).isEmpty();
 	}
 
 	/**
-	 * Guards against an instance that another daemon dropped and that is not told to it
-	 * again, since it came back as this one knew it all the while.
+	 * Guards against an instance that a peer has removed and is never sent again. The
+	 * sender's entry has the same content before and after its snapshot, but a peer may
+	 * have seen the instance removed in between.
 	 */
 	@Test
 	void unchangedSnapshotEntriesAreSentAgain() {
-		final InstanceListing teller = emptyListingAt(100);
-		teller.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		teller.applySnapshot(0, 0, new ListingDelta(150, 150, List.of(listed("i-1", 145))), false);
-		assertThat(teller.hasChangesSince(140)).isTrue();
-		assertThat(teller.deltaSince(120).orElseThrow().records()).containsExactly(listed("i-1", 145));
+		final InstanceListing sender = emptyListingAt(100);
+		sender.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		sender.applySnapshot(0, 0, new ListingDelta(150, 150, List.of(listed("i-1", 145))), false);
+		assertThat(sender.hasChangesSince(140)).isTrue();
+		assertThat(sender.deltaSince(120).orElseThrow().records()).containsExactly(listed("i-1", 145));
 	}
 
 	/**
-	 * Guards against an entry that one daemon still doubts has gone, and that another
-	 * never saw: told the rest by that one, a third would keep it for good.
+	 * Guards against an entry that a third daemon keeps forever. One peer still considers
+	 * its removal unconfirmed, and the other one never saw the entry, so neither may
+	 * leave the tombstone to the other.
 	 */
 	@Test
 	void anUnconfirmedRemovalDoesNotHideTheTombstoneFromPeers() {
-		final InstanceListing doubting = emptyListingAt(100);
-		doubting.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		doubting.applySnapshot(0, 0, new ListingDelta(160, 160, List.of()), true);
-		final InstanceListing started = new InstanceListing();
-		started.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
-		started.applyRead(0, 0, new ListingDelta(140, 170, List.of()), false);
+		final InstanceListing retaining = emptyListingAt(100);
+		retaining.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		retaining.applySnapshot(0, 0, new ListingDelta(160, 160, List.of()), true);
+		final InstanceListing restarted = new InstanceListing();
+		restarted.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
+		restarted.applyRead(0, 0, new ListingDelta(140, 170, List.of()), false);
 		final InstanceListing third = emptyListingAt(100);
 		third.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		third.applyFromPeer(0, 0, doubting.deltaSince(120).orElseThrow());
-		third.applyFromPeer(0, 0, started.deltaSince(third.nextOffset()).orElseThrow());
+		third.applyFromPeer(0, 0, retaining.deltaSince(120).orElseThrow());
+		third.applyFromPeer(0, 0, restarted.deltaSince(third.nextOffset()).orElseThrow());
 		assertThat(third.instances()).isEmpty();
 		assertThat(third.nextOffset()).isEqualTo(170);
 	}
 
 	/**
-	 * Guards against an entry that one daemon told ahead of the offset up to which it
-	 * told all, and that another never saw: told the rest by that one, a third would keep
-	 * it for good.
+	 * Guards against an entry that a third daemon keeps forever. One peer sent it ahead
+	 * of the end of its delta, and the other one never saw it, so its later delta has no
+	 * tombstone.
 	 */
 	@Test
 	void noRecordIsSentBeyondTheEndOfTheDelta() {
-		final InstanceListing doubting = emptyListingAt(100);
-		doubting.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		doubting.applySnapshot(0, 0, new ListingDelta(160, 160, List.of(listed("i-2", 150))), true);
+		final InstanceListing retaining = emptyListingAt(100);
+		retaining.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		retaining.applySnapshot(0, 0, new ListingDelta(160, 160, List.of(listed("i-2", 150))), true);
 		final InstanceListing third = emptyListingAt(100);
 		third.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		final InstanceListing looked = emptyListingAt(100);
-		looked.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		looked.applySnapshot(0, 0, new ListingDelta(170, 170, List.of()), false);
-		third.applyFromPeer(0, 0, doubting.deltaSince(120).orElseThrow());
-		third.applyFromPeer(0, 0, looked.deltaSince(third.nextOffset()).orElseThrow());
+		final InstanceListing snapshotReader = emptyListingAt(100);
+		snapshotReader.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		snapshotReader.applySnapshot(0, 0, new ListingDelta(170, 170, List.of()), false);
+		third.applyFromPeer(0, 0, retaining.deltaSince(120).orElseThrow());
+		third.applyFromPeer(0, 0, snapshotReader.deltaSince(third.nextOffset()).orElseThrow());
 		assertThat(third.instances()).isEmpty();
 		assertThat(third.nextOffset()).isEqualTo(170);
 	}
 
 	/**
-	 * Guards against an instance whose entry lapsed while the platform's store was away,
-	 * and that daemons which were told of the drop would take out, though it writes again
-	 * a moment later.
+	 * Guards against a live instance that is removed by the peers of a daemon that
+	 * retains it. The instance's entry expired while the platform's store was
+	 * unavailable, and the instance renews it a moment later.
 	 */
 	@Test
 	void aPeerRetainsAnUnconfirmedRemovalUntilItIsResolved() {
-		final InstanceListing doubting = emptyListingAt(100);
-		doubting.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		doubting.applyRead(0, 0, new ListingDelta(120, 130, List.of(new InstanceRecord.Tombstone("i-1", 125))), true);
-		final InstanceListing told = emptyListingAt(100);
-		told.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
-		told.applyFromPeer(0, 0, doubting.deltaSince(120).orElseThrow());
-		told.applyRead(0, 0, new ListingDelta(130, 131, List.of(listed("i-2", 130))), false);
-		told.applyFromPeer(0, 0, doubting.deltaSince(130).orElseThrow());
-		told.resolveExpired(0, false);
-		assertThat(told.instances()).extracting(ServingInstance::id).containsExactly("i-1", "i-2");
-		doubting.resolveExpired(0, false);
-		assertThat(doubting.takeResolved()).isTrue();
-		told.applyFromPeer(0, 0, doubting.deltaSince(131).orElseThrow());
-		assertThat(told.instances()).extracting(ServingInstance::id).containsExactly("i-2");
-		assertThat(told.takeResolved()).isTrue();
+		final InstanceListing retaining = emptyListingAt(100);
+		retaining.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		retaining.applyRead(0, 0, new ListingDelta(120, 130, List.of(new InstanceRecord.Tombstone("i-1", 125))), true);
+		final InstanceListing peer = emptyListingAt(100);
+		peer.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		peer.applyFromPeer(0, 0, retaining.deltaSince(120).orElseThrow());
+		peer.applyRead(0, 0, new ListingDelta(130, 131, List.of(listed("i-2", 130))), false);
+		peer.applyFromPeer(0, 0, retaining.deltaSince(130).orElseThrow());
+		peer.resolveExpired(0, false);
+		assertThat(peer.instances()).extracting(ServingInstance::id).containsExactly("i-1", "i-2");
+		retaining.resolveExpired(0, false);
+		assertThat(retaining.takeResolved()).isTrue();
+		peer.applyFromPeer(0, 0, retaining.deltaSince(131).orElseThrow());
+		assertThat(peer.instances()).extracting(ServingInstance::id).containsExactly("i-2");
+		assertThat(peer.takeResolved()).isTrue();
 	}
 
 	/**
-	 * Guards against the late word of a former life, which takes a live instance out of
-	 * its group, and against a list that shows the life before for good where the clock
-	 * has been set back between the two.
+	 * Guards against a live instance that is taken out of its group by a late record of
+	 * its earlier incarnation. If the machine's clock was set back between the two, the
+	 * record that looks older is the valid one; it counts once the other one is no longer
+	 * renewed.
 	 */
 	@Test
 	void aRecordOfAnEarlierIncarnationCountsOnlyIfTheLaterOneStopsRenewing() {
@@ -174,35 +178,35 @@
 		assertThat(listing.instances()).extracting(ServingInstance::fabricDomain).containsExactly("domain-1");
 	}
 
-	private static InstanceRecord.Listed incarnation(String domain, long offset, long bornMillis) {
+	private static InstanceRecord.Listed incarnation(String fabricDomain, long offset, long bornMillis) {
 		return new InstanceRecord.Listed("i-1", offset, bornMillis, new ServingInstance("i-1", "pool", "10.0.0.1:80",
-				"zone", domain, false, 4, Set.of(), Optional.empty()));
+				"zone", fabricDomain, false, 4, Set.of(), Optional.empty()));
 	}
 
 	/**
-	 * Guards against a look at the whole list that takes a while: what was written while
-	 * it went on lies ahead of what it stands for. Told on, it would be kept for good by
-	 * whoever hears of its drop from nobody.
+	 * Guards against an entry that peers keep forever. A record that was written while a
+	 * snapshot was read lies ahead of the snapshot's offset; if it was sent on, a peer
+	 * might never receive its tombstone.
 	 */
 	@Test
 	void aSnapshotWithRecordsPastItsOffsetIsNotSharedUntilTheListHasCaughtUp() {
-		final InstanceListing looked = new InstanceListing();
-		looked.applySnapshot(0, 0, new ListingDelta(140, 140, List.of(listed("i-1", 143))), false);
-		assertThat(looked.known()).isTrue();
-		assertThat(looked.isShareable()).isFalse();
-		final InstanceListing gap = emptyListingAt(140);
-		gap.applySnapshot(0, 0, new ListingDelta(150, 150, List.of()), false);
-		looked.applyFromPeer(0, 0, gap.deltaSince(140).orElseThrow());
-		assertThat(looked.nextOffset()).isEqualTo(140);
-		looked.applyRead(0, 0,
+		final InstanceListing snapshotReader = new InstanceListing();
+		snapshotReader.applySnapshot(0, 0, new ListingDelta(140, 140, List.of(listed("i-1", 143))), false);
+		assertThat(snapshotReader.known()).isTrue();
+		assertThat(snapshotReader.isShareable()).isFalse();
+		final InstanceListing afterGap = emptyListingAt(140);
+		afterGap.applySnapshot(0, 0, new ListingDelta(150, 150, List.of()), false);
+		snapshotReader.applyFromPeer(0, 0, afterGap.deltaSince(140).orElseThrow());
+		assertThat(snapshotReader.nextOffset()).isEqualTo(140);
+		snapshotReader.applyRead(0, 0,
 				new ListingDelta(140, 150, List.of(listed("i-1", 143), new InstanceRecord.Tombstone("i-1", 145))),
 				false);
-		assertThat(looked.isShareable()).isTrue();
-		assertThat(looked.instances()).isEmpty();
+		assertThat(snapshotReader.isShareable()).isTrue();
+		assertThat(snapshotReader.instances()).isEmpty();
 	}
 
 	/**
-	 * Guards against a daemon that holds a wrong list after it has looked at the store.
+	 * Guards against errors in a list that outlast a snapshot.
 	 */
 	@Test
 	void aSnapshotRepairsAWrongList() {
@@ -216,15 +220,15 @@
 	}
 
 	/**
-	 * Guards against a whole list that is older than what its reader knows.
+	 * Guards against a late response that takes a list back to an older state.
 	 */
 	@Test
 	void anOutdatedSnapshotIsIgnored() {
-		final InstanceListing known = emptyListingAt(150);
-		known.applyRead(0, 0, new ListingDelta(150, 160, List.of(listed("i-1", 155))), false);
-		known.applyFromPeer(0, 0, new ListingDelta(0, 140, List.of()));
-		assertThat(known.instances()).hasSize(1);
-		assertThat(known.nextOffset()).isEqualTo(160);
+		final InstanceListing listing = emptyListingAt(150);
+		listing.applyRead(0, 0, new ListingDelta(150, 160, List.of(listed("i-1", 155))), false);
+		listing.applyFromPeer(0, 0, new ListingDelta(0, 140, List.of()));
+		assertThat(listing.instances()).hasSize(1);
+		assertThat(listing.nextOffset()).isEqualTo(160);
 	}
 
 	private static InstanceRecord.Listed listed(String key, long offset) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingDaemon.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * One daemon of a {@link ListingSimulation}.
+ * A daemon of a {@link ListingSimulation} and the faults that affect it.
  */
 final class ListingDaemon {
 
@@ -33,9 +33,9 @@
 
 	final Map<String, Long> newestVersions = new HashMap<>();
 
-	ListingDaemon(int index, ListingSynchronizer node) {
+	ListingDaemon(int index, ListingSynchronizer synchronizer) {
 		this.index = index;
-		this.synchronizer = node;
+		this.synchronizer = synchronizer;
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModel.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModel.java
@@ -11,33 +11,37 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * A few lists of instances that read one store and tell each other, a step at a time and
- * in any order, with all that the store's history ever showed.
+ * A model of a few daemons that read one store and update each other, which performs one
+ * step at a time in any order. It keeps the whole history of the store to check the
+ * daemons' lists against.
  */
 final class ListingModel {
 
-	/** The store's era stands before a record's index in the log. */
+	/**
+	 * A position holds the store's era in the bits above these, and the record's index in
+	 * the log in these.
+	 */
 	private static final int ERA_BITS = 40;
 
-	/** How many records one answer holds. */
+	/** The page size; the smallest one exercises paging the most. */
 	private static final int MAX_RECORDS_PER_PAGE = 1;
 
-	/** Past every doubt. */
+	/** Longer than any removal stays unconfirmed. */
 	private static final long PAST_CONFIRMATION_NANOS = 60_000_000_000L;
 
 	private final List<InstanceListing> daemons = new ArrayList<>();
 
-	/** The answer that is on its way to each daemon; empty where there is none. */
+	/** The response in transit to each daemon, if any. */
 	private final List<Optional<ListingResponse>> responsesInFlight = new ArrayList<>();
 
 	private final List<ListingPageAssembler> pages = new ArrayList<>();
 
 	private final List<Integer> incarnations = new ArrayList<>();
 
-	/** The log of each era, with what a copy left out of it. */
+	/** The log of each era; it starts with the records that the backup retained. */
 	private final List<List<InstanceRecord>> logs = new ArrayList<>();
 
-	/** The first position of each era that anybody can stand at. */
+	/** The first position of each era that a daemon's list can have. */
 	private final List<Long> firstPositions = new ArrayList<>();
 
 	private long firstRetainedPosition;
@@ -54,7 +58,7 @@
 			this.incarnations.add(0);
 		}
 		this.logs.add(new ArrayList<>());
-		// What stands at the first offset could not be told from knowing nothing.
+		// Offset 0 stands for having no list, so no daemon's list may end there.
 		write("first");
 		this.firstPositions.add(end());
 	}
@@ -80,7 +84,7 @@
 	}
 
 	/**
-	 * Has an instance write what it did not say before.
+	 * Writes new content for an instance.
 	 * @param key the instance
 	 */
 	void write(String key) {
@@ -88,8 +92,8 @@
 	}
 
 	/**
-	 * Has a former life of an instance write once more, as it stops or as its clock has
-	 * been set.
+	 * Writes a record of an earlier incarnation of an instance, as happens when it stops
+	 * late or its clock has been set back.
 	 * @param key the instance
 	 */
 	void writeFromEarlierIncarnation(String key) {
@@ -97,7 +101,8 @@
 	}
 
 	/**
-	 * Has an instance write again what it said last, if it is listed.
+	 * Writes the latest content of an instance again, as its heartbeat does, if it is
+	 * listed.
 	 * @param key the instance
 	 */
 	void renew(String key) {
@@ -124,27 +129,27 @@
 	}
 
 	/**
-	 * Brings the store back from a copy.
-	 * @param lost how many of the newest records the copy lacks
+	 * Restores the store from a backup, which begins a new era.
+	 * @param lostRecords how many of the latest records the backup lacks
 	 */
-	void restore(int lost) {
-		final List<InstanceRecord> copy = new ArrayList<>();
-		for (final InstanceRecord each : log().subList(0, Math.max(1, log().size() - lost))) {
-			copy.add(copyTo(each, position(this.logs.size(), copy.size())));
+	void restore(int lostRecords) {
+		final List<InstanceRecord> restored = new ArrayList<>();
+		for (final InstanceRecord each : log().subList(0, Math.max(1, log().size() - lostRecords))) {
+			restored.add(copyTo(each, position(this.logs.size(), restored.size())));
 		}
-		this.logs.add(copy);
+		this.logs.add(restored);
 		this.firstPositions.add(end());
 		this.firstRetainedPosition = position(this.logs.size() - 1, 0);
 	}
 
-	private static InstanceRecord copyTo(InstanceRecord origin, long position) {
-		return (origin instanceof InstanceRecord.Listed entry)
+	private static InstanceRecord copyTo(InstanceRecord original, long position) {
+		return (original instanceof InstanceRecord.Listed entry)
 				? new InstanceRecord.Listed(entry.key(), position, entry.startedAtMillis(), entry.instance())
-				: new InstanceRecord.Tombstone(origin.key(), position);
+				: new InstanceRecord.Tombstone(original.key(), position);
 	}
 
 	/**
-	 * Has the store go away and come back, or settle again.
+	 * Makes the store unavailable, or available and settled.
 	 */
 	void toggleExpiryUnreliable() {
 		this.expiryUnreliable = !this.expiryUnreliable;
@@ -159,7 +164,8 @@
 	}
 
 	/**
-	 * Has a daemon read what it lacks, or all where that is not kept any more.
+	 * Lets a daemon read the records that it lacks, or a snapshot if they are no longer
+	 * retained.
 	 * @param daemon the daemon
 	 */
 	void read(int daemon) {
@@ -174,7 +180,7 @@
 	}
 
 	/**
-	 * Has each daemon read what it lacks.
+	 * Lets every daemon read the records that it lacks.
 	 */
 	void readAll() {
 		for (int i = 0; i < this.daemons.size(); i++) {
@@ -183,7 +189,7 @@
 	}
 
 	/**
-	 * Has a daemon look at the whole list.
+	 * Lets a daemon read a snapshot.
 	 * @param daemon the daemon
 	 */
 	void readSnapshot(int daemon) {
@@ -195,55 +201,55 @@
 	}
 
 	/**
-	 * Has a daemon ask another one, whose answer is on its way then. One that was told in
-	 * part asks the same one for the rest.
-	 * @param asker the daemon that asks
-	 * @param teller the daemon that answers
+	 * Sends a request and puts the response in transit. A daemon that lacks pages of a
+	 * delta requests the next one from the daemon that sent the earlier ones.
+	 * @param requester the daemon that asks
+	 * @param responder the daemon that answers
 	 */
-	void request(int asker, int teller) {
-		final InstanceListing listing = this.daemons.get(asker);
-		final ListingPageAssembler told = this.pages.get(asker);
-		final int asked = told.responderId().map(Integer::parseInt).orElse(teller);
-		final ListingRequest question = new ListingRequest(Integer.toString(asker), 0,
-				told.fromOffset(listing.known() ? listing.nextOffset() : 0), told.continuationOffset());
-		final Optional<ListingPage> portion = this.daemons.get(asked)
-			.deltaSince(question.fromOffset())
-			.map((change) -> ListingPage.of(change, question, MAX_RECORDS_PER_PAGE));
-		this.responsesInFlight.set(asker, portion.map((each) -> new ListingResponse(Integer.toString(asked), 0, 0, 0,
-				Optional.of(each.delta()), each.continuationOffset(), this.incarnations.get(asked))));
+	void request(int requester, int responder) {
+		final InstanceListing listing = this.daemons.get(requester);
+		final ListingPageAssembler pages = this.pages.get(requester);
+		final int askedDaemon = pages.responderId().map(Integer::parseInt).orElse(responder);
+		final ListingRequest request = new ListingRequest(Integer.toString(requester), 0,
+				pages.fromOffset(listing.known() ? listing.nextOffset() : 0), pages.continuationOffset());
+		final Optional<ListingPage> page = this.daemons.get(askedDaemon)
+			.deltaSince(request.fromOffset())
+			.map((delta) -> ListingPage.of(delta, request, MAX_RECORDS_PER_PAGE));
+		this.responsesInFlight.set(requester, page.map((each) -> new ListingResponse(Integer.toString(askedDaemon), 0,
+				0, 0, Optional.of(each.delta()), each.continuationOffset(), this.incarnations.get(askedDaemon))));
 	}
 
 	/**
-	 * Has the answer to a daemon's question arrive.
-	 * @param asker the daemon that asked
+	 * Delivers the response in transit to a daemon.
+	 * @param requester the daemon that asked
 	 */
-	void deliverResponse(int asker) {
-		this.responsesInFlight.get(asker)
-			.flatMap((answer) -> this.pages.get(asker).add(answer, answer.delta().orElseThrow()))
-			.ifPresent((change) -> this.daemons.get(asker).applyFromPeer(0, 0, change));
-		this.responsesInFlight.set(asker, Optional.empty());
+	void deliverResponse(int requester) {
+		this.responsesInFlight.get(requester)
+			.flatMap((response) -> this.pages.get(requester).add(response, response.delta().orElseThrow()))
+			.ifPresent((delta) -> this.daemons.get(requester).applyFromPeer(0, 0, delta));
+		this.responsesInFlight.set(requester, Optional.empty());
 	}
 
 	/**
-	 * Has a daemon give up what it was told in part.
-	 * @param asker the daemon
+	 * Discards the response in transit to a daemon and the pages it has received.
+	 * @param requester the daemon
 	 */
-	void abandonRequest(int asker) {
-		this.responsesInFlight.set(asker, Optional.empty());
-		this.pages.get(asker).clear();
+	void abandonRequest(int requester) {
+		this.responsesInFlight.set(requester, Optional.empty());
+		this.pages.get(requester).clear();
 	}
 
-	private void requestAllPages(int asker, int teller) {
-		abandonRequest(asker);
+	private void requestAllPages(int requester, int responder) {
+		abandonRequest(requester);
 		do {
-			request(asker, teller);
-			deliverResponse(asker);
+			request(requester, responder);
+			deliverResponse(requester);
 		}
-		while (this.pages.get(asker).continuationOffset() > 0);
+		while (this.pages.get(requester).continuationOffset() > 0);
 	}
 
 	/**
-	 * Lets all doubts end and all daemons hear of everything.
+	 * Confirms or resolves all removals and brings all daemons up to date.
 	 */
 	void converge() {
 		this.expiryUnreliable = false;
@@ -260,9 +266,9 @@
 	}
 
 	/**
-	 * Returns the daemons that use another list than the store's at the offset that they
-	 * say they know.
-	 * @return their numbers, and what they use
+	 * Returns the daemons whose instances in use differ from the store's list at their
+	 * offset.
+	 * @return a line for each daemon
 	 */
 	List<String> daemonsWithWrongList() {
 		final List<String> wrong = new ArrayList<>();
@@ -277,40 +283,42 @@
 	}
 
 	/**
-	 * Returns what daemons hold or would tell that is not the store's.
-	 * @return a line for each breach
+	 * Returns the violations of the invariants of {@link InstanceListing}: lists that
+	 * differ from the store's, and deltas that do not lead from the store's list at one
+	 * offset to that at another.
+	 * @return a line for each violation
 	 */
 	List<String> violations() {
-		final List<String> breaches = new ArrayList<>();
+		final List<String> violations = new ArrayList<>();
 		for (int i = 0; i < this.daemons.size(); i++) {
 			final InstanceListing daemon = this.daemons.get(i);
 			if (daemon.known()) {
-				addViolations(i, daemon, breaches);
+				addViolations(i, daemon, violations);
 			}
 		}
-		return breaches;
+		return violations;
 	}
 
-	private void addViolations(int number, InstanceListing daemon, List<String> breaches) {
+	private void addViolations(int daemonIndex, InstanceListing daemon, List<String> violations) {
 		final ListingDelta whole = daemon.deltaSince(0).orElseThrow();
-		final String name = "daemon " + number + " at " + format(daemon.nextOffset());
+		final String name = "daemon " + daemonIndex + " at " + format(daemon.nextOffset());
 		if (whole.nextOffset() != daemon.nextOffset()
 				|| !apply(new HashMap<>(), whole).equals(listAt(daemon.nextOffset()))) {
-			breaches.add(name + " holds " + whole);
+			violations.add(name + " holds " + whole);
 		}
 		for (int era = 0; era < this.logs.size(); era++) {
 			for (long from = this.firstPositions.get(era); from <= position(era, this.logs.get(era).size()); from++) {
-				final ListingDelta told = daemon.deltaSince(from).orElseThrow();
-				if (from <= daemon.nextOffset() && !apply(listAt(from), told).equals(listAt(told.nextOffset()))) {
-					breaches.add(name + " tells from " + format(from) + " " + told);
+				final ListingDelta delta = daemon.deltaSince(from).orElseThrow();
+				if (from <= daemon.nextOffset() && !apply(listAt(from), delta).equals(listAt(delta.nextOffset()))) {
+					violations.add(name + " sends from " + format(from) + " " + delta);
 				}
 			}
 		}
 	}
 
-	private static Map<String, ServingInstance> apply(Map<String, ServingInstance> list, ListingDelta change) {
-		final Map<String, ServingInstance> next = new HashMap<>((change.fromOffset() == 0) ? Map.of() : list);
-		for (final InstanceRecord each : change.records()) {
+	private static Map<String, ServingInstance> apply(Map<String, ServingInstance> list, ListingDelta delta) {
+		final Map<String, ServingInstance> next = new HashMap<>((delta.fromOffset() == 0) ? Map.of() : list);
+		for (final InstanceRecord each : delta.records()) {
 			if (each instanceof InstanceRecord.Listed entry) {
 				next.put(entry.key(), entry.instance());
 			}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModelTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModelTests.java
@@ -13,9 +13,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * What must hold after each step, whoever read, was told, started or came late: a daemon
- * holds the store's list at the offset that it says it knows, and what it tells from one
- * offset on turns the list there into the list at another.
+ * Checks the invariants of {@link InstanceListing} after each step of many histories: a
+ * daemon holds the store's list at its offset, and a delta that it sends turns the
+ * store's list at one offset into the one at another, whatever the order of reads, polls,
+ * restarts and restores.
  */
 class ListingModelTests {
 
@@ -29,10 +30,10 @@
 
 	private static final Step RESTORE = new Step("restore", (model) -> model.restore(2));
 
-	private static final Step TOGGLE_EXPIRY_UNRELIABLE = new Step("change settled",
+	private static final Step TOGGLE_EXPIRY_UNRELIABLE = new Step("toggle expiry unreliable",
 			ListingModel::toggleExpiryUnreliable);
 
-	/** All orders of so many steps are tried. */
+	/** All sequences of this many steps are tried. */
 	private static final int STEPS = 6;
 
 	private static final int RANDOM_HISTORIES = 4_000;
@@ -40,28 +41,28 @@
 	private static final int RANDOM_STEPS = 40;
 
 	/**
-	 * Guards against lists that stay wrong for good: any order of a few steps after which
-	 * daemons at one offset hold different lists, or one is told less than it lacks. Two
-	 * daemons look at the store, the third hears of it from them.
+	 * Guards against lists that stay wrong forever. They come about if, after some order
+	 * of steps, daemons at the same offset hold different lists, or one is sent less than
+	 * it lacks. Two daemons read from the store, and the third is updated by them.
 	 */
 	@Test
 	void everyDaemonHoldsAndSendsTheStoresListAfterAnyOrderOfAFewSteps() {
-		final List<Step> before = List.of(write(INSTANCE), READ_ALL, remove(INSTANCE), write(OTHER_INSTANCE), READ_ALL,
+		final List<Step> setup = List.of(write(INSTANCE), READ_ALL, remove(INSTANCE), write(OTHER_INSTANCE), READ_ALL,
 				RESTORE, TOGGLE_EXPIRY_UNRELIABLE);
 		final List<Step> steps = List.of(remove(INSTANCE), RESTORE, TOGGLE_EXPIRY_UNRELIABLE, readSnapshot(0),
 				readSnapshot(2), requestAndDeliver(1, 0), requestAndDeliver(1, 2));
-		final int[] order = new int[STEPS];
+		final int[] sequence = new int[STEPS];
 		do {
-			final List<Step> history = new ArrayList<>(before);
-			Arrays.stream(order).mapToObj(steps::get).forEach(history::add);
+			final List<Step> history = new ArrayList<>(setup);
+			Arrays.stream(sequence).mapToObj(steps::get).forEach(history::add);
 			assertInvariants(history);
 		}
-		while (nextSequence(order, steps.size()));
+		while (nextSequence(sequence, steps.size()));
 	}
 
 	/**
-	 * Guards against the same in longer histories, with answers that arrive late and
-	 * copies of the store that follow each other.
+	 * Guards against the same failures in longer histories with late responses and
+	 * successive restores of the store.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
@@ -75,20 +76,20 @@
 
 	private static void assertInvariants(List<Step> history) {
 		final ListingModel model = new ListingModel(DAEMONS);
-		final List<String> done = new ArrayList<>();
+		final List<String> performed = new ArrayList<>();
 		for (final Step step : history) {
 			step.action().accept(model);
-			done.add(step.name());
-			assertThat(model.violations()).as(() -> "after " + done).isEmpty();
+			performed.add(step.name());
+			assertThat(model.violations()).as(() -> "after " + performed).isEmpty();
 		}
 		model.converge();
-		assertThat(model.daemonsWithWrongList()).as(() -> "in calm after " + done).isEmpty();
+		assertThat(model.daemonsWithWrongList()).as(() -> "converged after " + performed).isEmpty();
 	}
 
-	private static boolean nextSequence(int[] order, int base) {
-		for (int i = order.length - 1; i >= 0; i--) {
-			order[i] = (order[i] + 1) % base;
-			if (order[i] != 0) {
+	private static boolean nextSequence(int[] sequence, int base) {
+		for (int i = sequence.length - 1; i >= 0; i--) {
+			sequence[i] = (sequence[i] + 1) % base;
+			if (sequence[i] != 0) {
 				return true;
 			}
 		}
@@ -96,11 +97,14 @@
 	}
 
 	private static List<Step> steps() {
-		final List<Step> steps = new ArrayList<>(List.of(write(INSTANCE), remove(INSTANCE), write(OTHER_INSTANCE),
-				remove(OTHER_INSTANCE), new Step("write again", (model) -> model.renew(INSTANCE)),
-				new Step("write of a former life", (model) -> model.writeFromEarlierIncarnation(INSTANCE)), READ_ALL,
-				RESTORE, TOGGLE_EXPIRY_UNRELIABLE, new Step("restore the newest", (model) -> model.restore(1)),
-				new Step("forget history", ListingModel::truncateHistory)));
+		final List<Step> steps = new ArrayList<>(
+				List.of(write(INSTANCE), remove(INSTANCE), write(OTHER_INSTANCE), remove(OTHER_INSTANCE),
+						new Step("renew", (model) -> model.renew(INSTANCE)),
+						new Step("write from earlier incarnation",
+								(model) -> model.writeFromEarlierIncarnation(INSTANCE)),
+						READ_ALL, RESTORE, TOGGLE_EXPIRY_UNRELIABLE,
+						new Step("restore losing one record", (model) -> model.restore(1)),
+						new Step("truncate history", ListingModel::truncateHistory)));
 		for (int daemon = 0; daemon < DAEMONS; daemon++) {
 			addDaemonSteps(daemon, steps);
 		}
@@ -110,15 +114,16 @@
 	private static void addDaemonSteps(int daemon, List<Step> steps) {
 		steps.add(read(daemon));
 		steps.add(readSnapshot(daemon));
-		steps.add(new Step("hear " + daemon, (model) -> model.deliverResponse(daemon)));
+		steps.add(new Step("deliver response to " + daemon, (model) -> model.deliverResponse(daemon)));
 		for (int other = 0; other < DAEMONS; other++) {
 			if (other != daemon) {
-				final int teller = other;
-				steps.add(new Step("ask " + daemon + " " + other, (model) -> model.request(daemon, teller)));
-				steps.add(requestAndDeliver(daemon, teller));
+				final int responder = other;
+				steps.add(new Step("request by " + daemon + " from " + other,
+						(model) -> model.request(daemon, responder)));
+				steps.add(requestAndDeliver(daemon, responder));
 			}
 		}
-		steps.add(new Step("give up " + daemon, (model) -> model.abandonRequest(daemon)));
+		steps.add(new Step("abandon request of " + daemon, (model) -> model.abandonRequest(daemon)));
 		steps.add(new Step("restart " + daemon, (model) -> model.restart(daemon)));
 	}
 
@@ -127,7 +132,7 @@
 	}
 
 	private static Step remove(String key) {
-		return new Step("drop " + key, (model) -> model.remove(key));
+		return new Step("remove " + key, (model) -> model.remove(key));
 	}
 
 	private static Step read(int daemon) {
@@ -135,21 +140,21 @@
 	}
 
 	private static Step readSnapshot(int daemon) {
-		return new Step("look " + daemon, (model) -> model.readSnapshot(daemon));
+		return new Step("read snapshot " + daemon, (model) -> model.readSnapshot(daemon));
 	}
 
-	private static Step requestAndDeliver(int daemon, int teller) {
-		return new Step("tell " + daemon + " by " + teller, (model) -> {
-			model.request(daemon, teller);
+	private static Step requestAndDeliver(int daemon, int responder) {
+		return new Step("update " + daemon + " from " + responder, (model) -> {
+			model.request(daemon, responder);
 			model.deliverResponse(daemon);
 		});
 	}
 
 	/**
-	 * One step of a history.
+	 * A step of a history.
 	 *
-	 * @param name what is shown of it
-	 * @param action what it does
+	 * @param name the name shown if a check fails
+	 * @param action applies the step to a model
 	 */
 	private record Step(String name, Consumer<ListingModel> action) {
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingPageAssemblerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingPageAssemblerTests.java
@@ -17,24 +17,25 @@
 	private final ListingPageAssembler pages = new ListingPageAssembler();
 
 	/**
-	 * Guards against instances that share an offset with the last one of a portion and
-	 * that no portion tells: a look at the store drops many at one offset.
+	 * Guards against records that are on no page because they share an offset with the
+	 * last record of a page. A snapshot read gives all tombstones the same offset.
 	 */
 	@Test
 	void recordsAtOneOffsetShareAPage() {
-		final ListingDelta change = new ListingDelta(100, 160, List.of(tombstone("i-1", 159), listed("i-5", 160),
+		final ListingDelta delta = new ListingDelta(100, 160, List.of(tombstone("i-1", 159), listed("i-5", 160),
 				tombstone("i-2", 159), tombstone("i-3", 159), listed("i-4", 120)));
-		final ListingPage first = ListingPage.of(change, request(0), MAX_RECORDS_PER_PAGE);
-		assertThat(first.delta().records()).containsExactly(listed("i-4", 120), tombstone("i-1", 159),
+		final ListingPage firstPage = ListingPage.of(delta, request(0), MAX_RECORDS_PER_PAGE);
+		assertThat(firstPage.delta().records()).containsExactly(listed("i-4", 120), tombstone("i-1", 159),
 				tombstone("i-2", 159), tombstone("i-3", 159));
-		final ListingPage second = ListingPage.of(change, request(first.continuationOffset()), MAX_RECORDS_PER_PAGE);
-		assertThat(second.delta().records()).containsExactly(listed("i-5", 160));
-		assertThat(second.continuationOffset()).isZero();
+		final ListingPage secondPage = ListingPage.of(delta, request(firstPage.continuationOffset()),
+				MAX_RECORDS_PER_PAGE);
+		assertThat(secondPage.delta().records()).containsExactly(listed("i-5", 160));
+		assertThat(secondPage.continuationOffset()).isZero();
 	}
 
 	/**
-	 * Guards against a daemon that says it knows the list up to where a part of a change
-	 * ended: another one, told what has changed since, is told nothing of the rest.
+	 * Guards against a daemon that reports the last offset of a page as its own. A peer
+	 * that sends it the changes after that offset would omit the remaining pages.
 	 */
 	@Test
 	void noDeltaIsReturnedBeforeItsLastPage() {
@@ -52,8 +53,8 @@
 	}
 
 	/**
-	 * Guards against a teller that looks at the whole list between two portions: what
-	 * came before the look and went is in neither.
+	 * Guards against a responder that reads a snapshot between two pages. An instance
+	 * that was added and removed before the snapshot is on neither page.
 	 */
 	@Test
 	void aPageFromAcrossAGapIsRejected() {
@@ -64,8 +65,8 @@
 	}
 
 	/**
-	 * Guards against a teller that starts again between two portions and has heard of an
-	 * instance at another offset than in its former life.
+	 * Guards against a responder that restarts between two pages and knows an instance's
+	 * record at another offset than before.
 	 */
 	@Test
 	void aPageFromALaterIncarnationOfTheResponderIsRejected() {
@@ -82,13 +83,12 @@
 		assertThat(this.pages.responderId()).isEmpty();
 	}
 
-	private Optional<ListingDelta> add(ListingDelta change, long restOffset) {
-		return add(change, restOffset, 1);
+	private Optional<ListingDelta> add(ListingDelta delta, long restOffset) {
+		return add(delta, restOffset, 1);
 	}
 
-	private Optional<ListingDelta> add(ListingDelta change, long restOffset, long lifeId) {
-		return this.pages.add(new ListingResponse("daemon-2", 7, 0, 0, Optional.of(change), restOffset, lifeId),
-				change);
+	private Optional<ListingDelta> add(ListingDelta delta, long restOffset, long lifeId) {
+		return this.pages.add(new ListingResponse("daemon-2", 7, 0, 0, Optional.of(delta), restOffset, lifeId), delta);
 	}
 
 	private static ListingRequest request(long restOffset) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSimulation.java
@@ -13,8 +13,9 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * Many daemons before one store, in virtual time: they ask each other and read the list
- * while daemons die, stand still and lose their ways and the store does what stores do.
+ * Simulates a fleet of daemons with one store in virtual time. The daemons read the list
+ * and poll each other while daemons fail, pause or are partitioned, frames are lost, and
+ * the store fails, truncates its history or is restored from a backup.
  */
 final class ListingSimulation {
 
@@ -24,16 +25,19 @@
 
 	private static final long TICK_MILLIS = 50;
 
-	/** How long it takes until all daemons have noticed that one is dead. */
+	/** The time until all daemons have detected that one failed. */
 	private static final long FAILURE_DETECTION_MILLIS = 5_000;
 
-	/** How long after the store's return entries may be missing. */
+	/**
+	 * For this long after the store's return, entries may be missing although their
+	 * instances are alive.
+	 */
 	private static final long EXPIRY_GRACE_MILLIS = 2_300;
 
-	/** For how long a daemon reads nothing from a store that came back from a copy. */
+	/** For this long after noticing a restore, a daemon reads nothing from the store. */
 	static final long RESTORE_HOLD_MILLIS = 3_800;
 
-	/** By then all daemons have had an answer of the new era. */
+	/** The time within which every daemon has had an answer from the restored store. */
 	private static final int MAX_RESTORE_NOTICE_MILLIS = 1_600;
 
 	private final Random random;
@@ -45,7 +49,8 @@
 	private final ListingStore store;
 
 	/**
-	 * Instances that a daemon showed older than it had shown them, or after they went.
+	 * Instances that a daemon published in an older version than before, or again after
+	 * their removal.
 	 */
 	final List<String> regressions = new ArrayList<>();
 
@@ -65,10 +70,10 @@
 
 	private long frameDelayMillis = 2;
 
-	ListingSimulation(int daemonCount, int instances, long seed) {
+	ListingSimulation(int daemonCount, int instanceCount, long seed) {
 		this.random = new Random(seed);
 		this.store = new ListingStore(this.random, () -> this.nowMillis, this::schedule);
-		for (int i = 0; i < instances; i++) {
+		for (int i = 0; i < instanceCount; i++) {
 			this.store.write(i, 0);
 		}
 		for (int i = 0; i < daemonCount; i++) {
@@ -78,46 +83,46 @@
 		}
 	}
 
-	private void schedule(long afterMillis, Runnable what) {
-		this.events.add(new SimulationEvent(this.nowMillis + afterMillis, this.eventSequence++, what));
+	private void schedule(long afterMillis, Runnable action) {
+		this.events.add(new SimulationEvent(this.nowMillis + afterMillis, this.eventSequence++, action));
 	}
 
 	/**
-	 * Lets time pass.
-	 * @param millis how long
+	 * Advances the virtual time and runs the events that are due.
+	 * @param millis by how much
 	 */
 	void run(long millis) {
-		final long until = this.nowMillis + millis;
-		while (!this.events.isEmpty() && this.events.peek().atMillis() <= until) {
+		final long untilMillis = this.nowMillis + millis;
+		while (!this.events.isEmpty() && this.events.peek().atMillis() <= untilMillis) {
 			final SimulationEvent event = this.events.poll();
 			this.nowMillis = event.atMillis();
 			event.action().run();
 		}
-		this.nowMillis = until;
+		this.nowMillis = untilMillis;
 	}
 
 	/**
-	 * Has instances change from now on.
-	 * @param perSecond how many each second
-	 * @param instances among how many
+	 * Makes instances change from now on.
+	 * @param changesPerSecond the average number of changes per second
+	 * @param instanceCount the number of instances that may change
 	 */
-	void changeInstances(int perSecond, int instances) {
-		schedule(this.random.nextInt(2_000 / perSecond + 1), () -> {
-			final int number = this.random.nextInt(instances);
+	void changeInstances(int changesPerSecond, int instanceCount) {
+		schedule(this.random.nextInt(2_000 / changesPerSecond + 1), () -> {
+			final int instanceNumber = this.random.nextInt(instanceCount);
 			if (this.random.nextInt(5) == 0) {
-				this.store.remove(number);
+				this.store.remove(instanceNumber);
 			}
 			else {
-				this.store.write(number, this.nowMillis);
+				this.store.write(instanceNumber, this.nowMillis);
 			}
-			changeInstances(perSecond, instances);
+			changeInstances(changesPerSecond, instanceCount);
 		});
 	}
 
 	/**
-	 * Brings the store back from a copy. Live instances write again with their next
-	 * heartbeat; those that have gone are dropped once more when they stay silent.
-	 * @param ageMillis how old the copy is
+	 * Restores the store from a backup. Live instances renew their entries with their
+	 * next heartbeat; the entries of those that are gone expire once more.
+	 * @param ageMillis the age of the backup
 	 */
 	void restore(long ageMillis) {
 		this.store.restore(ageMillis,
@@ -133,25 +138,25 @@
 		this.store.truncateHistory();
 	}
 
-	void storeUnavailable(boolean down) {
-		this.storeUnavailable = down;
+	void setStoreUnavailable(boolean unavailable) {
+		this.storeUnavailable = unavailable;
 	}
 
-	void storeFailureRatio(double ratio) {
+	void setStoreFailureRatio(double ratio) {
 		this.storeFailureRatio = ratio;
 	}
 
-	void frameLossRatio(double ratio) {
+	void setFrameLossRatio(double ratio) {
 		this.frameLossRatio = ratio;
 	}
 
-	void frameDelayMillis(long millis) {
+	void setFrameDelayMillis(long millis) {
 		this.frameDelayMillis = millis;
 	}
 
 	/**
-	 * Has the store turn daemons away.
-	 * @param ratio how many of all
+	 * Makes the store refuse the calls of randomly chosen daemons, and no others.
+	 * @param ratio the expected share of refused daemons
 	 */
 	void refuse(double ratio) {
 		this.refusedDaemons.clear();
@@ -163,13 +168,13 @@
 	}
 
 	/**
-	 * Has the store turn away those daemons that read for others.
+	 * Makes the store refuse the calls of the readers, too.
 	 */
 	void refuseReaders() {
 		this.refusedDaemons.addAll(readers());
 	}
 
-	void refuseOneMore(int index) {
+	void refuseOnly(int index) {
 		this.refusedDaemons.clear();
 		this.refusedDaemons.add(index);
 	}
@@ -205,18 +210,18 @@
 		this.daemons.get(index).pausedUntilMillis = this.nowMillis + millis;
 	}
 
-	void setPartitioned(int index, boolean cut) {
-		this.daemons.get(index).partitioned = cut;
+	void setPartitioned(int index, boolean partitioned) {
+		this.daemons.get(index).partitioned = partitioned;
 	}
 
-	void setAllPartitioned(boolean cut) {
-		this.daemons.forEach((daemon) -> daemon.partitioned = cut);
+	void setAllPartitioned(boolean partitioned) {
+		this.daemons.forEach((daemon) -> daemon.partitioned = partitioned);
 	}
 
 	int takeStoreCalls() {
-		final int now = this.storeCalls;
+		final int taken = this.storeCalls;
 		this.storeCalls = 0;
-		return now;
+		return taken;
 	}
 
 	private void tick(int index) {
@@ -226,47 +231,48 @@
 				expiryUnreliable()));
 	}
 
-	private Set<String> liveIds(int self) {
+	private Set<String> liveIds(int selfIndex) {
 		final Set<String> ids = new TreeSet<>();
-		for (final ListingDaemon other : this.daemons) {
-			final boolean known = other.alive ? this.nowMillis - other.startedAtMillis > 300
-					: this.nowMillis - other.killedAtMillis < FAILURE_DETECTION_MILLIS;
-			if (other.index == self || known) {
-				ids.add("daemon-" + other.index);
+		for (final ListingDaemon peer : this.daemons) {
+			final boolean knownAsLive = peer.alive ? this.nowMillis - peer.startedAtMillis > 300
+					: this.nowMillis - peer.killedAtMillis < FAILURE_DETECTION_MILLIS;
+			if (peer.index == selfIndex || knownAsLive) {
+				ids.add("daemon-" + peer.index);
 			}
 		}
 		return ids;
 	}
 
-	// What comes to a daemon that stands still is handled when it goes on.
-	private void deliver(int index, Supplier<List<ListingAction>> step) {
+	// A paused daemon handles what it has received when it resumes, unless it has been
+	// restarted.
+	private void deliver(int index, Supplier<List<ListingAction>> handler) {
 		final ListingDaemon daemon = this.daemons.get(index);
 		if (!daemon.alive) {
 			return;
 		}
 		if (daemon.pausedUntilMillis > this.nowMillis) {
-			final int life = daemon.incarnation;
+			final int incarnation = daemon.incarnation;
 			schedule(daemon.pausedUntilMillis - this.nowMillis, () -> {
-				if (daemon.incarnation == life) {
-					deliver(index, step);
+				if (daemon.incarnation == incarnation) {
+					deliver(index, handler);
 				}
 			});
 			return;
 		}
-		step.get().forEach((action) -> execute(index, action));
+		handler.get().forEach((action) -> execute(index, action));
 	}
 
 	private void execute(int index, ListingAction action) {
 		final ListingDaemon daemon = this.daemons.get(index);
-		if (action instanceof ListingAction.SendRequest ask) {
-			final int other = Integer.parseInt(ask.daemonId().substring("daemon-".length()));
-			sendFrame(index, other,
-					() -> this.daemons.get(other).synchronizer.onRequest(this.nowMillis * MILLI, ask.request()));
+		if (action instanceof ListingAction.SendRequest sendRequest) {
+			final int peer = Integer.parseInt(sendRequest.daemonId().substring("daemon-".length()));
+			sendFrame(index, peer,
+					() -> this.daemons.get(peer).synchronizer.onRequest(this.nowMillis * MILLI, sendRequest.request()));
 		}
-		else if (action instanceof ListingAction.SendResponse answer) {
-			final int other = Integer.parseInt(answer.daemonId().substring("daemon-".length()));
-			sendFrame(index, other,
-					() -> this.daemons.get(other).synchronizer.onResponse(this.nowMillis * MILLI, answer.response()));
+		else if (action instanceof ListingAction.SendResponse sendResponse) {
+			final int peer = Integer.parseInt(sendResponse.daemonId().substring("daemon-".length()));
+			sendFrame(index, peer, () -> this.daemons.get(peer).synchronizer.onResponse(this.nowMillis * MILLI,
+					sendResponse.response()));
 		}
 		else if (action instanceof ListingAction.Publish publish) {
 			recordRegressions(daemon, publish.instances());
@@ -277,19 +283,19 @@
 		}
 	}
 
-	// The domain of an instance tells when it was written.
-	private void recordRegressions(ListingDaemon daemon, List<ServingInstance> next) {
-		for (final ServingInstance instance : next) {
-			final Long before = daemon.newestVersions.get(instance.id());
-			final long epoch = Long.parseLong(instance.fabricDomain().substring("domain-".length()));
-			if (before != null && epoch < before) {
+	// The fabric domain of a simulated instance holds the version of its entry.
+	private void recordRegressions(ListingDaemon daemon, List<ServingInstance> instances) {
+		for (final ServingInstance instance : instances) {
+			final Long previousVersion = daemon.newestVersions.get(instance.id());
+			final long version = Long.parseLong(instance.fabricDomain().substring("domain-".length()));
+			if (previousVersion != null && version < previousVersion) {
 				this.regressions.add("daemon " + daemon.index + " at " + this.nowMillis + " ms: " + instance.id()
-						+ " as of " + epoch + " after " + before);
+						+ " as of " + version + " after " + previousVersion);
 			}
-			daemon.newestVersions.merge(instance.id(), epoch, Math::max);
+			daemon.newestVersions.merge(instance.id(), version, Math::max);
 		}
 		if (daemon.published != null) {
-			final Set<String> listed = next.stream().map(ServingInstance::id).collect(Collectors.toSet());
+			final Set<String> listed = instances.stream().map(ServingInstance::id).collect(Collectors.toSet());
 			daemon.published.stream()
 				.filter((instance) -> !listed.contains(instance.id()))
 				.forEach((instance) -> daemon.newestVersions.merge(instance.id(),
@@ -297,34 +303,35 @@
 		}
 	}
 
-	private void sendFrame(int from, int to, Supplier<List<ListingAction>> step) {
-		if (this.daemons.get(from).partitioned || this.daemons.get(to).partitioned
+	private void sendFrame(int fromIndex, int toIndex, Supplier<List<ListingAction>> handler) {
+		if (this.daemons.get(fromIndex).partitioned || this.daemons.get(toIndex).partitioned
 				|| this.random.nextDouble() < this.frameLossRatio) {
 			return;
 		}
-		final int life = this.daemons.get(to).incarnation;
+		final int incarnation = this.daemons.get(toIndex).incarnation;
 		schedule(1 + this.random.nextInt((int) this.frameDelayMillis), () -> {
-			if (this.daemons.get(to).incarnation == life) {
-				deliver(to, step);
+			if (this.daemons.get(toIndex).incarnation == incarnation) {
+				deliver(toIndex, handler);
 			}
 		});
 	}
 
 	private void callStore(int index, ListingAction action) {
 		this.storeCalls++;
-		final int life = this.daemons.get(index).incarnation;
-		final boolean lost = this.storeUnavailable || this.refusedDaemons.contains(index) || isHoldingReads(index)
+		final int incarnation = this.daemons.get(index).incarnation;
+		final boolean failed = this.storeUnavailable || this.refusedDaemons.contains(index) || isHoldingReads(index)
 				|| this.random.nextDouble() < this.storeFailureRatio;
-		final ListingRead read = lost ? ListingRead.FAILED : this.store.read(action);
-		schedule(lost ? 20 + this.random.nextInt(780) : 4, () -> {
-			if (this.daemons.get(index).incarnation == life) {
+		final ListingRead read = failed ? ListingRead.FAILED : this.store.read(action);
+		schedule(failed ? 20 + this.random.nextInt(780) : 4, () -> {
+			if (this.daemons.get(index).incarnation == incarnation) {
 				deliver(index, () -> this.daemons.get(index).synchronizer.onRead(this.nowMillis * MILLI, read,
 						expiryUnreliable()));
 			}
 		});
 	}
 
-	// A daemon that has started since has nothing to compare the era with.
+	// A daemon that started after the restore knows no earlier era, so it does not notice
+	// the restore.
 	private boolean isHoldingReads(int index) {
 		final ListingDaemon daemon = this.daemons.get(index);
 		return daemon.startedAtMillis < daemon.restoreNoticedAtMillis
@@ -332,48 +339,49 @@
 	}
 
 	/**
-	 * Returns how late the latest of all daemons is that live and are not cut off.
+	 * Returns the largest lag among the daemons that are alive and not paused.
 	 * @return the age of the oldest record that one of them does not know
 	 */
 	long maxLagMillis() {
-		long most = 0;
+		long maxMillis = 0;
 		for (final ListingDaemon daemon : this.daemons) {
 			if (daemon.alive && daemon.pausedUntilMillis <= this.nowMillis) {
-				most = Math.max(most, this.store.lagMillis(daemon.synchronizer.nextOffset()));
+				maxMillis = Math.max(maxMillis, this.store.lagMillis(daemon.synchronizer.nextOffset()));
 			}
 		}
-		return most;
+		return maxMillis;
 	}
 
 	/**
-	 * Returns the daemons whose list is not what the store's was at the offset that they
-	 * say they know.
-	 * @return their numbers
+	 * Returns the daemons whose published list differs from the store's list at their
+	 * offset.
+	 * @return their indexes
 	 */
 	List<Integer> daemonsWithWrongList() {
-		final List<Integer> wrong = new ArrayList<>();
+		final List<Integer> wrongDaemons = new ArrayList<>();
 		for (final ListingDaemon daemon : this.daemons) {
 			if (daemon.alive && daemon.published != null && this.store.isInCurrentEra(daemon.synchronizer.nextOffset())
 					&& !new HashSet<>(daemon.published).equals(this.store.listAt(daemon.synchronizer.nextOffset()))) {
-				wrong.add(daemon.index);
+				wrongDaemons.add(daemon.index);
 			}
 		}
-		return wrong;
+		return wrongDaemons;
 	}
 
 	/**
-	 * Tells how a daemon's list differs from what it should be.
-	 * @param index the daemon
-	 * @return the difference, for a failed test
+	 * Describes how a daemon's list differs from the store's list at its offset.
+	 * @param index the daemon's index
+	 * @return the description, for the message of a failed check
 	 */
 	String describeDifference(int index) {
 		final ListingDaemon daemon = this.daemons.get(index);
-		final Set<ServingInstance> right = this.store.listAt(daemon.synchronizer.nextOffset());
-		final Set<ServingInstance> more = new HashSet<>(daemon.published);
-		more.removeAll(right);
-		right.removeAll(new HashSet<>(daemon.published));
-		return "daemon " + index + " next " + daemon.synchronizer.nextOffset() + " life " + daemon.incarnation + " of "
-				+ this.store.size() + " at " + this.nowMillis + " ms has " + more + " and lacks " + right;
+		final Set<ServingInstance> expected = this.store.listAt(daemon.synchronizer.nextOffset());
+		final Set<ServingInstance> unexpected = new HashSet<>(daemon.published);
+		unexpected.removeAll(expected);
+		expected.removeAll(new HashSet<>(daemon.published));
+		return "daemon " + index + " at offset " + daemon.synchronizer.nextOffset() + " incarnation "
+				+ daemon.incarnation + " of " + this.store.size() + " at " + this.nowMillis + " ms has " + unexpected
+				+ " and lacks " + expected;
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingStore.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingStore.java
@@ -14,19 +14,22 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * The store of a {@link ListingSimulation} and the instances that write into it.
+ * The store of a {@link ListingSimulation}, and the instances that write to it.
  */
 final class ListingStore {
 
-	/** The store's era stands before a record's index in the log. */
+	/**
+	 * A position holds the store's era in the bits above these, and the record's index in
+	 * the log in these.
+	 */
 	private static final int ERA_BITS = 40;
 
 	private static final long INDEX_MASK = (1L << ERA_BITS) - 1;
 
-	/** By then a live instance has written again. */
+	/** The longest time between two heartbeats of a live instance. */
 	private static final int HEARTBEAT_MILLIS = 1_200;
 
-	/** By then the store drops an instance that has not. */
+	/** The store removes an instance that has sent no heartbeat for this long. */
 	private static final long LEASE_MILLIS = 3 * HEARTBEAT_MILLIS;
 
 	private final Random random;
@@ -41,28 +44,30 @@
 
 	private final Map<String, InstanceRecord.Listed> entries = new HashMap<>();
 
-	/** What live instances wrote last, whatever the store has kept of it. */
+	/**
+	 * The latest record of each live instance, including records that a restore has lost.
+	 */
 	private final Map<String, InstanceRecord.Listed> lastWritten = new HashMap<>();
 
 	private long firstRetainedIndex;
 
 	private long era;
 
-	/** The position of the first record that was written in this era. */
+	/** The position of the first record written in the current era. */
 	private long firstPositionOfEra;
 
 	private long restoredAtMillis = -LEASE_MILLIS;
 
 	/**
 	 * Creates an empty store.
-	 * @param random draws when instances write
-	 * @param clockMillis the virtual time
-	 * @param scheduler runs something after some milliseconds
+	 * @param random determines when instances write
+	 * @param clockMillis returns the virtual time
+	 * @param scheduler runs an action after a number of milliseconds
 	 */
-	ListingStore(Random random, LongSupplier clockMillis, BiConsumer<Long, Runnable> schedule) {
+	ListingStore(Random random, LongSupplier clockMillis, BiConsumer<Long, Runnable> scheduler) {
 		this.random = random;
 		this.clockMillis = clockMillis;
-		this.scheduler = schedule;
+		this.scheduler = scheduler;
 	}
 
 	long restoredAtMillis() {
@@ -77,15 +82,16 @@
 		this.firstRetainedIndex = this.log.size();
 	}
 
-	void write(int number, long epoch) {
-		final String key = "i-" + number;
-		final ServingInstance instance = new ServingInstance(key, "pool", "10.0.0.1:" + (1 + number), "zone-a",
-				"domain-" + epoch, false, 4, Set.of(), Optional.empty());
+	void write(int instanceNumber, long version) {
+		final String key = "i-" + instanceNumber;
+		final ServingInstance instance = new ServingInstance(key, "pool", "10.0.0.1:" + (1 + instanceNumber), "zone-a",
+				"domain-" + version, false, 4, Set.of(), Optional.empty());
 		final InstanceRecord.Listed entry = new InstanceRecord.Listed(key, nextPosition(), 0, instance);
 		append(entry);
 		this.entries.put(key, entry);
 		this.lastWritten.put(key, entry);
-		// Heartbeats are left out but where they matter.
+		// Heartbeats have no effect on the lists except after a restore, so only these
+		// are simulated.
 		if (this.clockMillis.getAsLong() - this.restoredAtMillis < LEASE_MILLIS) {
 			this.scheduler.accept((long) HEARTBEAT_MILLIS, () -> renew(entry, 3));
 		}
@@ -108,24 +114,26 @@
 	}
 
 	/**
-	 * Brings the store back from a copy. Live instances write again with their next
-	 * heartbeat; those that have gone are dropped once more when they stay silent.
-	 * @param ageMillis how old the copy is
-	 * @param onNewEra is run when the store is back
+	 * Restores the store from a backup, which begins a new era. Live instances renew
+	 * their entries with their next heartbeat; the entries of those that are gone expire
+	 * once more.
+	 * @param ageMillis the age of the backup
+	 * @param onNewEra runs when the store is available again
 	 */
 	void restore(long ageMillis, Runnable onNewEra) {
-		int kept = 0;
-		while (kept < this.log.size() && this.writtenAtMillis.get(kept) <= this.clockMillis.getAsLong() - ageMillis) {
-			kept++;
+		int retained = 0;
+		while (retained < this.log.size()
+				&& this.writtenAtMillis.get(retained) <= this.clockMillis.getAsLong() - ageMillis) {
+			retained++;
 		}
-		this.log.subList(kept, this.log.size()).clear();
-		this.writtenAtMillis.subList(kept, this.writtenAtMillis.size()).clear();
+		this.log.subList(retained, this.log.size()).clear();
+		this.writtenAtMillis.subList(retained, this.writtenAtMillis.size()).clear();
 		this.era++;
 		onNewEra.run();
 		this.restoredAtMillis = this.clockMillis.getAsLong();
-		this.firstPositionOfEra = position(kept);
+		this.firstPositionOfEra = position(retained);
 		this.entries.clear();
-		for (int i = 0; i < kept; i++) {
+		for (int i = 0; i < retained; i++) {
 			this.log.set(i, copyTo(this.log.get(i), position(i)));
 		}
 		this.lastWritten.values()
@@ -137,69 +145,68 @@
 			.forEach((key) -> this.scheduler.accept(LEASE_MILLIS, () -> removeIfExpired(key)));
 	}
 
-	private InstanceRecord copyTo(InstanceRecord origin, long position) {
-		if (origin instanceof InstanceRecord.Listed entry) {
+	private InstanceRecord copyTo(InstanceRecord original, long position) {
+		if (original instanceof InstanceRecord.Listed entry) {
 			final InstanceRecord.Listed copy = new InstanceRecord.Listed(entry.key(), position, entry.startedAtMillis(),
 					entry.instance());
 			this.entries.put(copy.key(), copy);
 			return copy;
 		}
-		this.entries.remove(origin.key());
-		return new InstanceRecord.Tombstone(origin.key(), position);
+		this.entries.remove(original.key());
+		return new InstanceRecord.Tombstone(original.key(), position);
 	}
 
-	// As a heartbeat does, which comes again and again while its instance lives
-	// unchanged.
+	// Simulates the heartbeats of an instance whose content does not change.
 	private void renew(InstanceRecord.Listed entry, int times) {
 		if (this.lastWritten.get(entry.key()) != entry) {
 			return;
 		}
-		final InstanceRecord.Listed again = new InstanceRecord.Listed(entry.key(), nextPosition(),
+		final InstanceRecord.Listed renewed = new InstanceRecord.Listed(entry.key(), nextPosition(),
 				entry.startedAtMillis(), entry.instance());
-		append(again);
-		this.entries.put(again.key(), again);
+		append(renewed);
+		this.entries.put(renewed.key(), renewed);
 		if (times > 1) {
 			this.scheduler.accept((long) HEARTBEAT_MILLIS, () -> renew(entry, times - 1));
 		}
 	}
 
 	private void removeIfExpired(String key) {
-		final InstanceRecord.Listed now = this.entries.get(key);
-		if (now != null && now.offset() < this.firstPositionOfEra) {
+		final InstanceRecord.Listed current = this.entries.get(key);
+		if (current != null && current.offset() < this.firstPositionOfEra) {
 			this.entries.remove(key);
 			append(new InstanceRecord.Tombstone(key, nextPosition()));
 		}
 	}
 
-	void remove(int number) {
-		final String key = "i-" + number;
+	void remove(int instanceNumber) {
+		final String key = "i-" + instanceNumber;
 		if (this.lastWritten.remove(key) != null) {
 			this.entries.remove(key);
 			append(new InstanceRecord.Tombstone(key, nextPosition()));
 		}
 	}
 
-	private void append(InstanceRecord found) {
-		this.log.add(found);
+	private void append(InstanceRecord listRecord) {
+		this.log.add(listRecord);
 		this.writtenAtMillis.add(this.clockMillis.getAsLong());
 	}
 
 	ListingRead read(ListingAction action) {
-		final long end = nextPosition();
-		if (action instanceof ListingAction.ReadDelta changes) {
-			final boolean gone = !isInCurrentEra(changes.fromOffset())
-					|| index(changes.fromOffset()) < this.firstRetainedIndex;
-			return gone ? ListingRead.HISTORY_GONE : ListingRead.delta(new ListingDelta(changes.fromOffset(), end,
-					this.log.subList((int) index(changes.fromOffset()), this.log.size())));
+		final long endOffset = nextPosition();
+		if (action instanceof ListingAction.ReadDelta readDelta) {
+			final boolean truncated = !isInCurrentEra(readDelta.fromOffset())
+					|| index(readDelta.fromOffset()) < this.firstRetainedIndex;
+			return truncated ? ListingRead.HISTORY_GONE : ListingRead.delta(new ListingDelta(readDelta.fromOffset(),
+					endOffset, this.log.subList((int) index(readDelta.fromOffset()), this.log.size())));
 		}
-		final ListingDelta whole = new ListingDelta(end, end, List.copyOf(this.entries.values()));
-		return ListingRead.snapshot(whole);
+		final ListingDelta snapshot = new ListingDelta(endOffset, endOffset, List.copyOf(this.entries.values()));
+		return ListingRead.snapshot(snapshot);
 	}
 
 	/**
-	 * Returns how old the oldest record is that somebody does not know.
-	 * @param nextOffset the first offset that is not known
-	 * @return its age; 0 where all is known
+	 * Returns the age of the oldest record that a daemon does not know.
+	 * @param nextOffset the daemon's next offset
+	 * @return the age; 0 if the daemon knows all records
 	 */
 	long lagMillis(long nextOffset) {
 		if (!isInCurrentEra(nextOffset)) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSynchronizerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSynchronizerTests.java
@@ -16,10 +16,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Fleets that follow a list in virtual time. What must hold: nobody's list is wrong for
- * the offset that it stands for, everybody knows of a change within the two seconds in
- * which a draining instance must be left, and the store is called no more often by a
- * large fleet than by a small one.
+ * Simulates fleets of daemons that follow the store's list. In all of them, a daemon's
+ * list must equal the store's list at the daemon's offset, every daemon must learn of a
+ * change within the two seconds in which a draining instance must get no more requests,
+ * and the rate of store calls must not grow with the fleet.
  */
 class ListingSynchronizerTests {
 
@@ -28,171 +28,178 @@
 	private static final int CHANGES_PER_SECOND = 20;
 
 	/**
-	 * A draining instance must be left within two seconds; a tenth of one is left to act.
+	 * Requests to a draining instance must stop within two seconds; 100 ms of these are
+	 * reserved for acting on the list.
 	 */
 	private static final long MAX_LAG_MILLIS = 2_000 - 100;
 
-	private static ListingSimulation simulation(int daemons, long seed) {
-		return simulation(daemons, INSTANCES, CHANGES_PER_SECOND, seed);
+	private static ListingSimulation simulation(int daemonCount, long seed) {
+		return simulation(daemonCount, INSTANCES, CHANGES_PER_SECOND, seed);
 	}
 
-	private static ListingSimulation simulation(int daemons, int instances, int changesPerSecond, long seed) {
-		final ListingSimulation world = new ListingSimulation(daemons, instances, seed);
-		world.changeInstances(changesPerSecond, instances);
-		world.run(3_000);
-		world.takeStoreCalls();
-		return world;
+	private static ListingSimulation simulation(int daemonCount, int instanceCount, int changesPerSecond, long seed) {
+		final ListingSimulation simulation = new ListingSimulation(daemonCount, instanceCount, seed);
+		simulation.changeInstances(changesPerSecond, instanceCount);
+		simulation.run(3_000);
+		simulation.takeStoreCalls();
+		return simulation;
 	}
 
-	private static void runAndCheck(ListingSimulation world, long millis, long boundMillis) {
-		for (long passed = 0; passed < millis; passed += 100) {
-			world.run(100);
-			assertThat(world.maxLagMillis()).as("the latest daemon").isLessThanOrEqualTo(boundMillis);
-			if (passed % 500 == 0) {
-				assertNoWrongLists(world);
+	private static void runAndCheck(ListingSimulation simulation, long durationMillis, long maxLagMillis) {
+		for (long elapsedMillis = 0; elapsedMillis < durationMillis; elapsedMillis += 100) {
+			simulation.run(100);
+			assertThat(simulation.maxLagMillis()).as("the latest daemon").isLessThanOrEqualTo(maxLagMillis);
+			if (elapsedMillis % 500 == 0) {
+				assertNoWrongLists(simulation);
 			}
 		}
 	}
 
-	private static void assertNoWrongLists(ListingSimulation world) {
-		assertThat(world.daemonsWithWrongList())
-			.as(() -> world.daemonsWithWrongList().stream().map(world::describeDifference).toList().toString())
+	private static void assertNoWrongLists(ListingSimulation simulation) {
+		assertThat(simulation.daemonsWithWrongList())
+			.as(() -> simulation.daemonsWithWrongList()
+				.stream()
+				.map(simulation::describeDifference)
+				.toList()
+				.toString())
 			.isEmpty();
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 6, 95, 300 })
-	void theRateOfStoreCallsDoesNotGrowWithTheFleet(int daemons) {
-		final ListingSimulation world = simulation(daemons, daemons);
-		runAndCheck(world, 10_000, 1_000);
-		assertThat(world.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(100);
+	void theRateOfStoreCallsDoesNotGrowWithTheFleet(int daemonCount) {
+		final ListingSimulation simulation = simulation(daemonCount, daemonCount);
+		runAndCheck(simulation, 10_000, 1_000);
+		assertThat(simulation.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(100);
 	}
 
 	/**
-	 * Both daemons that read for all others are killed at the same moment, and for five
-	 * seconds the others still count them as live. A daemon that waited for them would go
-	 * on sending requests to instances that are long gone.
+	 * Guards against daemons that wait for dead readers and keep sending requests to
+	 * instances that are gone. Both readers are killed at once, and for five seconds the
+	 * others still consider them live.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
 	void killedReadersAreReplacedInTime(long seed) {
-		final ListingSimulation world = simulation(95, seed);
-		world.readers().forEach(world::kill);
-		runAndCheck(world, 8_000, MAX_LAG_MILLIS);
-		assertThat(world.takeStoreCalls()).as("calls in eight seconds").isLessThanOrEqualTo(8 * 25);
-		runAndCheck(world, 10_000, 1_000);
-		assertThat(world.takeStoreCalls()).isLessThanOrEqualTo(100);
+		final ListingSimulation simulation = simulation(95, seed);
+		simulation.readers().forEach(simulation::kill);
+		runAndCheck(simulation, 8_000, MAX_LAG_MILLIS);
+		assertThat(simulation.takeStoreCalls()).as("calls in eight seconds").isLessThanOrEqualTo(8 * 25);
+		runAndCheck(simulation, 10_000, 1_000);
+		assertThat(simulation.takeStoreCalls()).isLessThanOrEqualTo(100);
 	}
 
 	/**
-	 * A reader stands still for four seconds and goes on as though nothing had been: what
-	 * it has kept is old by then, and must not take anybody back.
+	 * Guards against a paused daemon that passes on its outdated list when it resumes.
+	 * Both readers pause for four seconds.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 11, 12, 13, 14, 15 })
 	void aPausedReaderCausesNoRegression(long seed) {
-		final ListingSimulation world = simulation(95, seed);
-		final List<Integer> readers = world.readers();
-		readers.forEach((reader) -> world.pause(reader, 4_000));
-		runAndCheck(world, 3_900, MAX_LAG_MILLIS);
-		// The readers themselves read anew when they go on.
-		world.run(500);
-		runAndCheck(world, 4_000, MAX_LAG_MILLIS);
+		final ListingSimulation simulation = simulation(95, seed);
+		final List<Integer> readers = simulation.readers();
+		readers.forEach((reader) -> simulation.pause(reader, 4_000));
+		runAndCheck(simulation, 3_900, MAX_LAG_MILLIS);
+		// The readers themselves catch up when they resume.
+		simulation.run(500);
+		runAndCheck(simulation, 4_000, MAX_LAG_MILLIS);
 	}
 
 	/**
-	 * The store serves some daemons and turns others away, the readers among them. Those
-	 * that are turned away hear from the others, so they serve on as though the store
-	 * were there.
+	 * Guards against daemons that stop serving because the store refuses them. The store
+	 * refuses the readers and a third of the fleet, which have to be updated by the
+	 * others.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 21, 22, 23, 24, 25 })
 	void daemonsRefusedByTheStoreAreUpdatedByPeers(long seed) {
-		final ListingSimulation world = simulation(95, seed);
-		world.refuse(0.35);
-		world.refuseReaders();
-		runAndCheck(world, 9_000, MAX_LAG_MILLIS);
-		world.refuse(0);
-		world.run(1_500);
-		runAndCheck(world, 4_000, MAX_LAG_MILLIS);
+		final ListingSimulation simulation = simulation(95, seed);
+		simulation.refuse(0.35);
+		simulation.refuseReaders();
+		runAndCheck(simulation, 9_000, MAX_LAG_MILLIS);
+		simulation.refuse(0);
+		simulation.run(1_500);
+		runAndCheck(simulation, 4_000, MAX_LAG_MILLIS);
 	}
 
 	/**
-	 * All links between daemons fail at once. Each reads for itself then; if all did so
-	 * at their usual rate, hundreds of daemons would overrun the store.
+	 * Guards against an overload of the store when all links between daemons fail. Each
+	 * daemon then reads for itself; at a reader's rate, hundreds of daemons would exceed
+	 * the store's limits.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 6, 95, 300 })
-	void partitionedDaemonsReadForThemselvesWithinTheStoresRateLimit(int daemons) {
-		final ListingSimulation world = simulation(daemons, daemons);
-		world.setAllPartitioned(true);
-		runAndCheck(world, 10_000, MAX_LAG_MILLIS + daemons * 20L);
-		assertThat(world.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(1_500);
-		world.setAllPartitioned(false);
-		world.run(5_000);
-		world.takeStoreCalls();
-		runAndCheck(world, 10_000, 1_000);
-		assertThat(world.takeStoreCalls()).isLessThanOrEqualTo(100);
+	void partitionedDaemonsReadForThemselvesWithinTheStoresRateLimit(int daemonCount) {
+		final ListingSimulation simulation = simulation(daemonCount, daemonCount);
+		simulation.setAllPartitioned(true);
+		runAndCheck(simulation, 10_000, MAX_LAG_MILLIS + daemonCount * 20L);
+		assertThat(simulation.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(1_500);
+		simulation.setAllPartitioned(false);
+		simulation.run(5_000);
+		simulation.takeStoreCalls();
+		runAndCheck(simulation, 10_000, 1_000);
+		assertThat(simulation.takeStoreCalls()).isLessThanOrEqualTo(100);
 	}
 
 	/**
-	 * All daemons have just started on small machines, so that answers come later than
-	 * they are waited for. If each read for itself as fast as a reader does, the reading
-	 * would make them slower still, and callers would wait for their processors.
+	 * Guards against slow daemons that slow each other down. All have just started on
+	 * small machines, and responses arrive after their time-out; if each then read at a
+	 * reader's rate, the reads would take the processor time that requests need.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 20, 95, 300 })
-	void slowDaemonsDoNotOverloadTheStore(int daemons) {
-		final ListingSimulation world = simulation(daemons, daemons);
-		world.frameDelayMillis(900);
-		world.run(10_000);
-		assertThat(world.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(10 * 100);
+	void slowDaemonsDoNotOverloadTheStore(int daemonCount) {
+		final ListingSimulation simulation = simulation(daemonCount, daemonCount);
+		simulation.setFrameDelayMillis(900);
+		simulation.run(10_000);
+		assertThat(simulation.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(10 * 100);
 	}
 
 	/**
-	 * The store is away for five seconds, then back without its history. Everybody must
-	 * know of what changed soon after, without hundreds of daemons asking for everything.
+	 * Guards against lists that stay outdated after an outage of the store, which returns
+	 * without its history, and against hundreds of daemons that read a snapshot at once.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 31, 32, 33 })
 	void listsCatchUpSoonAfterAStoreOutage(long seed) {
-		final ListingSimulation world = simulation(95, seed);
-		world.storeUnavailable(true);
-		world.run(5_000);
-		assertNoWrongLists(world);
-		world.truncateHistory();
-		world.storeUnavailable(false);
-		world.run(2_000);
-		runAndCheck(world, 5_000, MAX_LAG_MILLIS);
+		final ListingSimulation simulation = simulation(95, seed);
+		simulation.setStoreUnavailable(true);
+		simulation.run(5_000);
+		assertNoWrongLists(simulation);
+		simulation.truncateHistory();
+		simulation.setStoreUnavailable(false);
+		simulation.run(2_000);
+		runAndCheck(simulation, 5_000, MAX_LAG_MILLIS);
 	}
 
 	/**
-	 * Guards against lists that go back with a store that came back from a copy, and
-	 * against those that hear nothing more, since its offsets are given out again.
+	 * Guards against lists that go back with a store restored from a backup, and against
+	 * lists that no longer change because the restored store assigns the same offsets
+	 * again.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 61", "2, 62", "6, 63", "6, 64", "95, 65", "95, 66", "95, 210", "300, 67" })
-	void aStoreRestoredFromABackupCausesNoRegression(int daemons, long seed) {
-		assertNoRegressionAfterRestores(daemons, seed);
+	void aStoreRestoredFromABackupCausesNoRegression(int daemonCount, long seed) {
+		assertNoRegressionAfterRestores(daemonCount, seed);
 	}
 
-	private static void assertNoRegressionAfterRestores(int daemons, long seed) {
-		final ListingSimulation world = simulation(daemons, seed);
-		for (int turn = 0; turn < 3; turn++) {
-			world.storeUnavailable(true);
-			world.run(1_000 + 700 * turn);
-			world.restore(2_000 + 3_000 * turn);
-			world.storeUnavailable(false);
-			world.run(8_000);
-			assertThat(world.regressions).isEmpty();
-			assertThat(world.maxLagMillis()).isLessThanOrEqualTo(MAX_LAG_MILLIS);
-			assertNoWrongLists(world);
+	private static void assertNoRegressionAfterRestores(int daemonCount, long seed) {
+		final ListingSimulation simulation = simulation(daemonCount, seed);
+		for (int round = 0; round < 3; round++) {
+			simulation.setStoreUnavailable(true);
+			simulation.run(1_000 + 700 * round);
+			simulation.restore(2_000 + 3_000 * round);
+			simulation.setStoreUnavailable(false);
+			simulation.run(8_000);
+			assertThat(simulation.regressions).isEmpty();
+			assertThat(simulation.maxLagMillis()).isLessThanOrEqualTo(MAX_LAG_MILLIS);
+			assertNoWrongLists(simulation);
 		}
 	}
 
 	/**
-	 * Guards against lists that go back or stay wrong where daemons die, start and hear
-	 * nothing of each other while the store comes back from copies.
+	 * Guards against lists that go back or stay wrong if daemons pause, restart or are
+	 * partitioned while the store is restored several times.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 71, 72, 73, 74, 75, 76, 77, 78, 103, 104, 110, 116, 121, 122, 128, 131, 139, 141, 145 })
@@ -201,8 +208,8 @@
 	}
 
 	/**
-	 * Guards against lists that stay wrong where copies follow each other within a second
-	 * and daemons start meanwhile.
+	 * Guards against lists that stay wrong if restores follow each other within a second
+	 * while daemons restart.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1176, 1199, 700_642, 701_957 })
@@ -211,7 +218,8 @@
 	}
 
 	/**
-	 * Guards against lists that stay wrong where more has changed than one answer holds.
+	 * Guards against lists that stay wrong if a delta has more records than one page
+	 * holds.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 800_000, 800_001, 800_003, 800_008, 800_011 })
@@ -223,101 +231,102 @@
 		assertMixedFaultsDuringRestoresLeaveNoListWrong(simulation(20, seed), seed);
 	}
 
-	private static void assertMixedFaultsDuringRestoresLeaveNoListWrong(ListingSimulation world, long seed) {
-		world.frameLossRatio(0.1);
-		world.frameDelayMillis(300);
-		world.storeFailureRatio(0.1);
+	private static void assertMixedFaultsDuringRestoresLeaveNoListWrong(ListingSimulation simulation, long seed) {
+		simulation.setFrameLossRatio(0.1);
+		simulation.setFrameDelayMillis(300);
+		simulation.setStoreFailureRatio(0.1);
 		final Random random = new Random(seed);
-		for (int step = 0; step < 30; step++) {
+		for (int i = 0; i < 30; i++) {
 			final int index = random.nextInt(20);
 			switch (random.nextInt(6)) {
-				case 0 -> world.pause(index, random.nextInt(3_000));
-				case 1 -> world.setPartitioned(index, random.nextBoolean());
-				case 2 -> world.refuse(random.nextDouble() * 0.5);
-				case 3 -> world.restart(index);
-				default -> world.restore(random.nextInt(8_000));
+				case 0 -> simulation.pause(index, random.nextInt(3_000));
+				case 1 -> simulation.setPartitioned(index, random.nextBoolean());
+				case 2 -> simulation.refuse(random.nextDouble() * 0.5);
+				case 3 -> simulation.restart(index);
+				default -> simulation.restore(random.nextInt(8_000));
 			}
-			world.run(400);
+			simulation.run(400);
 		}
-		world.frameLossRatio(0);
-		world.frameDelayMillis(2);
-		world.storeFailureRatio(0);
-		world.refuse(0);
-		IntStream.range(0, 20).forEach((index) -> world.setPartitioned(index, false));
-		world.run(9_000);
-		runAndCheck(world, 3_000, MAX_LAG_MILLIS);
+		simulation.setFrameLossRatio(0);
+		simulation.setFrameDelayMillis(2);
+		simulation.setStoreFailureRatio(0);
+		simulation.refuse(0);
+		IntStream.range(0, 20).forEach((index) -> simulation.setPartitioned(index, false));
+		simulation.run(9_000);
+		runAndCheck(simulation, 3_000, MAX_LAG_MILLIS);
 	}
 
 	/**
-	 * Frames are lost and come late, some after newer ones; daemons die, come back empty,
-	 * stand still and are cut off, one after the other and together. Nobody may hold a
-	 * list that the store never had.
+	 * Guards against lists that the store never had. Frames are lost, delayed and
+	 * reordered, and daemons fail, restart, pause and are partitioned, one at a time and
+	 * several at once.
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 41, 42, 43, 44, 45, 46, 47, 48 })
 	void mixedFaultsMakeNoListWrong(long seed) {
-		final ListingSimulation world = simulation(40, seed);
-		world.frameLossRatio(0.1);
-		world.frameDelayMillis(600);
-		world.storeFailureRatio(0.2);
+		final ListingSimulation simulation = simulation(40, seed);
+		simulation.setFrameLossRatio(0.1);
+		simulation.setFrameDelayMillis(600);
+		simulation.setStoreFailureRatio(0.2);
 		final Random random = new Random(seed);
-		for (int step = 0; step < 40; step++) {
+		for (int i = 0; i < 40; i++) {
 			final int index = random.nextInt(40);
 			switch (random.nextInt(6)) {
-				case 0 -> world.kill(index);
-				case 1 -> world.restart(index);
-				case 2 -> world.pause(index, random.nextInt(3_000));
-				case 3 -> world.setPartitioned(index, random.nextBoolean());
-				case 4 -> world.truncateHistory();
-				default -> world.refuse(random.nextDouble() * 0.5);
+				case 0 -> simulation.kill(index);
+				case 1 -> simulation.restart(index);
+				case 2 -> simulation.pause(index, random.nextInt(3_000));
+				case 3 -> simulation.setPartitioned(index, random.nextBoolean());
+				case 4 -> simulation.truncateHistory();
+				default -> simulation.refuse(random.nextDouble() * 0.5);
 			}
-			world.run(300);
-			assertNoWrongLists(world);
+			simulation.run(300);
+			assertNoWrongLists(simulation);
 		}
-		world.frameLossRatio(0);
-		world.frameDelayMillis(2);
-		world.storeFailureRatio(0);
-		world.refuse(0);
-		IntStream.range(0, 40).forEach((index) -> world.setPartitioned(index, false));
-		world.run(7_000);
-		runAndCheck(world, 3_000, MAX_LAG_MILLIS);
+		simulation.setFrameLossRatio(0);
+		simulation.setFrameDelayMillis(2);
+		simulation.setStoreFailureRatio(0);
+		simulation.refuse(0);
+		IntStream.range(0, 40).forEach((index) -> simulation.setPartitioned(index, false));
+		simulation.run(7_000);
+		runAndCheck(simulation, 3_000, MAX_LAG_MILLIS);
 	}
 
 	/**
-	 * A daemon that has just started is turned away by the store. It could serve no
-	 * caller until the store lets it in again, though all others know the list.
+	 * Guards against a starting daemon that cannot serve because the store refuses it,
+	 * although its peers have the list.
 	 */
 	@Test
 	void aStartingDaemonRefusedByTheStoreGetsASnapshotFromAPeer() {
-		final ListingSimulation world = simulation(12, 51);
-		world.kill(3);
-		world.run(500);
-		world.refuse(0);
-		world.refuseOneMore(3);
-		world.restart(3);
-		world.run(2_500);
-		assertThat(world.published(3)).isNotEmpty();
-		runAndCheck(world, 2_000, MAX_LAG_MILLIS);
+		final ListingSimulation simulation = simulation(12, 51);
+		simulation.kill(3);
+		simulation.run(500);
+		simulation.refuse(0);
+		simulation.refuseOnly(3);
+		simulation.restart(3);
+		simulation.run(2_500);
+		assertThat(simulation.published(3)).isNotEmpty();
+		runAndCheck(simulation, 2_000, MAX_LAG_MILLIS);
 	}
 
 	/**
-	 * Guards against an instance that has gone and that daemons which were told of it in
-	 * doubt use on, though the doubt has ended.
+	 * Guards against peers that keep an instance in use after the daemon that reported
+	 * its removal as unconfirmed has resolved it.
 	 */
 	@Test
 	void aPendingRequestIsAnsweredAsSoonAsARemovalIsResolved() {
-		final ListingSynchronizer node = new ListingSynchronizer("daemon-0", ListingSimulation.MAX_AGE_NANOS, 0, 1);
-		final InstanceRecord entry = new InstanceRecord.Listed("i-1", 110, 0,
+		final ListingSynchronizer synchronizer = new ListingSynchronizer("daemon-0", ListingSimulation.MAX_AGE_NANOS, 0,
+				1);
+		final InstanceRecord listedRecord = new InstanceRecord.Listed("i-1", 110, 0,
 				new ServingInstance("i-1", "pool", "10.0.0.1:80", "zone-a", "", false, 4, Set.of(), Optional.empty()));
-		node.onRead(0, ListingRead.snapshot(new ListingDelta(120, 120, List.of(entry))), false);
-		node.onRead(0, ListingRead.delta(new ListingDelta(120, 130, List.of(new InstanceRecord.Tombstone("i-1", 125)))),
-				true);
-		assertThat(node.onRequest(0, new ListingRequest("daemon-1", 7, 130))).isEmpty();
-		assertThat(responses(node.onTick(50 * ListingSimulation.MILLI, List::of, false, true))).isEmpty();
-		final List<ListingResponse> told = responses(
-				node.onTick(100 * ListingSimulation.MILLI, List::of, false, false));
-		assertThat(told).hasSize(1);
-		assertThat(told.get(0).delta().orElseThrow().unconfirmedKeys()).isEmpty();
+		synchronizer.onRead(0, ListingRead.snapshot(new ListingDelta(120, 120, List.of(listedRecord))), false);
+		synchronizer.onRead(0,
+				ListingRead.delta(new ListingDelta(120, 130, List.of(new InstanceRecord.Tombstone("i-1", 125)))), true);
+		assertThat(synchronizer.onRequest(0, new ListingRequest("daemon-1", 7, 130))).isEmpty();
+		assertThat(responses(synchronizer.onTick(50 * ListingSimulation.MILLI, List::of, false, true))).isEmpty();
+		final List<ListingResponse> responses = responses(
+				synchronizer.onTick(100 * ListingSimulation.MILLI, List::of, false, false));
+		assertThat(responses).hasSize(1);
+		assertThat(responses.get(0).delta().orElseThrow().unconfirmedKeys()).isEmpty();
 	}
 
 	private static List<ListingResponse> responses(List<ListingAction> actions) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/SimulationEvent.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/SimulationEvent.java
@@ -1,10 +1,10 @@
 package org.pistachioline.core.listing;
 
 /**
- * Something that happens in a world in virtual time.
+ * An event of a simulation in virtual time.
  *
- * @param atMillis when it happens
- * @param sequence tells events of the same moment apart, the earlier made one first
+ * @param atMillis the virtual time at which it happens
+ * @param sequence orders events of the same time by their creation
  * @param action what happens
  */
 record SimulationEvent(long atMillis, long sequence, Runnable action) implements Comparable<SimulationEvent> {
