--- a/pistachioline-core/src/test/java/org/pistachioline/core/world/VirtualTime.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/world/VirtualTime.java
@@ -3,11 +3,11 @@
 import java.util.PriorityQueue;
 
 /**
- * Runs what is due in the order of its time, without waiting for it.
+ * A virtual clock and event queue for simulations: runs scheduled actions in the order of
+ * their times without waiting.
  */
 public final class VirtualTime {
 
-	/** One second. */
 	public static final long SECOND_NANOS = 1_000_000_000L;
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -17,7 +17,7 @@
 	private long sequence;
 
 	/**
-	 * Returns the time.
+	 * Returns the virtual time.
 	 * @return the time in nanoseconds
 	 */
 	public long nowNanos() {
@@ -25,29 +25,29 @@
 	}
 
 	/**
-	 * Runs something once.
-	 * @param nanos how much later
-	 * @param action what is run
+	 * Schedules an action to run once.
+	 * @param delayNanos the delay from now
+	 * @param action the action
 	 */
-	public void after(long nanos, Runnable what) {
-		this.events.add(new Event(this.nowNanos + nanos, this.sequence++, what));
+	public void after(long delayNanos, Runnable action) {
+		this.events.add(new Event(this.nowNanos + delayNanos, this.sequence++, action));
 	}
 
 	/**
-	 * Runs something again and again.
-	 * @param nanos the time between two runs
-	 * @param action what is run
+	 * Schedules an action to run repeatedly, first after one interval.
+	 * @param intervalNanos the time between two runs
+	 * @param action the action
 	 */
-	public void every(long nanos, Runnable what) {
-		after(nanos, () -> {
-			what.run();
-			every(nanos, what);
+	public void every(long intervalNanos, Runnable action) {
+		after(intervalNanos, () -> {
+			action.run();
+			every(intervalNanos, action);
 		});
 	}
 
 	/**
-	 * Lets time pass.
-	 * @param seconds how much
+	 * Advances the virtual time and runs the actions that are due.
+	 * @param seconds by how much
 	 */
 	public void run(double seconds) {
 		final long untilNanos = this.nowNanos + (long) (seconds * SECOND_NANOS);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/world/package-info.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/world/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What worlds in virtual time have in common.
+ * Shared support for simulations in virtual time.
  */
 package org.pistachioline.core.world;
