--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/GossipSample.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/GossipSample.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What one heartbeat tells of other daemons.
+ * The part of a daemon's peer table that it sends with one heartbeat.
  *
- * @param statuses some whole statuses
- * @param updates what changed of some others
+ * @param statuses complete statuses of a few daemons
+ * @param updates updates of further daemons
  */
 public record GossipSample(List<PeerStatus> statuses, List<PeerUpdate> updates) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerStatus.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerStatus.java
@@ -1,30 +1,32 @@
 package org.pistachioline.core.peer;
 
 /**
- * What one daemon says of itself.
+ * The status that a daemon publishes about itself by gossip.
  *
- * @param daemonId its name
- * @param peerAddress where other daemons connect
- * @param callerAddress where callers connect
- * @param adminAddress where operators connect
- * @param availabilityZone its availability zone
- * @param incarnation rises with each start
- * @param sequence rises with each heartbeat
- * @param configVersion the configuration in force there
- * @param configOffset the next offset that it will read of the configuration stream
- * @param fleetOffset the next offset that it will read of the fleet stream
- * @param ready whether it takes requests
- * @param leaving whether it is about to stop
- * @param loadRatio how full it is; 1 is full
- * @param logAgeMillis how long ago it last read the log with success
+ * @param daemonId the daemon's name
+ * @param peerAddress the address that other daemons connect to
+ * @param callerAddress the address that callers connect to
+ * @param adminAddress the address that operators connect to
+ * @param availabilityZone the daemon's availability zone
+ * @param incarnation increases with each start of the daemon
+ * @param sequence increases with each of the daemon's heartbeats
+ * @param configVersion the version of the configuration in force on the daemon
+ * @param configOffset the offset of the next entry that it will read from the
+ * configuration stream
+ * @param fleetOffset the offset of the next entry that it will read from the fleet stream
+ * @param ready whether the daemon accepts requests
+ * @param leaving whether the daemon is about to stop
+ * @param loadRatio the daemon's load in relation to its capacity; 1 is full
+ * @param logAgeMillis the time since its last successful read from the log
  */
 public record PeerStatus(String daemonId, String peerAddress, String callerAddress, String adminAddress,
 		String availabilityZone, long incarnation, long sequence, long configVersion, long configOffset,
 		long fleetOffset, boolean ready, boolean leaving, double loadRatio, long logAgeMillis) {
 
 	/**
-	 * Returns whether this is newer than what was known.
-	 * @param known what was known
+	 * Returns whether this status is newer than another one of the same daemon, that is,
+	 * from a later incarnation or from a later heartbeat of the same one.
+	 * @param known the other status
 	 * @return whether it is
 	 */
 	public boolean isNewerThan(PeerStatus known) {
@@ -35,18 +37,18 @@
 	}
 
 	/**
-	 * Returns what may have changed since the daemon's start.
-	 * @return the news
+	 * Extracts the part that can change between two restarts.
+	 * @return the update
 	 */
 	public PeerUpdate toUpdate() {
 		return new PeerUpdate(this.daemonId, this.incarnation, this.sequence, this.configVersion, this.ready,
 				this.leaving);
 	}
 
-	PeerStatus withUpdate(PeerUpdate news) {
+	PeerStatus withUpdate(PeerUpdate update) {
 		return new PeerStatus(this.daemonId, this.peerAddress, this.callerAddress, this.adminAddress,
-				this.availabilityZone, this.incarnation, news.sequence(), news.configVersion(), this.configOffset,
-				this.fleetOffset, news.ready(), news.leaving(), this.loadRatio, this.logAgeMillis);
+				this.availabilityZone, this.incarnation, update.sequence(), update.configVersion(), this.configOffset,
+				this.fleetOffset, update.ready(), update.leaving(), this.loadRatio, this.logAgeMillis);
 	}
 
 	boolean hasChangedSince(PeerStatus known) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerTable.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerTable.java
@@ -8,36 +8,41 @@
 import java.util.TreeMap;
 
 /**
- * The other daemons as far as heartbeats have told, and what to tell of them next.
+ * The known status of the other daemons, and the choice of what to gossip about them.
  * <p>
- * Made for 370 daemons that together send each other a fixed number of bytes a second,
- * whatever their number. So a heartbeat tells of a bounded sample: first what changed and
- * was told seldom, since a configuration should be seen in force within seconds, then
- * what was not told for longest, so that nobody is left out and thought dead. How long a
- * silent daemon counts as live grows with the fleet, as news of it comes by more rarely;
- * proofs of presence do not lean on it.
+ * Designed for fleets of 370 daemons, with gossip traffic that does not grow with the
+ * fleet. Each heartbeat therefore carries a sample of bounded size: first the daemons
+ * whose change has been sent the fewest times, so that a new configuration is seen in
+ * force within seconds, then those that have not been sent for longest, so that no daemon
+ * is left out and considered dead. As gossip about a daemon arrives less often in a
+ * larger fleet, the timeout after which a silent daemon is considered dead grows with the
+ * number of daemons. The presence of replica group members is proven by other means and
+ * does not depend on this timeout.
  */
 public final class PeerTable {
 
-	/** How many whole statuses one heartbeat tells besides the sender's. */
+	/** The most complete statuses in one heartbeat, in addition to the sender's own. */
 	public static final int MAX_STATUSES = 3;
 
-	/** How many daemons' news one heartbeat tells. */
+	/** The most updates in one heartbeat. */
 	public static final int MAX_UPDATES = 32;
 
 	/**
-	 * How often a change is told before it waits its turn again: the receivers tell it
-	 * on, so that it reaches 370 daemons in about as many steps as their number has bits.
+	 * How many times a change is sent with priority. Receivers pass it on in turn, so it
+	 * reaches 370 daemons in about log2(370) rounds.
 	 */
 	private static final int CHANGE_TRANSMISSIONS = 3;
 
-	/** The growth of the live bound: a fleet this large doubles it. */
+	/** The fleet size at which the timeout is twice the base timeout. */
 	private static final int TIMEOUT_DOUBLING_DAEMONS = 48;
 
-	/** How many live bounds the last word of a dead daemon is kept, though not told. */
+	/**
+	 * The last status of a dead daemon is retained for this many timeouts, though no
+	 * longer sent.
+	 */
 	private static final int RETENTION_TIMEOUTS = 4;
 
-	/** More daemons than this are not kept, so that no peer can fill the memory. */
+	/** Further daemons are ignored, so that a faulty peer cannot exhaust the memory. */
 	private static final int MAX_DAEMONS = 4_096;
 
 	private final String selfId;
@@ -53,7 +58,8 @@
 	/**
 	 * Creates an empty table.
 	 * @param selfId this daemon's name
-	 * @param baseTimeoutNanos how long a silent daemon counts as live in a small fleet
+	 * @param baseTimeoutNanos the time after which a silent daemon is considered dead in
+	 * a small fleet
 	 */
 	public PeerTable(String selfId, long baseTimeoutNanos) {
 		this.selfId = selfId;
@@ -61,8 +67,8 @@
 	}
 
 	/**
-	 * Takes what is told of a daemon.
-	 * @param status what it said of itself
+	 * Merges a status received by gossip.
+	 * @param status the status
 	 * @param nowNanos the monotonic time
 	 * @return whether the daemon was not live before
 	 */
@@ -70,8 +76,8 @@
 		if (status.daemonId().equals(this.selfId)) {
 			return false;
 		}
-		final Entry known = this.peers.get(status.daemonId());
-		if (known == null) {
+		final Entry entry = this.peers.get(status.daemonId());
+		if (entry == null) {
 			if (this.peers.size() >= MAX_DAEMONS) {
 				return false;
 			}
@@ -79,100 +85,105 @@
 			this.changed = true;
 			return true;
 		}
-		return status.isNewerThan(known.status) && renew(known, status, nowNanos);
+		return status.isNewerThan(entry.status) && renew(entry, status, nowNanos);
 	}
 
 	/**
-	 * Takes what is told of a daemon whose whole status came before.
-	 * @param news what changed
+	 * Merges an update received by gossip. Updates of unknown daemons and of other
+	 * incarnations are ignored.
+	 * @param update the update
 	 * @param nowNanos the monotonic time
 	 * @return whether the daemon was not live before
 	 */
-	public boolean merge(PeerUpdate news, long nowNanos) {
-		final Entry known = this.peers.get(news.daemonId());
-		// Another start may have other addresses: only its whole status tells them.
-		if (known == null || known.status.incarnation() != news.incarnation()
-				|| news.sequence() <= known.status.sequence()) {
+	public boolean merge(PeerUpdate update, long nowNanos) {
+		final Entry entry = this.peers.get(update.daemonId());
+		// An update has no addresses, and those of another incarnation may differ.
+		if (entry == null || entry.status.incarnation() != update.incarnation()
+				|| update.sequence() <= entry.status.sequence()) {
 			return false;
 		}
-		return renew(known, known.status.withUpdate(news), nowNanos);
+		return renew(entry, entry.status.withUpdate(update), nowNanos);
 	}
 
 	/**
-	 * Returns whether a daemon has been heard of lately in its present incarnation.
-	 * @param status what it says of itself
+	 * Returns whether a daemon is live in the incarnation that a status shows.
+	 * @param status the status
 	 * @param nowNanos the monotonic time
-	 * @return whether it has
+	 * @return whether the daemon's timeout has not passed since it was last heard of
 	 */
 	public boolean isLive(PeerStatus status, long nowNanos) {
-		final Entry known = this.peers.get(status.daemonId());
-		return known != null && known.status.incarnation() == status.incarnation()
-				&& nowNanos - known.lastHeardAtNanos <= timeoutNanos();
+		final Entry entry = this.peers.get(status.daemonId());
+		return entry != null && entry.status.incarnation() == status.incarnation()
+				&& nowNanos - entry.lastHeardAtNanos <= timeoutNanos();
 	}
 
-	private boolean renew(Entry known, PeerStatus newer, long nowNanos) {
-		this.changed |= newer.incarnation() != known.status.incarnation() || newer.hasChangedSince(known.status);
-		final boolean wasLost = known.renew(newer, nowNanos, timeoutNanos());
+	private boolean renew(Entry entry, PeerStatus newer, long nowNanos) {
+		this.changed |= newer.incarnation() != entry.status.incarnation() || newer.hasChangedSince(entry.status);
+		final boolean wasLost = entry.renew(newer, nowNanos, timeoutNanos());
 		this.changed |= wasLost;
 		return wasLost;
 	}
 
 	/**
-	 * Returns whether anything but the time at which daemons were heard of has changed
-	 * since the last call. In a large fleet most frames say only that all still live.
+	 * Returns whether the table has changed since the last call. The time at which a
+	 * daemon was last heard of does not count, as in a large fleet most frames change
+	 * nothing else.
 	 * @return whether it has
 	 */
 	public boolean takeChanged() {
-		final boolean now = this.changed;
+		final boolean wasSet = this.changed;
 		this.changed = false;
-		return now;
+		return wasSet;
 	}
 
 	/**
-	 * Chooses what the next heartbeat tells. The dead are not told of: each that hears of
-	 * them would tell others, and their last words would go round for ever.
+	 * Chooses the statuses and updates for the next heartbeat. Dead daemons are left out:
+	 * otherwise each receiver would send their last status to others again, and it would
+	 * circulate forever.
 	 * @param nowNanos the monotonic time
 	 * @return the sample
 	 */
 	public GossipSample sample(long nowNanos) {
-		final long boundNanos = timeoutNanos();
-		final List<Entry> order = new ArrayList<>(this.peers.values());
-		order.removeIf((known) -> nowNanos - known.lastHeardAtNanos > boundNanos);
-		order.sort(Entry.BY_URGENCY);
-		final List<PeerStatus> whole = new ArrayList<>();
-		final List<PeerUpdate> news = new ArrayList<>();
-		final long before = this.sendSequence;
-		final List<Entry> byWhole = new ArrayList<>(order);
-		byWhole.sort(Comparator.comparingLong((known) -> known.statusSentSequence));
-		for (final Entry known : byWhole.subList(0, Math.min(MAX_STATUSES, byWhole.size()))) {
+		final long timeoutNanos = timeoutNanos();
+		final List<Entry> byUrgency = new ArrayList<>(this.peers.values());
+		byUrgency.removeIf((entry) -> nowNanos - entry.lastHeardAtNanos > timeoutNanos);
+		byUrgency.sort(Entry.BY_URGENCY);
+		final List<PeerStatus> statuses = new ArrayList<>();
+		final List<PeerUpdate> updates = new ArrayList<>();
+		final long sequenceBefore = this.sendSequence;
+		final List<Entry> byStatusSent = new ArrayList<>(byUrgency);
+		byStatusSent.sort(Comparator.comparingLong((entry) -> entry.statusSentSequence));
+		for (final Entry entry : byStatusSent.subList(0, Math.min(MAX_STATUSES, byStatusSent.size()))) {
 			this.sendSequence++;
-			known.statusSentSequence = this.sendSequence;
-			known.markSent(this.sendSequence);
-			whole.add(known.status);
+			entry.statusSentSequence = this.sendSequence;
+			entry.markSent(this.sendSequence);
+			statuses.add(entry.status);
 		}
-		for (final Entry known : order) {
-			if (news.size() < MAX_UPDATES && known.statusSentSequence <= before) {
+		for (final Entry entry : byUrgency) {
+			if (updates.size() < MAX_UPDATES && entry.statusSentSequence <= sequenceBefore) {
 				this.sendSequence++;
-				known.markSent(this.sendSequence);
-				news.add(known.status.toUpdate());
+				entry.markSent(this.sendSequence);
+				updates.add(entry.status.toUpdate());
 			}
 		}
-		return new GossipSample(whole, news);
+		return new GossipSample(statuses, updates);
 	}
 
 	/**
-	 * Returns the live daemons besides this one, and forgets those long dead.
+	 * Returns the live daemons other than this one, and removes those that have been dead
+	 * for long.
 	 * @param nowNanos the monotonic time
-	 * @return what each said of itself, by name
+	 * @return the status of each, sorted by name
 	 */
 	public List<PeerStatus> live(long nowNanos) {
-		final long boundNanos = timeoutNanos();
-		// PendingRequest longer than others tell of it: an echo must not raise the dead.
-		this.peers.values().removeIf((known) -> nowNanos - known.lastHeardAtNanos > RETENTION_TIMEOUTS * boundNanos);
+		final long timeoutNanos = timeoutNanos();
+		// Retained longer than other daemons send its status, so that a late copy of the
+		// status does not make a dead daemon appear live.
+		this.peers.values().removeIf((entry) -> nowNanos - entry.lastHeardAtNanos > RETENTION_TIMEOUTS * timeoutNanos);
 		final Map<String, PeerStatus> live = new TreeMap<>();
-		for (final Entry known : this.peers.values()) {
-			if (nowNanos - known.lastHeardAtNanos <= boundNanos) {
-				live.put(known.status.daemonId(), known.status);
+		for (final Entry entry : this.peers.values()) {
+			if (nowNanos - entry.lastHeardAtNanos <= timeoutNanos) {
+				live.put(entry.status.daemonId(), entry.status);
 			}
 		}
 		return new ArrayList<>(live.values());
@@ -184,8 +195,8 @@
 
 	private static final class Entry {
 
-		static final Comparator<Entry> BY_URGENCY = Comparator.comparingInt((Entry known) -> -known.transmissionsLeft)
-			.thenComparingLong((known) -> known.sentSequence);
+		static final Comparator<Entry> BY_URGENCY = Comparator.comparingInt((Entry entry) -> -entry.transmissionsLeft)
+			.thenComparingLong((entry) -> entry.sentSequence);
 
 		private PeerStatus status;
 
@@ -197,13 +208,13 @@
 
 		private long statusSentSequence;
 
-		Entry(PeerStatus status, long heardAtNanos) {
+		Entry(PeerStatus status, long lastHeardAtNanos) {
 			this.status = status;
-			this.lastHeardAtNanos = heardAtNanos;
+			this.lastHeardAtNanos = lastHeardAtNanos;
 		}
 
-		boolean renew(PeerStatus newer, long nowNanos, long boundNanos) {
-			final boolean wasLost = nowNanos - this.lastHeardAtNanos > boundNanos;
+		boolean renew(PeerStatus newer, long nowNanos, long timeoutNanos) {
+			final boolean wasLost = nowNanos - this.lastHeardAtNanos > timeoutNanos;
 			if (newer.incarnation() != this.status.incarnation()) {
 				this.statusSentSequence = 0;
 				this.transmissionsLeft = CHANGE_TRANSMISSIONS;
@@ -216,8 +227,8 @@
 			return wasLost;
 		}
 
-		void markSent(long at) {
-			this.sentSequence = at;
+		void markSent(long sequence) {
+			this.sentSequence = sequence;
 			this.transmissionsLeft = Math.max(0, this.transmissionsLeft - 1);
 		}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerUpdate.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerUpdate.java
@@ -1,14 +1,15 @@
 package org.pistachioline.core.peer;
 
 /**
- * What changes of a daemon between two starts: a third of its whole status.
+ * The part of a {@link PeerStatus} that can change between two restarts of the daemon. On
+ * the wire it takes about a third of a complete status.
  *
- * @param daemonId its name
- * @param incarnation rises with each start
- * @param sequence rises with each heartbeat
- * @param configVersion the configuration in force there
- * @param ready whether it takes requests
- * @param leaving whether it is about to stop
+ * @param daemonId the daemon's name
+ * @param incarnation increases with each start of the daemon
+ * @param sequence increases with each of the daemon's heartbeats
+ * @param configVersion the version of the configuration in force on the daemon
+ * @param ready whether the daemon accepts requests
+ * @param leaving whether the daemon is about to stop
  */
 public record PeerUpdate(String daemonId, long incarnation, long sequence, long configVersion, boolean ready,
 		boolean leaving) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What daemons know of each other.
+ * Gossip-based membership: what each daemon knows of the others' status.
  */
 package org.pistachioline.core.peer;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/peer/PeerTableTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/peer/PeerTableTests.java
@@ -20,97 +20,101 @@
 
 	private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(20261202L);
 
-	private static PeerStatus status(int daemon, long incarnation, long sequence, long configVersion) {
-		final String address = "10.0." + daemon / 256 + "." + daemon % 256;
-		return new PeerStatus("daemon-" + daemon, address + ":7400", address + ":8080", address + ":9090",
-				"zone-" + daemon % 16, incarnation, sequence, configVersion, 1_000, 5_000, true, false, 0.5, 100);
+	private static PeerStatus status(int index, long incarnation, long sequence, long configVersion) {
+		final String address = "10.0." + index / 256 + "." + index % 256;
+		return new PeerStatus("daemon-" + index, address + ":7400", address + ":8080", address + ":9090",
+				"zone-" + index % 16, incarnation, sequence, configVersion, 1_000, 5_000, true, false, 0.5, 100);
 	}
 
-	private void exchangeHeartbeats(List<PeerTable> tables, long beat, long configVersion, int silent) {
-		final long nowNanos = beat * HEARTBEAT_NANOS;
-		for (int sender = 0; sender < tables.size(); sender++) {
-			if (sender == silent) {
+	private void exchangeHeartbeats(List<PeerTable> tables, long heartbeat, long configVersion, int silentIndex) {
+		final long nowNanos = heartbeat * HEARTBEAT_NANOS;
+		for (int senderIndex = 0; senderIndex < tables.size(); senderIndex++) {
+			if (senderIndex == silentIndex) {
 				continue;
 			}
-			final GossipSample sample = tables.get(sender).sample(nowNanos);
+			final GossipSample sample = tables.get(senderIndex).sample(nowNanos);
 			for (int copy = 0; copy < FAN_OUT; copy++) {
 				final PeerTable receiver = tables.get(this.random.nextInt(tables.size()));
-				receiver.merge(status(sender, 1, beat, configVersion), nowNanos);
+				receiver.merge(status(senderIndex, 1, heartbeat, configVersion), nowNanos);
 				sample.statuses().forEach((status) -> receiver.merge(status, nowNanos));
-				sample.updates().forEach((news) -> receiver.merge(news, nowNanos));
+				sample.updates().forEach((update) -> receiver.merge(update, nowNanos));
 			}
 		}
 		tables.forEach((table) -> table.live(nowNanos));
 	}
 
-	private static List<PeerTable> tables(int daemons) {
+	private static List<PeerTable> tables(int daemonCount) {
 		final List<PeerTable> tables = new ArrayList<>();
-		for (int daemon = 0; daemon < daemons; daemon++) {
-			tables.add(new PeerTable("daemon-" + daemon, 8 * HEARTBEAT_NANOS));
+		for (int index = 0; index < daemonCount; index++) {
+			tables.add(new PeerTable("daemon-" + index, 8 * HEARTBEAT_NANOS));
 		}
 		return tables;
 	}
 
-	private static long countWithConfigVersion(List<PeerTable> tables, long beat, long version) {
+	private static long countWithConfigVersion(List<PeerTable> tables, long heartbeat, long version) {
 		return tables.stream()
-			.flatMap((table) -> table.live(beat * HEARTBEAT_NANOS).stream())
+			.flatMap((table) -> table.live(heartbeat * HEARTBEAT_NANOS).stream())
 			.filter((status) -> status.configVersion() == version)
 			.count();
 	}
 
-	// Operators ask one daemon whether a configuration is in force on all. Did it hear of
-	// some only rarely, a change would seem to hang on daemons that have long taken it,
-	// and
-	// live daemons would vanish from the endpoints that callers are given.
+	/**
+	 * Guards against daemons that hear of some others too rarely. Operators ask any
+	 * daemon whether a configuration is in force on all; a change would seem to be stuck,
+	 * and live daemons would be missing from the endpoints given to callers.
+	 */
 	@Test
 	void ninetySixDaemonsDiscoverEachOtherAndLoseNone() {
-		final int daemons = 96;
-		final long pairs = (long) daemons * (daemons - 1);
-		final List<PeerTable> tables = tables(daemons);
-		long beat = 1;
-		while (countWithConfigVersion(tables, beat, 1) < pairs) {
-			exchangeHeartbeats(tables, ++beat, 1, -1);
+		final int daemonCount = 96;
+		final long pairs = (long) daemonCount * (daemonCount - 1);
+		final List<PeerTable> tables = tables(daemonCount);
+		long heartbeat = 1;
+		while (countWithConfigVersion(tables, heartbeat, 1) < pairs) {
+			exchangeHeartbeats(tables, ++heartbeat, 1, -1);
 		}
-		assertThat(beat).as("beats until all know all").isLessThan(150);
+		assertThat(heartbeat).as("heartbeats until all daemons know all others").isLessThan(150);
 		for (int i = 0; i < 200; i++) {
-			exchangeHeartbeats(tables, ++beat, 1, -1);
-			assertThat(countWithConfigVersion(tables, beat, 1)).isEqualTo(pairs);
+			exchangeHeartbeats(tables, ++heartbeat, 1, -1);
+			assertThat(countWithConfigVersion(tables, heartbeat, 1)).isEqualTo(pairs);
 		}
-		final long changedAt = beat;
-		while (countWithConfigVersion(tables, beat, 2) < pairs) {
-			exchangeHeartbeats(tables, ++beat, 2, -1);
+		final long changedAtHeartbeat = heartbeat;
+		while (countWithConfigVersion(tables, heartbeat, 2) < pairs) {
+			exchangeHeartbeats(tables, ++heartbeat, 2, -1);
 		}
-		assertThat(beat - changedAt).as("beats until all know that all changed").isLessThan(20);
+		assertThat(heartbeat - changedAtHeartbeat).as("heartbeats until all daemons know of the change on all others")
+			.isLessThan(20);
 	}
 
 	@Test
 	void aConfigurationChangeReachesAllOfEightDaemonsWithinThreeSeconds() {
 		final List<PeerTable> tables = tables(8);
-		LongStream.rangeClosed(1, 20).forEach((beat) -> exchangeHeartbeats(tables, beat, 1, -1));
-		long beat = 20;
-		while (countWithConfigVersion(tables, beat, 2) < 56) {
-			exchangeHeartbeats(tables, ++beat, 2, -1);
+		LongStream.rangeClosed(1, 20).forEach((heartbeat) -> exchangeHeartbeats(tables, heartbeat, 1, -1));
+		long heartbeat = 20;
+		while (countWithConfigVersion(tables, heartbeat, 2) < 56) {
+			exchangeHeartbeats(tables, ++heartbeat, 2, -1);
 		}
-		assertThat(beat - 20).isLessThanOrEqualTo(6);
+		assertThat(heartbeat - 20).isLessThanOrEqualTo(6);
 	}
 
-	// A daemon is killed. Its last words still go round among the others; they must not
-	// keep
-	// it alive, or callers would be sent to its address for ever.
+	/**
+	 * Guards against a dead daemon that stays live because its last status still
+	 * circulates. Callers would be sent to its address forever.
+	 */
 	@Test
 	void circulatingGossipDoesNotKeepADeadDaemonLive() {
 		final List<PeerTable> tables = tables(8);
-		LongStream.rangeClosed(1, 20).forEach((beat) -> exchangeHeartbeats(tables, beat, 1, -1));
-		LongStream.rangeClosed(21, 40).forEach((beat) -> exchangeHeartbeats(tables, beat, 1, 3));
-		for (int daemon = 0; daemon < 8; daemon++) {
-			assertThat(tables.get(daemon).live(40 * HEARTBEAT_NANOS)).extracting(PeerStatus::daemonId)
-				.doesNotContain((daemon != 3) ? "daemon-3" : "");
+		LongStream.rangeClosed(1, 20).forEach((heartbeat) -> exchangeHeartbeats(tables, heartbeat, 1, -1));
+		LongStream.rangeClosed(21, 40).forEach((heartbeat) -> exchangeHeartbeats(tables, heartbeat, 1, 3));
+		for (int index = 0; index < 8; index++) {
+			assertThat(tables.get(index).live(40 * HEARTBEAT_NANOS)).extracting(PeerStatus::daemonId)
+				.doesNotContain((index != 3) ? "daemon-3" : "");
 		}
 	}
 
-	// A daemon restarts on another port. Old news of its earlier life, still on the way,
-	// must
-	// neither undo the new address nor count as a sign of life.
+	/**
+	 * Guards against late updates of an earlier incarnation, which would undo the new
+	 * address of a restarted daemon or count as a sign of life.
+	 */
 	@Test
 	void updatesOfAnotherIncarnationAreIgnored() {
 		final PeerTable table = new PeerTable("self", 8 * HEARTBEAT_NANOS);
@@ -121,8 +125,9 @@
 	}
 
 	/**
-	 * Load: each of hundreds of daemons hears several times a second that all others
-	 * still live. The list of all is made anew only where it says something else.
+	 * Guards against needless work in large fleets. Each of hundreds of daemons hears
+	 * several times a second that the others are live; its list of them is rebuilt only
+	 * if their content changes.
 	 */
 	@Test
 	void aLaterStatusWithTheSameContentIsNoChange() {
@@ -139,8 +144,8 @@
 	}
 
 	/**
-	 * A daemon was cut off and is heard of again with nothing new to tell. It has to
-	 * count as live at once, or its callers are sent elsewhere.
+	 * Guards against a reconnected daemon that is not considered live because its status
+	 * has the same content as before it was lost. Callers would be sent elsewhere.
 	 */
 	@Test
 	void aLostDaemonThatReturnsIsAChange() {
@@ -151,6 +156,10 @@
 		assertThat(table.takeChanged()).isTrue();
 	}
 
+	/**
+	 * Guards against a faulty peer that reports ever more daemons until the memory is
+	 * exhausted.
+	 */
 	@Test
 	void inventedDaemonsDoNotExhaustMemory() {
 		final PeerTable table = new PeerTable("self", 8 * HEARTBEAT_NANOS);
