--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingCodec.java
@@ -23,7 +23,8 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Turns what daemons tell each other of the list into protobuf and back.
+ * Encodes and decodes the messages by which daemons exchange the instance list, as
+ * protobuf peer frames.
  */
 final class ListingCodec {
 
@@ -34,47 +35,45 @@
 	private ListingCodec() {
 	}
 
-	static PeerFrame encode(ListingRequest question) {
+	static PeerFrame encode(ListingRequest request) {
 		return PeerFrame.newBuilder()
 			.setListingQuestion(org.pistachioline.protocol.peer.ListingQuestion.newBuilder()
-				.setAskerId(question.requesterId())
-				.setToken(question.correlationId())
-				.setFromOffset(question.fromOffset())
-				.setRestOffset(question.continuationOffset()))
+				.setAskerId(request.requesterId())
+				.setToken(request.correlationId())
+				.setFromOffset(request.fromOffset())
+				.setRestOffset(request.continuationOffset()))
 			.build();
 	}
 
-	static ListingRequest decode(org.pistachioline.protocol.peer.ListingQuestion question) {
-		return new ListingRequest(question.getAskerId(), question.getToken(), question.getFromOffset(),
-				question.getRestOffset());
+	static ListingRequest decode(org.pistachioline.protocol.peer.ListingQuestion request) {
+		return new ListingRequest(request.getAskerId(), request.getToken(), request.getFromOffset(),
+				request.getRestOffset());
 	}
 
-	static PeerFrame encode(ListingResponse answer) {
+	static PeerFrame encode(ListingResponse response) {
 		final org.pistachioline.protocol.peer.ListingAnswer.Builder built = org.pistachioline.protocol.peer.ListingAnswer
 			.newBuilder()
-			.setAnswererId(answer.responderId())
-			.setToken(answer.correlationId())
-			.setHeldMillis(TimeUnit.NANOSECONDS.toMillis(answer.heldNanos()))
-			.setAgeMillis(TimeUnit.NANOSECONDS.toMillis(answer.ageNanos()))
-			.setComplete(answer.delta().isPresent() && answer.continuationOffset() == 0)
-			.setRestOffset(answer.continuationOffset())
-			.setLifeId(answer.incarnationId());
-		answer.delta().ifPresent((change) -> {
-			built.setFromOffset(change.fromOffset())
-				.setNextOffset(change.nextOffset())
-				.setGapEnd(change.gapEndOffset());
-			change.records().forEach((each) -> add(built, each));
-			built.addAllDoubtedKeys(change.unconfirmedKeys());
+			.setAnswererId(response.responderId())
+			.setToken(response.correlationId())
+			.setHeldMillis(TimeUnit.NANOSECONDS.toMillis(response.heldNanos()))
+			.setAgeMillis(TimeUnit.NANOSECONDS.toMillis(response.ageNanos()))
+			.setComplete(response.delta().isPresent() && response.continuationOffset() == 0)
+			.setRestOffset(response.continuationOffset())
+			.setLifeId(response.incarnationId());
+		response.delta().ifPresent((delta) -> {
+			built.setFromOffset(delta.fromOffset()).setNextOffset(delta.nextOffset()).setGapEnd(delta.gapEndOffset());
+			delta.records().forEach((each) -> add(built, each));
+			built.addAllDoubtedKeys(delta.unconfirmedKeys());
 		});
 		return PeerFrame.newBuilder().setListingAnswer(built).build();
 	}
 
-	private static void add(org.pistachioline.protocol.peer.ListingAnswer.Builder answer, InstanceRecord found) {
-		if (found instanceof InstanceRecord.Listed entry) {
-			answer.addListed(encode(entry));
+	private static void add(org.pistachioline.protocol.peer.ListingAnswer.Builder response, InstanceRecord listRecord) {
+		if (listRecord instanceof InstanceRecord.Listed entry) {
+			response.addListed(encode(entry));
 		}
-		else if (found instanceof InstanceRecord.Tombstone gone) {
-			answer.addDropped(DroppedInstance.newBuilder().setKey(gone.key()).setOffset(gone.offset()));
+		else if (listRecord instanceof InstanceRecord.Tombstone tombstone) {
+			response.addDropped(DroppedInstance.newBuilder().setKey(tombstone.key()).setOffset(tombstone.offset()));
 		}
 	}
 
@@ -93,30 +92,31 @@
 			.setSlots(instance.slots())
 			.addAllStagedModels(instance.stagedModels());
 		instance.membership()
-			.ifPresent((own) -> built.setMembership(GroupMembership.newBuilder()
-				.setGroupName(own.group().name())
-				.setEpoch(own.group().epoch())
-				.setRank(own.rank())
-				.setState(STATES.get(own.state()))));
+			.ifPresent((membership) -> built.setMembership(GroupMembership.newBuilder()
+				.setGroupName(membership.group().name())
+				.setEpoch(membership.group().epoch())
+				.setRank(membership.rank())
+				.setState(STATES.get(membership.state()))));
 		return built.build();
 	}
 
-	static ListingResponse decode(org.pistachioline.protocol.peer.ListingAnswer answer) {
-		return new ListingResponse(answer.getAnswererId(), answer.getToken(),
-				TimeUnit.MILLISECONDS.toNanos(answer.getHeldMillis()),
-				TimeUnit.MILLISECONDS.toNanos(answer.getAgeMillis()),
-				(answer.getComplete() || answer.getRestOffset() > 0) ? Optional.of(decodeDelta(answer))
+	static ListingResponse decode(org.pistachioline.protocol.peer.ListingAnswer response) {
+		return new ListingResponse(response.getAnswererId(), response.getToken(),
+				TimeUnit.MILLISECONDS.toNanos(response.getHeldMillis()),
+				TimeUnit.MILLISECONDS.toNanos(response.getAgeMillis()),
+				(response.getComplete() || response.getRestOffset() > 0) ? Optional.of(decodeDelta(response))
 						: Optional.empty(),
-				answer.getRestOffset(), answer.getLifeId());
+				response.getRestOffset(), response.getLifeId());
 	}
 
-	private static ListingDelta decodeDelta(org.pistachioline.protocol.peer.ListingAnswer answer) {
+	private static ListingDelta decodeDelta(org.pistachioline.protocol.peer.ListingAnswer response) {
 		final List<InstanceRecord> records = new ArrayList<>();
-		answer.getListedList().forEach((entry) -> records.add(decode(entry)));
-		answer.getDroppedList()
-			.forEach((gone) -> records.add(new InstanceRecord.Tombstone(gone.getKey(), gone.getOffset())));
-		return new ListingDelta(answer.getFromOffset(), answer.getNextOffset(), answer.getGapEnd(), records,
-				new HashSet<>(answer.getDoubtedKeysList()));
+		response.getListedList().forEach((entry) -> records.add(decode(entry)));
+		response.getDroppedList()
+			.forEach((tombstone) -> records
+				.add(new InstanceRecord.Tombstone(tombstone.getKey(), tombstone.getOffset())));
+		return new ListingDelta(response.getFromOffset(), response.getNextOffset(), response.getGapEnd(), records,
+				new HashSet<>(response.getDoubtedKeysList()));
 	}
 
 	private static InstanceRecord.Listed decode(ListedInstance entry) {
@@ -127,11 +127,13 @@
 						entry.hasMembership() ? Optional.of(decode(entry.getMembership())) : Optional.empty()));
 	}
 
-	private static Membership decode(GroupMembership own) {
-		return new Membership(new GroupId(own.getGroupName(), own.getEpoch()), own.getRank(), decode(own.getState()));
+	private static Membership decode(GroupMembership membership) {
+		return new Membership(new GroupId(membership.getGroupName(), membership.getEpoch()), membership.getRank(),
+				decode(membership.getState()));
 	}
 
-	// A state that a newer release added is one in which the instance takes no requests.
+	// A state that a newer release has added is decoded as one in which the instance
+	// takes no requests.
 	private static MemberState decode(MembershipState state) {
 		return STATES.entrySet()
 			.stream()
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -25,11 +25,12 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Follows the platform's list of instances: reads it, or asks another daemon.
+ * Runs the {@link ListingSynchronizer}: exchanges its messages with other daemons, reads
+ * the platform's instance list for it and hands on the resulting instances.
  */
 public final class ListingDuty implements Lifecycle, DutyHandler<ListingMessage> {
 
-	/** Each daemon that asks has one question on its way. */
+	/** Ample, as each polling daemon has at most one request in flight. */
 	private static final int RING_CAPACITY = 1_024;
 
 	private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
@@ -60,12 +61,13 @@
 	 * Creates the duty.
 	 * @param system the process's actor system
 	 * @param selfId this daemon's name
-	 * @param maxAgeMillis how old the list may become before this daemon reads for itself
-	 * @param source the platform's list
-	 * @param isPlanner whether this daemon plans
-	 * @param liveIds the live daemons that are not leaving
-	 * @param sender sends a frame to a daemon
-	 * @param listener takes the whole list after each change; it must not block
+	 * @param maxAgeMillis the age from which on the list is stale and this daemon reads
+	 * it itself
+	 * @param source the platform's instance list
+	 * @param isPlanner returns whether this daemon is the planner
+	 * @param liveIds returns the names of the live daemons that are not leaving
+	 * @param sender sends a frame to the daemon of the given name
+	 * @param listener receives all instances after each change; it must not block
 	 */
 	public ListingDuty(ActorSystem<?> system, String selfId, long maxAgeMillis, InstanceSource source,
 			BooleanSupplier isPlanner, Supplier<Set<String>> liveIds, BiConsumer<String, PeerFrame> sender,
@@ -97,9 +99,9 @@
 	}
 
 	/**
-	 * Takes a frame of another daemon; where the ring is full it is dropped, and the
-	 * daemon asks again.
-	 * @param frame a question or an answer
+	 * Handles a frame from another daemon. If the ring is full, the frame is dropped and
+	 * the daemon sends another request.
+	 * @param frame a request or a response
 	 */
 	public void onFrame(PeerFrame frame) {
 		if (frame.hasListingQuestion()) {
@@ -113,14 +115,14 @@
 	@Override
 	public void onMessage(ListingMessage message) {
 		final long nowNanos = System.nanoTime();
-		if (message instanceof ListingMessage.RequestReceived questioned) {
-			execute(this.synchronizer.onRequest(nowNanos, questioned.request()));
+		if (message instanceof ListingMessage.RequestReceived requestReceived) {
+			execute(this.synchronizer.onRequest(nowNanos, requestReceived.request()));
 		}
-		else if (message instanceof ListingMessage.ResponseReceived answered) {
-			execute(this.synchronizer.onResponse(nowNanos, answered.response()));
+		else if (message instanceof ListingMessage.ResponseReceived responseReceived) {
+			execute(this.synchronizer.onResponse(nowNanos, responseReceived.response()));
 		}
-		else if (message instanceof ListingMessage.ReadCompleted read) {
-			execute(this.synchronizer.onRead(nowNanos, read.read(), this.source.unsettled()));
+		else if (message instanceof ListingMessage.ReadCompleted readCompleted) {
+			execute(this.synchronizer.onRead(nowNanos, readCompleted.read(), this.source.unsettled()));
 		}
 	}
 
@@ -138,20 +140,20 @@
 		if (ageNanos == ListingSynchronizer.UNKNOWN_AGE_NANOS) {
 			return;
 		}
-		final boolean now = ageNanos > this.maxAgeNanos;
-		if (now != this.stale) {
-			this.stale = now;
-			Events.log(now ? EventId.LISTING_OLD : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
+		final boolean nowStale = ageNanos > this.maxAgeNanos;
+		if (nowStale != this.stale) {
+			this.stale = nowStale;
+			Events.log(nowStale ? EventId.LISTING_OLD : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
 		}
 	}
 
 	private void execute(List<ListingAction> actions) {
 		for (final ListingAction action : actions) {
-			if (action instanceof ListingAction.SendRequest ask) {
-				this.sender.accept(ask.daemonId(), ListingCodec.encode(ask.request()));
+			if (action instanceof ListingAction.SendRequest sendRequest) {
+				this.sender.accept(sendRequest.daemonId(), ListingCodec.encode(sendRequest.request()));
 			}
-			else if (action instanceof ListingAction.SendResponse answer) {
-				this.sender.accept(answer.daemonId(), ListingCodec.encode(answer.response()));
+			else if (action instanceof ListingAction.SendResponse sendResponse) {
+				this.sender.accept(sendResponse.daemonId(), ListingCodec.encode(sendResponse.response()));
 			}
 			else if (action instanceof ListingAction.Publish publish) {
 				this.listener.accept(publish.instances());
@@ -159,8 +161,8 @@
 			else if (action instanceof ListingAction.ReadSnapshot) {
 				this.source.whole().thenAccept(this::onRead);
 			}
-			else if (action instanceof ListingAction.ReadDelta read) {
-				this.source.changes(read.fromOffset()).thenAccept(this::onRead);
+			else if (action instanceof ListingAction.ReadDelta readDelta) {
+				this.source.changes(readDelta.fromOffset()).thenAccept(this::onRead);
 			}
 		}
 	}
@@ -170,15 +172,15 @@
 	}
 
 	/**
-	 * Returns how old the list is at most.
-	 * @return the time since the platform was asked for what is known, in milliseconds
+	 * Returns the upper bound of the list's age.
+	 * @return the time since the platform read that the list is based on, in milliseconds
 	 */
 	public long ageMillis() {
 		return this.ageMillis;
 	}
 
 	/**
-	 * Returns whether this daemon reads the list for others.
+	 * Returns whether this daemon reads the platform's list on behalf of others.
 	 * @return whether it does
 	 */
 	public boolean readsForOthers() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingMessage.java
@@ -5,32 +5,32 @@
 import org.pistachioline.core.listing.ListingResponse;
 
 /**
- * What the listing duty is told.
+ * A message in the ring of the {@link ListingDuty}.
  */
 sealed interface ListingMessage {
 
 	/**
-	 * Another daemon asks.
+	 * A request arrived from another daemon.
 	 *
-	 * @param request the question
+	 * @param request the request
 	 */
 	record RequestReceived(ListingRequest request) implements ListingMessage {
 
 	}
 
 	/**
-	 * Another daemon answers.
+	 * A response arrived from another daemon.
 	 *
-	 * @param response the answer
+	 * @param response the response
 	 */
 	record ResponseReceived(ListingResponse response) implements ListingMessage {
 
 	}
 
 	/**
-	 * The platform answered, or did not.
+	 * A read from the platform has completed or failed.
 	 *
-	 * @param read what came of the read
+	 * @param read the result
 	 */
 	record ReadCompleted(ListingRead read) implements ListingMessage {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The duty that follows the platform's list of instances, together with other daemons.
+ * The duty that keeps the platform's instance list current, and its messages to other
+ * daemons.
  */
 package org.pistachioline.daemon.listing;
