--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
@@ -3,7 +3,7 @@
 import org.pistachioline.core.backoff.BackoffBook;
 import org.pistachioline.core.backoff.InstanceBackoff;
 import org.pistachioline.core.limit.InstanceLimit;
-import org.pistachioline.core.traffic.AttemptEnd;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TargetView;
 
 /**
@@ -144,17 +144,17 @@
 	 * @param costTokens the request's cost
 	 * @param how how it ended
 	 */
-	public void onEnd(long nowNanos, long costTokens, AttemptEnd how) {
+	public void onEnd(long nowNanos, long costTokens, AttemptOutcome how) {
 		this.inFlight--;
 		this.inFlightTokens -= costTokens;
-		if (how == AttemptEnd.COMPLETE) {
+		if (how == AttemptOutcome.COMPLETE) {
 			this.consecutiveFailures = 0;
 			this.progressAtNanos = nowNanos;
 		}
-		else if (how == AttemptEnd.FAILURE_ANSWERED) {
+		else if (how == AttemptOutcome.FAILURE_ANSWERED) {
 			this.progressAtNanos = nowNanos;
 		}
-		else if (how != AttemptEnd.CANCELLED && how != AttemptEnd.WITHHELD) {
+		else if (how != AttemptOutcome.CANCELLED && how != AttemptOutcome.WITHHELD) {
 			this.consecutiveFailures++;
 			this.lastFailureNanos = nowNanos;
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
@@ -19,7 +19,7 @@
 	public Waiting next(long nowNanos, long firstTokenNanos, NavigableSet<Waiting> queue) {
 		int looked = 0;
 		for (final Waiting waiting : queue) {
-			if (nowNanos + firstTokenNanos <= waiting.info().onTimeNanos()) {
+			if (nowNanos + firstTokenNanos <= waiting.info().softDeadlineNanos()) {
 				return waiting;
 			}
 			looked++;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SupplyGuard.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
@@ -16,19 +16,19 @@
  * The queue expects its wait from what runs; where the targets name limits or want
  * nothing for a while it would keep callers until their time is up.
  */
-final class SupplyGuard {
+final class DeadlineAdmission {
 
 	private static final double NANOS_PER_MILLI = 1e6;
 
-	private static final long MOST_RETRY_MILLIS = 60_000;
+	private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final FlightBook flights;
+	private final ActiveRequests activeRequests;
 
-	SupplyGuard(TargetBook targets, FlightBook flights) {
+	DeadlineAdmission(TargetRegistry targets, ActiveRequests flights) {
 		this.targets = targets;
-		this.flights = flights;
+		this.activeRequests = flights;
 	}
 
 	/**
@@ -37,30 +37,30 @@
 	 * @param info the request
 	 * @return the refusal; empty where it can, or nothing stands in its way
 	 */
-	Optional<Refusal> refuse(long nowNanos, RequestInfo info) {
-		final Optional<PacedSupply> supply = supply(nowNanos, info);
+	Optional<Refusal> check(long nowNanos, RequestInfo info) {
+		final Optional<PacedSupply> supply = pacedSupply(nowNanos, info);
 		if (supply.isEmpty()) {
 			return Optional.empty();
 		}
-		final int others = waiting().getOrDefault(nameOf(info), 0);
-		return refuse(nowNanos, info, supply.get(), others, others);
+		final int others = queuedByName().getOrDefault(nameKey(info), 0);
+		return check(nowNanos, info, supply.get(), others, others);
 	}
 
 	/**
 	 * Refuses those who wait and whose turn cannot come in time any more.
 	 * @param nowNanos the monotonic time
 	 */
-	void refuseWaiting(long nowNanos) {
-		final Map<String, Integer> waiting = waiting();
+	void recheckQueued(long nowNanos) {
+		final Map<String, Integer> waiting = queuedByName();
 		final Map<String, Integer> ahead = new HashMap<>();
-		for (final Flight flight : this.flights.all()) {
-			final Optional<PacedSupply> supply = flight.queued ? supply(nowNanos, flight.info) : Optional.empty();
+		for (final ActiveRequest flight : this.activeRequests.all()) {
+			final Optional<PacedSupply> supply = flight.queued ? pacedSupply(nowNanos, flight.info) : Optional.empty();
 			if (supply.isPresent()) {
-				final String name = nameOf(flight.info);
-				final Optional<Refusal> refusal = refuse(nowNanos, flight.info, supply.get(),
+				final String name = nameKey(flight.info);
+				final Optional<Refusal> refusal = check(nowNanos, flight.info, supply.get(),
 						ahead.getOrDefault(name, 0), waiting.get(name) - 1);
 				if (refusal.isPresent()) {
-					this.flights.end(nowNanos, flight, refusal.get().kind(), refusal.get().retryAfterMillis());
+					this.activeRequests.fail(nowNanos, flight, refusal.get().kind(), refusal.get().retryAfterMillis());
 					waiting.merge(name, -1, Integer::sum);
 				}
 				else {
@@ -75,8 +75,8 @@
 	 * @param nowNanos the monotonic time
 	 */
 	void onTick(long nowNanos) {
-		if (this.targets.anyPacedSupply(nowNanos)) {
-			refuseWaiting(nowNanos);
+		if (this.targets.hasPacedTargets(nowNanos)) {
+			recheckQueued(nowNanos);
 		}
 	}
 
@@ -87,44 +87,45 @@
 	 * @param usualMillis when it may where nothing is known of what the targets take
 	 * @return the time, in milliseconds
 	 */
-	long retryMillis(long nowNanos, RequestInfo info, long usualMillis) {
-		return supply(nowNanos, info).map((supply) -> Math.max(usualMillis, spread(info, supply, 0).retryAfterMillis()))
+	long retryAfterMillis(long nowNanos, RequestInfo info, long usualMillis) {
+		return pacedSupply(nowNanos, info)
+			.map((supply) -> Math.max(usualMillis, refusal(info, supply, 0).retryAfterMillis()))
 			.orElse(usualMillis);
 	}
 
-	private Optional<PacedSupply> supply(long nowNanos, RequestInfo info) {
-		final TargetSet set = this.targets.set(info);
+	private Optional<PacedSupply> pacedSupply(long nowNanos, RequestInfo info) {
+		final TargetSet set = this.targets.targetSet(info);
 		return (set != null) ? set.pacedSupply(nowNanos) : Optional.empty();
 	}
 
-	private Map<String, Integer> waiting() {
+	private Map<String, Integer> queuedByName() {
 		final Map<String, Integer> waiting = new HashMap<>();
-		this.flights.all()
+		this.activeRequests.all()
 			.stream()
 			.filter((flight) -> flight.queued)
-			.forEach((flight) -> waiting.merge(nameOf(flight.info), 1, Integer::sum));
+			.forEach((flight) -> waiting.merge(nameKey(flight.info), 1, Integer::sum));
 		return waiting;
 	}
 
-	private static String nameOf(RequestInfo info) {
+	private static String nameKey(RequestInfo info) {
 		return info.targetKind() + info.name();
 	}
 
 	// Whoever is late while others wait is overtaken by those who are on time; where a
 	// target takes all that waits as soon as its rest is over, nobody is.
-	private static Optional<Refusal> refuse(long nowNanos, RequestInfo info, PacedSupply supply, int ahead,
-			int others) {
+	private static Optional<Refusal> check(long nowNanos, RequestInfo info, PacedSupply supply, int ahead, int others) {
 		final long halfNanos = (info.firstTokenDeadlineNanos() - nowNanos) / 2;
-		final long allowedNanos = (others > 0) ? info.onTimeNanos() - nowNanos : halfNanos;
+		final long allowedNanos = (others > 0) ? info.softDeadlineNanos() - nowNanos : halfNanos;
 		if (supply.openWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
 			return Optional.empty();
 		}
-		return Optional.of(spread(info, supply, ahead));
+		return Optional.of(refusal(info, supply, ahead));
 	}
 
-	private static Refusal spread(RequestInfo info, PacedSupply supply, int ahead) {
-		final double millis = Math.max(FlightBook.LEAST_RETRY_MILLIS, supply.returnNanos(ahead) / NANOS_PER_MILLI);
-		return Refusal.spread(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MOST_RETRY_MILLIS);
+	private static Refusal refusal(RequestInfo info, PacedSupply supply, int ahead) {
+		final double millis = Math.max(ActiveRequests.MIN_RETRY_AFTER_MILLIS,
+				supply.returnNanos(ahead) / NANOS_PER_MILLI);
+		return Refusal.spread(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MAX_RETRY_AFTER_MILLIS);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitWorldDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitWorldDaemon.java
@@ -9,9 +9,9 @@
 import org.pistachioline.core.placement.LiveDaemons;
 import org.pistachioline.core.quarantine.SharedDeaths;
 import org.pistachioline.core.retry.RetryBudget;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.RoutingPolicies;
 import org.pistachioline.core.traffic.TrafficAction;
@@ -115,7 +115,7 @@
 	}
 
 	List<StatedLimit> stated() {
-		return this.core.limits().stated(this.world.nowNanos());
+		return this.core.targetLimits().latestLimits(this.world.nowNanos());
 	}
 
 	/**
@@ -125,8 +125,8 @@
 	 */
 	void hear(List<StatedLimit> stated, long delayNanos) {
 		if (this.running) {
-			this.core.limits()
-				.hearFromPeer(this.world.nowNanos(),
+			this.core.targetLimits()
+				.onPeerLimits(this.world.nowNanos(),
 						stated.stream()
 							.map((heard) -> new StatedLimit(heard.instanceId(), heard.requestsPerSecond(),
 									heard.heardAtNanos() + delayNanos))
@@ -140,7 +140,8 @@
 		this.arrivedAtNanos.put(requestId, nowNanos);
 		act(this.core.onRequest(nowNanos,
 				new RequestInfo(requestId, "shop", this.world.kind(), "pool/m", 100, 60, 0, nowNanos + DEADLINE_NANOS,
-						nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, "", List.of(), 2, nowNanos + AIM_NANOS)));
+						nowNanos + DEADLINE_NANOS, true, ClaimRequirement.NONE, "", List.of(), 2,
+						nowNanos + AIM_NANOS)));
 	}
 
 	private void act(List<TrafficAction> actions) {
@@ -152,7 +153,7 @@
 			send(start);
 		}
 		else if (action instanceof TrafficAction.Cancel cancel) {
-			act(this.core.onAttemptEnd(this.world.nowNanos(), cancel.attempt(), AttemptEnd.CANCELLED, 0));
+			act(this.core.onAttemptEnd(this.world.nowNanos(), cancel.attempt(), AttemptOutcome.CANCELLED, 0));
 		}
 		else if (action instanceof TrafficAction.Finish finish) {
 			this.arrivedAtNanos.remove(finish.requestId());
@@ -179,7 +180,7 @@
 			inThisLife(ONE_WAY_NANOS, () -> onHead(start.attempt(), engine, sentAtNanos, limit));
 		});
 		inThisLife(RUN_NANOS,
-				() -> act(this.core.onAttemptEnd(this.world.nowNanos(), start.attempt(), AttemptEnd.COMPLETE, 10)));
+				() -> act(this.core.onAttemptEnd(this.world.nowNanos(), start.attempt(), AttemptOutcome.COMPLETE, 10)));
 	}
 
 	private void turnedAway(TrafficAction.Start start, LimitedEngine engine) {
@@ -187,8 +188,8 @@
 		inThisLife(ONE_WAY_NANOS, () -> {
 			this.world.askForRest(this, engine);
 			inThisLife(ONE_WAY_NANOS, () -> {
-				this.core.avoided().hearBackoff(this.world.nowNanos(), engine.id, restNanos);
-				act(this.core.onAttemptEnd(this.world.nowNanos(), start.attempt(), AttemptEnd.DECLINED, 0));
+				this.core.targetBackoffs().onBackoff(this.world.nowNanos(), engine.id, restNanos);
+				act(this.core.onAttemptEnd(this.world.nowNanos(), start.attempt(), AttemptOutcome.DECLINED, 0));
 			});
 		});
 	}
@@ -197,10 +198,10 @@
 		if (limit.isPresent()) {
 			this.toldAtNanos.putIfAbsent(engine.id, this.world.nowNanos());
 		}
-		this.core.limits().hear(this.world.nowNanos(), sentAtNanos, engine.id, limit);
+		this.core.targetLimits().onResponse(this.world.nowNanos(), sentAtNanos, engine.id, limit);
 		if (engine.leaving) {
 			engine.leavingToldNanos.putIfAbsent(this.id, this.world.nowNanos());
-			this.core.avoided().hearLeaving(this.world.nowNanos(), engine.id);
+			this.core.targetBackoffs().onLeaving(this.world.nowNanos(), engine.id);
 		}
 		this.core.onProgress(this.world.nowNanos(), attempt, 1);
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/SharedLimitTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/SharedLimitTests.java
@@ -69,7 +69,7 @@
 			world.run(10);
 			assertThat(world.engine(0).got - before).as("seed " + seed).isGreaterThan(40);
 			assertThat(world.daemons()).as("seed " + seed)
-				.allMatch((daemon) -> daemon.core().limits().reports(world.nowNanos()).isEmpty());
+				.allMatch((daemon) -> daemon.core().targetLimits().reports(world.nowNanos()).isEmpty());
 		}
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashWorld.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashWorld.java
@@ -99,7 +99,7 @@
 				final CrashWorldDaemon to = this.daemons.get(this.random.nextInt(this.daemons.size()));
 				frame(from, to, told);
 				if (to.running() && to.isNew(from)) {
-					frame(to, from, to.core().crashed().known());
+					frame(to, from, to.core().targetCrashes().knownSuspects());
 				}
 			}
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashWorldDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashWorldDaemon.java
@@ -8,9 +8,9 @@
 
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.retry.RetryBudget;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.RoutingPolicies;
 import org.pistachioline.core.traffic.TargetKind;
@@ -108,7 +108,7 @@
 	void tick() {
 		if (this.running) {
 			act(this.core.onTick(this.world.nowNanos()));
-			final List<SuspectedRequest> news = this.core.crashed().takeNews(this.world.nowNanos());
+			final List<SuspectedRequest> news = this.core.targetCrashes().drainBroadcast(this.world.nowNanos());
 			if (!news.isEmpty()) {
 				this.world.tellAll(this, news);
 			}
@@ -126,7 +126,7 @@
 	}
 
 	List<SuspectedRequest> sample() {
-		return this.core.crashed().sample(this.world.nowNanos());
+		return this.core.targetCrashes().gossipSample(this.world.nowNanos());
 	}
 
 	/**
@@ -137,8 +137,8 @@
 	 */
 	void hear(List<SuspectedRequest> told, long delayNanos) {
 		if (this.running) {
-			this.core.crashed()
-				.hearFromPeer(this.world.nowNanos(),
+			this.core.targetCrashes()
+				.onPeerReports(this.world.nowNanos(),
 						told.stream()
 							.map((request) -> new SuspectedRequest(request.fingerprint(),
 									request.deaths().stream().map((death) -> later(death, delayNanos)).toList()))
@@ -157,7 +157,7 @@
 		this.callers.put(requestId, new Caller(fingerprint, repeats));
 		act(this.core.onRequest(nowNanos,
 				new RequestInfo(requestId, "shop", TargetKind.MODEL, "pool/m", 100, 60, 0, nowNanos + DEADLINE_NANOS,
-						nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, fingerprint, List.of(), 2,
+						nowNanos + DEADLINE_NANOS, true, ClaimRequirement.NONE, fingerprint, List.of(), 2,
 						nowNanos + AIM_NANOS)));
 	}
 
@@ -174,7 +174,8 @@
 			.forEach((run) -> ((run.events <= FEW_EVENTS) ? beginning : underWay).add(run.fingerprint));
 		if (!beginning.isEmpty() || !underWay.isEmpty()) {
 			inThisLife(FOUND_DEAD_NANOS, () -> {
-				this.core.crashed().hear(this.world.nowNanos(), new TargetCrash(targetId, beginning, underWay));
+				this.core.targetCrashes()
+					.onCrash(this.world.nowNanos(), new TargetCrash(targetId, beginning, underWay));
 				act(this.core.onTick(this.world.nowNanos()));
 			});
 		}
@@ -192,7 +193,7 @@
 		else if (action instanceof TrafficAction.Cancel cancel) {
 			final Sent sent = this.live.get(cancel.attempt());
 			this.world.after(ONE_WAY_NANOS, () -> sent.target.drop(sent));
-			sent.end(AttemptEnd.CANCELLED, 0);
+			sent.end(AttemptOutcome.CANCELLED, 0);
 		}
 		else if (action instanceof TrafficAction.Finish) {
 			final Caller caller = this.callers.remove(requestId);
@@ -218,7 +219,7 @@
 		this.live.put(start.attempt(), sent);
 		inThisLife(ONE_WAY_NANOS, () -> {
 			if (target == null || !target.up() || !target.is(start.target().targetId())) {
-				inThisLife(ONE_WAY_NANOS, () -> sent.end(AttemptEnd.NOT_CONNECTED, 0));
+				inThisLife(ONE_WAY_NANOS, () -> sent.end(AttemptOutcome.NOT_CONNECTED, 0));
 			}
 			else if (!sent.over) {
 				target.run(sent, fingerprint);
@@ -274,14 +275,14 @@
 		}
 
 		void complete() {
-			inThisLife(ONE_WAY_NANOS, () -> end(AttemptEnd.COMPLETE, 0));
+			inThisLife(ONE_WAY_NANOS, () -> end(AttemptOutcome.COMPLETE, 0));
 		}
 
 		void broken(int events) {
-			inThisLife(ONE_WAY_NANOS, () -> end(AttemptEnd.BROKEN, events));
+			inThisLife(ONE_WAY_NANOS, () -> end(AttemptOutcome.BROKEN, events));
 		}
 
-		private void end(AttemptEnd how, int events) {
+		private void end(AttemptOutcome how, int events) {
 			if (!this.over) {
 				this.over = true;
 				CrashWorldDaemon.this.live.remove(this.attempt);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/SharedDeathsTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/SharedDeathsTests.java
@@ -123,7 +123,7 @@
 		world.popular("popular", 10);
 		for (int second = 0; second < 30; second++) {
 			world.run(1);
-			assertThat(world.daemon(0).core().crashed().quarantined()).isEmpty();
+			assertThat(world.daemon(0).core().targetCrashes().quarantined()).isEmpty();
 		}
 	}
 
@@ -174,7 +174,8 @@
 			world.daemon(1).start();
 			world.run(3);
 			assertThat(world.daemons()).as("seed " + seed)
-				.allMatch((daemon) -> daemon.core().crashed().quarantined().equals(Set.of(CrashWorld.KILLER + "a")));
+				.allMatch((
+						daemon) -> daemon.core().targetCrashes().quarantined().equals(Set.of(CrashWorld.KILLER + "a")));
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -28,7 +28,7 @@
 import org.pistachioline.core.route.Route;
 import org.pistachioline.core.route.RouteKind;
 import org.pistachioline.core.route.RouteTable;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
@@ -119,7 +119,7 @@
 		return new RequestInfo(id, call.workspace().orElse(""), grouped ? TargetKind.MODEL : TargetKind.SERVICE,
 				grouped ? ServingGroups.targetName(service, head.model().orElse("")) : service, head.promptTokens(),
 				head.maxOutputTokens(), HIGHEST_PRIORITY - rank, startNanos, deadlineNanos, route.idempotent(),
-				ClaimNeed.NONE, RequestFingerprint.of(call), List.of(), Math.max(1, route.maxAttempts()),
+				ClaimRequirement.NONE, RequestFingerprint.of(call), List.of(), Math.max(1, route.maxAttempts()),
 				arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(route.targetLatencyMillis()));
 	}
 
