--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PoolCensus.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PoolCensus.java
@@ -46,7 +46,7 @@
 	}
 
 	private static double share(EngineModel model) {
-		return Math.max(model.shareRatio(), LEAST_SHARE);
+		return Math.max(model.initialShareRatio(), LEAST_SHARE);
 	}
 
 	int inDomain(String model, String domain) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
@@ -6,8 +6,8 @@
 
 import org.pistachioline.core.admission.Refusal;
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.placement.PacedSupply;
 import org.pistachioline.core.placement.TargetSet;
+import org.pistachioline.core.placement.ThrottledCapacity;
 
 /**
  * Refuses the requests whose turn cannot come in time since all their targets take less
@@ -38,7 +38,7 @@
 	 * @return the refusal; empty where it can, or nothing stands in its way
 	 */
 	Optional<Refusal> check(long nowNanos, RequestInfo info) {
-		final Optional<PacedSupply> supply = pacedSupply(nowNanos, info);
+		final Optional<ThrottledCapacity> supply = pacedSupply(nowNanos, info);
 		if (supply.isEmpty()) {
 			return Optional.empty();
 		}
@@ -54,7 +54,8 @@
 		final Map<String, Integer> waiting = queuedByName();
 		final Map<String, Integer> ahead = new HashMap<>();
 		for (final ActiveRequest flight : this.activeRequests.all()) {
-			final Optional<PacedSupply> supply = flight.queued ? pacedSupply(nowNanos, flight.info) : Optional.empty();
+			final Optional<ThrottledCapacity> supply = flight.queued ? pacedSupply(nowNanos, flight.info)
+					: Optional.empty();
 			if (supply.isPresent()) {
 				final String name = nameKey(flight.info);
 				final Optional<Refusal> refusal = check(nowNanos, flight.info, supply.get(),
@@ -93,9 +94,9 @@
 			.orElse(usualMillis);
 	}
 
-	private Optional<PacedSupply> pacedSupply(long nowNanos, RequestInfo info) {
+	private Optional<ThrottledCapacity> pacedSupply(long nowNanos, RequestInfo info) {
 		final TargetSet set = this.targets.targetSet(info);
-		return (set != null) ? set.pacedSupply(nowNanos) : Optional.empty();
+		return (set != null) ? set.throttledCapacity(nowNanos) : Optional.empty();
 	}
 
 	private Map<String, Integer> queuedByName() {
@@ -113,19 +114,20 @@
 
 	// Whoever is late while others wait is overtaken by those who are on time; where a
 	// target takes all that waits as soon as its rest is over, nobody is.
-	private static Optional<Refusal> check(long nowNanos, RequestInfo info, PacedSupply supply, int ahead, int others) {
+	private static Optional<Refusal> check(long nowNanos, RequestInfo info, ThrottledCapacity supply, int ahead,
+			int others) {
 		final long halfNanos = (info.firstTokenDeadlineNanos() - nowNanos) / 2;
 		final long allowedNanos = (others > 0) ? info.softDeadlineNanos() - nowNanos : halfNanos;
-		if (supply.openWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
+		if (supply.backoffWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
 			return Optional.empty();
 		}
 		return Optional.of(refusal(info, supply, ahead));
 	}
 
-	private static Refusal refusal(RequestInfo info, PacedSupply supply, int ahead) {
+	private static Refusal refusal(RequestInfo info, ThrottledCapacity supply, int ahead) {
 		final double millis = Math.max(ActiveRequests.MIN_RETRY_AFTER_MILLIS,
-				supply.returnNanos(ahead) / NANOS_PER_MILLI);
-		return Refusal.spread(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MAX_RETRY_AFTER_MILLIS);
+				supply.retryAfterNanos(ahead) / NANOS_PER_MILLI);
+		return Refusal.withJitter(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MAX_RETRY_AFTER_MILLIS);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
@@ -77,8 +77,8 @@
 		if (known == null) {
 			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.of(view.instanceId()),
 					this.backoffs.of(view.instanceId()));
-			if (view.kind() == TargetKind.MODEL && this.placement.groupsStartWarm()) {
-				added.warm();
+			if (view.kind() == TargetKind.MODEL && this.placement.newGroupsSkipSlowStart()) {
+				added.skipSlowStart();
 			}
 			return added;
 		}
@@ -94,7 +94,7 @@
 				next.putIfAbsent(targetId, load);
 			}
 			else if (!next.containsKey(targetId)) {
-				this.placement.forget(targetId);
+				this.placement.removeTarget(targetId);
 			}
 		});
 	}
@@ -108,7 +108,7 @@
 			return gone;
 		});
 		byName.forEach((name, members) -> this.setsByName
-			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.guardsTargets()))
+			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.protectsTargets()))
 			.replace(nowNanos, members, this.daemonRank));
 	}
 
@@ -201,7 +201,7 @@
 	}
 
 	boolean hasPacedTargets(long nowNanos) {
-		return this.setsByName.values().stream().anyMatch((set) -> set.pacedSupply(nowNanos).isPresent());
+		return this.setsByName.values().stream().anyMatch((set) -> set.throttledCapacity(nowNanos).isPresent());
 	}
 
 	int freeSlots(RequestInfo info) {
@@ -213,7 +213,7 @@
 
 	List<TargetLoad> availableTargets(RequestInfo info) {
 		final TargetSet set = targetSet(info);
-		return (set != null) ? set.open() : List.of();
+		return (set != null) ? set.available() : List.of();
 	}
 
 	List<TargetLoad> allTargets(RequestInfo info) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -110,7 +110,7 @@
 	 * @return what must be done next
 	 */
 	public List<TrafficAction> onShares(long nowNanos, LiveDaemons daemons, Map<String, Double> shareRatios) {
-		this.policies.admission().share(nowNanos, shareRatios);
+		this.policies.admission().updateShares(nowNanos, shareRatios);
 		this.targets.onLiveDaemons(nowNanos, daemons);
 		return dispatchReady(nowNanos);
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -330,7 +330,7 @@
 		if (!this.relay.listening()) {
 			return Optional.of("callers are not served yet");
 		}
-		if (!this.table.known()) {
+		if (!this.table.isKnown()) {
 			return Optional.of("no configuration is known");
 		}
 		if (!this.listed) {
