--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PacedSupply.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PacedSupply.java
@@ -42,11 +42,11 @@
 			}
 			any = true;
 			final InstanceLimit limit = load.limit();
-			final long restNanos = load.backoff().leftNanos(nowNanos);
+			final long restNanos = load.backoff().remainingNanos(nowNanos);
 			if (limit.isLimited()) {
 				nextNanos = Math.min(nextNanos, Math.max(restNanos, waitNanos(nowNanos, limit)));
-				own += limit.ownPerSecond();
-				all += limit.perSecond();
+				own += limit.ownRequestsPerSecond();
+				all += limit.requestsPerSecond();
 			}
 			else {
 				openNanos = Math.min(openNanos, restNanos);
@@ -60,7 +60,7 @@
 		if (limit.mayStart(nowNanos)) {
 			return 0;
 		}
-		return (limit.ownPerSecond() > 0) ? limit.nextStartNanos() - nowNanos : NEVER_NANOS;
+		return (limit.ownRequestsPerSecond() > 0) ? limit.nextStartNanos() - nowNanos : NEVER_NANOS;
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
@@ -1,6 +1,6 @@
 package org.pistachioline.core.placement;
 
-import org.pistachioline.core.backoff.BackoffBook;
+import org.pistachioline.core.backoff.BackoffRegistry;
 import org.pistachioline.core.backoff.InstanceBackoff;
 import org.pistachioline.core.limit.InstanceLimit;
 import org.pistachioline.core.traffic.AttemptEnd;
@@ -64,7 +64,7 @@
 	 */
 	public TargetLoad(TargetView view, long nowNanos) {
 		this(view, nowNanos, new InstanceLimit(view.instanceId(), LiveDaemons.ALONE),
-				new BackoffBook().of(view.instanceId()));
+				new BackoffRegistry().getOrCreate(view.instanceId()));
 	}
 
 	/**
@@ -214,7 +214,7 @@
 	 * @return whether it may be started then, as far as is known
 	 */
 	public boolean mayStart(long atNanos) {
-		return this.limit.mayStart(atNanos) && !this.backoff.holds(atNanos);
+		return this.limit.mayStart(atNanos) && !this.backoff.isActive(atNanos);
 	}
 
 	/**
@@ -223,7 +223,7 @@
 	 * @return whether it names a limit or wants nothing for a while, or any more
 	 */
 	boolean isPaced(long nowNanos) {
-		return this.limit.isLimited() || this.backoff.holds(nowNanos);
+		return this.limit.isLimited() || this.backoff.isActive(nowNanos);
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcomes.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcomes.java
@@ -58,7 +58,7 @@
 		if (how == AttemptEnd.COMPLETE) {
 			flight.ran = true;
 			flight.complete = true;
-			this.policies.killer().onSurvived(flight.info.fingerprint(), true);
+			this.policies.killer().onRunPastCrash(flight.info.fingerprint(), true);
 			this.flights.forget(nowNanos, flight);
 			this.policies.retry().onSuccess(nowNanos);
 			this.flights.act(new TrafficAction.Finish(flight.info.requestId()));
@@ -69,11 +69,11 @@
 			return;
 		}
 		if (how == AttemptEnd.BROKEN) {
-			flight.notBeforeNanos = nowNanos + this.policies.killer().pauseNanos(flight.info.fingerprint());
+			flight.notBeforeNanos = nowNanos + this.policies.killer().retryDelayNanos(flight.info.fingerprint());
 			this.suspects.onDeath(nowNanos, flight);
 		}
 		else if (how == AttemptEnd.FAILURE_ANSWERED) {
-			this.policies.killer().onAnswered(flight.info.fingerprint());
+			this.policies.killer().onErrorResponse(flight.info.fingerprint());
 		}
 		afterFailure(nowNanos, flight, how);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/CrashedTargets.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/CrashedTargets.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.quarantine.DeathReport;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.CrashReport;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
 
@@ -16,11 +16,11 @@
  */
 public final class CrashedTargets {
 
-	private final KillerPolicy killer;
+	private final QuarantinePolicy killer;
 
 	private final FlightBook flights;
 
-	CrashedTargets(KillerPolicy killer, FlightBook flights) {
+	CrashedTargets(QuarantinePolicy killer, FlightBook flights) {
 		this.killer = killer;
 		this.flights = flights;
 	}
@@ -45,7 +45,7 @@
 	 */
 	public Set<String> hearFromPeer(long nowNanos, List<SuspectedRequest> told) {
 		final Set<String> before = this.killer.quarantined();
-		this.killer.onTold(nowNanos, told);
+		this.killer.onPeerReports(nowNanos, told);
 		return endQuarantined(nowNanos, before);
 	}
 
@@ -79,7 +79,7 @@
 	 * @return the requests
 	 */
 	public List<SuspectedRequest> takeNews(long nowNanos) {
-		return this.killer.takeNews(nowNanos);
+		return this.killer.drainBroadcast(nowNanos);
 	}
 
 	/**
@@ -88,7 +88,7 @@
 	 * @return some requests
 	 */
 	public List<SuspectedRequest> sample(long nowNanos) {
-		return this.killer.sample(nowNanos);
+		return this.killer.gossipSample(nowNanos);
 	}
 
 	/**
@@ -96,7 +96,7 @@
 	 * @return the requests
 	 */
 	public List<SuspectedRequest> known() {
-		return this.killer.known();
+		return this.killer.knownSuspects();
 	}
 
 	/**
@@ -104,7 +104,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
-	public List<DeathReport> reports(long nowNanos) {
+	public List<CrashReport> reports(long nowNanos) {
 		return this.killer.reports(nowNanos);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Isolation.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Isolation.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 import org.pistachioline.core.placement.TargetLoad;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 
 /**
  * Keeps requests that may crash targets from doing so at several at once.
@@ -21,13 +21,13 @@
  */
 final class Isolation {
 
-	private final KillerPolicy killer;
+	private final QuarantinePolicy killer;
 
 	private final Map<String, Long> suspectsByTargetId = new HashMap<>();
 
 	private final Map<String, Flight> unproven = new HashMap<>();
 
-	Isolation(KillerPolicy killer) {
+	Isolation(QuarantinePolicy killer) {
 		this.killer = killer;
 	}
 
@@ -67,7 +67,7 @@
 			flight.apart = true;
 			this.suspectsByTargetId.put(flight.target.targetId(), flight.info.requestId());
 		}
-		if (!this.killer.isProven(fingerprint)) {
+		if (!this.killer.isTrusted(fingerprint)) {
 			this.unproven.putIfAbsent(fingerprint, flight);
 		}
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/LimitedTargets.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/LimitedTargets.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 
 /**
  * Keeps to the limits that targets name.
@@ -43,8 +43,8 @@
 	 * @param stated what instances said
 	 * @return those that change anything
 	 */
-	public List<StatedLimit> hearFromPeer(long nowNanos, List<StatedLimit> stated) {
-		final List<StatedLimit> changed = this.targets.hearLimitsOfPeer(nowNanos, stated);
+	public List<AdvertisedLimit> hearFromPeer(long nowNanos, List<AdvertisedLimit> stated) {
+		final List<AdvertisedLimit> changed = this.targets.hearLimitsOfPeer(nowNanos, stated);
 		if (!changed.isEmpty()) {
 			this.guard.refuseWaiting(nowNanos);
 		}
@@ -56,8 +56,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return what instances said last, the newest first
 	 */
-	public List<StatedLimit> stated(long nowNanos) {
-		return this.targets.limits().stated(nowNanos);
+	public List<AdvertisedLimit> stated(long nowNanos) {
+		return this.targets.limits().latestLimits(nowNanos);
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectWatch.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectWatch.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.traffic;
 
-import org.pistachioline.core.quarantine.DeathVerdict;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.CrashVerdict;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 
 /**
  * Tells which requests a group died under, and when one of them may run again.
@@ -25,13 +25,13 @@
 	 */
 	private static final long UNLIKELY_SUSPECT_WAIT_NANOS = 1_000_000_000L;
 
-	private final KillerPolicy killer;
+	private final QuarantinePolicy killer;
 
 	private final Isolation isolation;
 
 	private final FlightBook flights;
 
-	SuspectWatch(KillerPolicy killer, Isolation isolation, FlightBook flights) {
+	SuspectWatch(QuarantinePolicy killer, Isolation isolation, FlightBook flights) {
 		this.killer = killer;
 		this.isolation = isolation;
 		this.flights = flights;
@@ -42,7 +42,7 @@
 			this.isolation.onToken(flight);
 		}
 		if (flight.apart && flight.tokensDelivered >= flight.resumedFromTokens + TOKENS_PAST_DEATH) {
-			this.killer.onSurvived(flight.info.fingerprint(), false);
+			this.killer.onRunPastCrash(flight.info.fingerprint(), false);
 			this.isolation.onLeave(flight);
 		}
 	}
@@ -51,12 +51,13 @@
 		if (flight.info.targetKind() != TargetKind.MODEL) {
 			return;
 		}
-		final DeathVerdict verdict = this.killer.onDeath(nowNanos, flight.info.fingerprint(), flight.target.targetId());
-		if (verdict != DeathVerdict.EXCUSED) {
+		final CrashVerdict verdict = this.killer.onBrokenAttempt(nowNanos, flight.info.fingerprint(),
+				flight.target.targetId());
+		if (verdict != CrashVerdict.EXCUSED) {
 			this.flights.act(new TrafficAction.Suspect(flight.info.requestId(), flight.info.fingerprint(),
-					flight.target, verdict == DeathVerdict.QUARANTINED));
+					flight.target, verdict == CrashVerdict.QUARANTINED));
 		}
-		if (verdict == DeathVerdict.SUSPECTED) {
+		if (verdict == CrashVerdict.SUSPECTED) {
 			final boolean likely = flight.tokensDelivered == flight.resumedFromTokens;
 			flight.notBeforeNanos = nowNanos + (likely ? SUSPECT_WAIT_NANOS : UNLIKELY_SUSPECT_WAIT_NANOS);
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetBook.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetBook.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import org.pistachioline.core.backoff.BackoffBook;
-import org.pistachioline.core.limit.LimitBook;
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.backoff.BackoffRegistry;
+import org.pistachioline.core.limit.AdvertisedLimit;
+import org.pistachioline.core.limit.LimitRegistry;
 import org.pistachioline.core.placement.DaemonRank;
 import org.pistachioline.core.placement.LiveDaemons;
 import org.pistachioline.core.placement.PlacementPolicy;
@@ -32,9 +32,9 @@
 
 	private final Map<String, Long> notServingSinceNanos = new HashMap<>();
 
-	private final LimitBook limits = new LimitBook();
+	private final LimitRegistry limits = new LimitRegistry();
 
-	private final BackoffBook backoffs = new BackoffBook();
+	private final BackoffRegistry backoffs = new BackoffRegistry();
 
 	private DaemonRank daemons = DaemonRank.ALONE;
 
@@ -75,8 +75,8 @@
 	private TargetLoad loadOf(long nowNanos, TargetView view) {
 		final TargetLoad known = this.loads.get(view.targetId());
 		if (known == null) {
-			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.of(view.instanceId()),
-					this.backoffs.of(view.instanceId()));
+			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.getOrCreate(view.instanceId()),
+					this.backoffs.getOrCreate(view.instanceId()));
 			if (view.kind() == TargetKind.MODEL && this.placement.groupsStartWarm()) {
 				added.warm();
 			}
@@ -119,21 +119,21 @@
 	}
 
 	void share(long nowNanos, LiveDaemons live) {
-		this.limits.share(nowNanos, live);
+		this.limits.onLiveDaemons(nowNanos, live);
 		this.daemons = live.rank();
 		refresh(nowNanos);
 	}
 
 	boolean hearLimit(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
-		final boolean changed = this.limits.onAnswer(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
+		final boolean changed = this.limits.onResponse(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
 		if (changed) {
 			refresh(nowNanos);
 		}
 		return changed;
 	}
 
-	List<StatedLimit> hearLimitsOfPeer(long nowNanos, List<StatedLimit> stated) {
-		final List<StatedLimit> changed = this.limits.onPeer(nowNanos, stated);
+	List<AdvertisedLimit> hearLimitsOfPeer(long nowNanos, List<AdvertisedLimit> stated) {
+		final List<AdvertisedLimit> changed = this.limits.onPeerLimits(nowNanos, stated);
 		if (!changed.isEmpty()) {
 			refresh(nowNanos);
 		}
@@ -171,11 +171,11 @@
 		}
 	}
 
-	BackoffBook backoffs() {
+	BackoffRegistry backoffs() {
 		return this.backoffs;
 	}
 
-	LimitBook limits() {
+	LimitRegistry limits() {
 		return this.limits;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -123,7 +123,7 @@
 	 * @return what must be done next
 	 */
 	public List<TrafficAction> onKillers(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
-		this.policies.killer().onAgreed(nowNanos, quarantined, suspectTargetIds);
+		this.policies.killer().onLogState(nowNanos, quarantined, suspectTargetIds);
 		for (final Flight flight : this.flights.all()) {
 			if (flight.liveAttempt == null && quarantined.contains(flight.info.fingerprint())) {
 				this.flights.end(nowNanos, flight, ErrorKind.QUARANTINED, 0);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
@@ -2,7 +2,7 @@
 
 import org.pistachioline.core.admission.AdmissionPolicy;
 import org.pistachioline.core.placement.PlacementPolicy;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.queueing.QueuePolicy;
 import org.pistachioline.core.retry.RetryPolicy;
 
@@ -17,7 +17,7 @@
  * @param shift when a running stream is moved to another target
  */
 public record TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement,
-		RetryPolicy retry, KillerPolicy killer, ShiftPolicy shift) {
+		RetryPolicy retry, QuarantinePolicy killer, ShiftPolicy shift) {
 
 	/**
 	 * Puts together policies with the usual rules for moving streams.
@@ -28,7 +28,7 @@
 	 * @param killer which requests are suspected of crashing targets
 	 */
 	public TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement, RetryPolicy retry,
-			KillerPolicy killer) {
+			QuarantinePolicy killer) {
 		this(admission, queue, placement, retry, killer, new ShiftRules());
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/KillerRequestTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/KillerRequestTests.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.quarantine.DeathCounter;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.quarantine.NoQuarantine;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.record.LogRecord;
 import org.pistachioline.core.record.RecordBody;
 import org.pistachioline.core.record.RequestQuarantine;
@@ -32,7 +32,7 @@
 	// time to another daemon. Users of all other requests would see group after group go.
 	@Test
 	void aKillerRepeatedAtEveryDaemonCostsTwoGroups() {
-		final Fleet fleet = new Fleet(4, 6, DeathCounter::new);
+		final Fleet fleet = new Fleet(4, 6, LogBasedQuarantine::new);
 		fleet.startInnocents(3);
 		for (int i = 0; i < REPEATS; i++) {
 			fleet.repeatKiller(i % 4);
@@ -58,7 +58,7 @@
 	// Spread over three groups they would take all three before anything is known.
 	@Test
 	void copiesSentAtOnceToOneDaemonRunOnOneGroup() {
-		final Fleet fleet = new Fleet(1, 4, DeathCounter::new);
+		final Fleet fleet = new Fleet(1, 4, LogBasedQuarantine::new);
 		for (int i = 0; i < 3; i++) {
 			fleet.arrive(0, KILLER);
 		}
@@ -72,7 +72,7 @@
 	// dead group only afterwards. Two groups are lost, and no third.
 	@Test
 	void copiesSentAtOnceToTwoDaemonsCostTwoGroups() {
-		final Fleet fleet = new Fleet(2, 6, DeathCounter::new);
+		final Fleet fleet = new Fleet(2, 6, LogBasedQuarantine::new);
 		fleet.arrive(0, "filler");
 		fleet.arrive(0, KILLER);
 		fleet.arrive(1, KILLER);
@@ -87,7 +87,7 @@
 	// again together on the next group they would die together, and all be condemned.
 	@Test
 	void suspectsOfOneBatchAreNotCondemnedTogether() {
-		final Fleet fleet = new Fleet(1, 2, DeathCounter::new);
+		final Fleet fleet = new Fleet(1, 2, LogBasedQuarantine::new);
 		for (int i = 0; i < 2 * TrafficHistory.SLOTS - 1; i++) {
 			fleet.arrive(0, "innocent-" + i);
 		}
@@ -107,7 +107,7 @@
 	// get their answers from what still works, not be told that their requests crash it.
 	@Test
 	void aRollingOutageQuarantinesNobodyWhoRunsOn() {
-		final Fleet fleet = new Fleet(2, 8, DeathCounter::new);
+		final Fleet fleet = new Fleet(2, 8, LogBasedQuarantine::new);
 		fleet.startInnocents(8);
 		for (int group = 0; group < 5; group++) {
 			fleet.kill("g" + group + "@1");
@@ -135,7 +135,7 @@
 
 		private long nextRequestId = 1;
 
-		Fleet(int daemonCount, int groupCount, Supplier<KillerPolicy> killer) {
+		Fleet(int daemonCount, int groupCount, Supplier<QuarantinePolicy> killer) {
 			for (int i = 0; i < daemonCount; i++) {
 				this.daemons.add(new TrafficHistory(killer.get()));
 			}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/ShiftTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/ShiftTests.java
@@ -4,7 +4,7 @@
 
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,7 +12,7 @@
 
 	private static final int DELIVERED = 10;
 
-	private final TrafficHistory history = new TrafficHistory(new DeathCounter());
+	private final TrafficHistory history = new TrafficHistory(new LogBasedQuarantine());
 
 	private TrafficHistory.Attempt onlyAttempt() {
 		assertThat(this.history.live).hasSize(1);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficHistoryTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficHistoryTests.java
@@ -10,12 +10,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-import org.pistachioline.core.quarantine.DeathCounter;
-import org.pistachioline.core.quarantine.DeathPhase;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
+import org.pistachioline.core.quarantine.GossipQuarantine;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.core.retry.RetryBudget;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -37,7 +37,7 @@
 	@Property(seed = "7201", tries = 400, shrinking = ShrinkingMode.OFF)
 	void whateverHappensEachRequestEndsOnceAndTruthfully(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final TrafficHistory history = new TrafficHistory(new DeathCounter());
+		final TrafficHistory history = new TrafficHistory(new LogBasedQuarantine());
 		views(history, random);
 		for (int step = 0; step < STEPS; step++) {
 			step(history, random);
@@ -62,7 +62,7 @@
 	void whateverHappensEachRelayedRequestEndsOnceAndTruthfully(@ForAll long seed) {
 		final Random random = new Random(seed);
 		final TrafficHistory history = new TrafficHistory(RoutingPolicies.create("a", seed,
-				new RetryBudget(0.2, 100, 10_000_000_000L), () -> 2, new SharedDeaths()));
+				new RetryBudget(0.2, 100, 10_000_000_000L), () -> 2, new GossipQuarantine()));
 		views(history, random);
 		for (int step = 0; step < STEPS; step++) {
 			relayedStep(history, random);
@@ -106,8 +106,8 @@
 	}
 
 	private static void told(TrafficHistory history, Random random) {
-		final TargetDeath death = new TargetDeath("elsewhere-" + random.nextInt(20), history.nowNanos,
-				random.nextBoolean() ? DeathPhase.BEGINNING : DeathPhase.UNDER_WAY, random.nextInt(4) == 0);
+		final CrashEvidence death = new CrashEvidence("elsewhere-" + random.nextInt(20), history.nowNanos,
+				random.nextBoolean() ? CrashPhase.STARTING : CrashPhase.IN_PROGRESS, random.nextInt(4) == 0);
 		history.core.crashed()
 			.hearFromPeer(history.nowNanos, List.of(new SuspectedRequest("f" + random.nextInt(12), List.of(death))));
 		history.pass(1);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -11,11 +11,11 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.endpoints.EndpointSelector;
-import org.pistachioline.core.endpoints.WarmUpRule;
+import org.pistachioline.core.endpoints.WarmUpPolicy;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.peer.PeerStatus;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.replica.PlannerCandidates;
 import org.pistachioline.core.replica.ServingInstance;
 import org.pistachioline.core.route.RouteTable;
@@ -138,7 +138,7 @@
 	private TrafficPolicies policies() {
 		final long seed = this.incarnation ^ ((long) this.settings.daemonId().hashCode() << Integer.SIZE);
 		return RoutingPolicies.create(this.settings.availabilityZone(), seed, this.settings.retryBudget(),
-				this::daemonCount, new SharedDeaths());
+				this::daemonCount, new GossipQuarantine());
 	}
 
 	private void connect() {
@@ -240,7 +240,7 @@
 	 * @return whether they can
 	 */
 	public boolean mayHoldBack() {
-		return WarmUpRule.mayHoldBack(status(), this.peers.others());
+		return WarmUpPolicy.shouldWarmUp(status(), this.peers.others());
 	}
 
 	/**
@@ -275,7 +275,7 @@
 	 * @return the addresses, the best first
 	 */
 	public List<String> endpoints(String availabilityZone) {
-		final List<String> chosen = EndpointSelector.choose(daemons(), availabilityZone, this.lookups.getAndIncrement())
+		final List<String> chosen = EndpointSelector.select(daemons(), availabilityZone, this.lookups.getAndIncrement())
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.quarantine.DeathReport;
+import org.pistachioline.core.quarantine.CrashReport;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
 import org.pistachioline.core.traffic.TrafficCore;
@@ -21,7 +21,7 @@
 	/** How old may be what operators and daemons that start are shown. */
 	private static final long SHOWN_NANOS = 500_000_000L;
 
-	private volatile List<DeathReport> reports = List.of();
+	private volatile List<CrashReport> reports = List.of();
 
 	private volatile List<SuspectedRequest> sample = List.of();
 
@@ -79,8 +79,8 @@
 	 * @return whether a request is quarantined since
 	 */
 	boolean hear(long nowNanos, TargetCrash crash, TrafficCore core) {
-		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.beginning().size(), "under_way",
-				crash.underWay().size());
+		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.startingFingerprints().size(),
+				"under_way", crash.inProgressFingerprints().size());
 		final boolean news = !core.crashed().hear(nowNanos, crash).isEmpty();
 		show(nowNanos, core);
 		tell(nowNanos, core);
@@ -171,7 +171,7 @@
 	 * Returns the requests under which targets died.
 	 * @return the requests, and which of them are quarantined
 	 */
-	public List<DeathReport> reports() {
+	public List<CrashReport> reports() {
 		return this.reports;
 	}
 
@@ -180,7 +180,7 @@
 	 * @return the number of requests
 	 */
 	public int quarantinedCount() {
-		return (int) this.reports.stream().filter(DeathReport::quarantined).count();
+		return (int) this.reports.stream().filter(CrashReport::quarantined).count();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitWatch.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 
 import org.pistachioline.core.event.EventId;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.daemon.event.Events;
 
@@ -18,7 +18,7 @@
 
 	private volatile Set<String> toldIds = Set.of();
 
-	private volatile List<StatedLimit> stated = List.of();
+	private volatile List<AdvertisedLimit> stated = List.of();
 
 	private volatile List<LimitReport> reports = List.of();
 
@@ -33,7 +33,7 @@
 		return requestsPerSecond.isPresent() || this.toldIds.contains(instanceId);
 	}
 
-	void onChange(StatedLimit heard, boolean toldByPeer) {
+	void onChange(AdvertisedLimit heard, boolean toldByPeer) {
 		if (heard.requestsPerSecond().isPresent()) {
 			Events.log(EventId.TARGET_LIMITED, "instance", heard.instanceId(), "requests_per_second",
 					heard.requestsPerSecond().getAsDouble(), "told_by_peer", toldByPeer);
@@ -46,10 +46,10 @@
 	void renew(long nowNanos, TrafficCore core) {
 		this.reports = core.limits().reports(nowNanos);
 		this.stated = core.limits().stated(nowNanos);
-		this.toldIds = this.stated.stream().map(StatedLimit::instanceId).collect(Collectors.toUnmodifiableSet());
+		this.toldIds = this.stated.stream().map(AdvertisedLimit::instanceId).collect(Collectors.toUnmodifiableSet());
 	}
 
-	List<StatedLimit> stated() {
+	List<AdvertisedLimit> stated() {
 		return this.stated;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetWatch.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
@@ -68,10 +68,10 @@
 	private boolean onLimit(long nowNanos, TrafficMessage.LimitHeard heard) {
 		return this.core.limits().hear(nowNanos, heard.sentAtNanos(), heard.instanceId(), heard.requestsPerSecond())
 				&& onLimitsChanged(nowNanos,
-						List.of(new StatedLimit(heard.instanceId(), heard.requestsPerSecond(), nowNanos)), false);
+						List.of(new AdvertisedLimit(heard.instanceId(), heard.requestsPerSecond(), nowNanos)), false);
 	}
 
-	private boolean onLimitsChanged(long nowNanos, List<StatedLimit> changed, boolean toldByPeer) {
+	private boolean onLimitsChanged(long nowNanos, List<AdvertisedLimit> changed, boolean toldByPeer) {
 		changed.forEach((heard) -> this.limits.onChange(heard, toldByPeer));
 		if (!changed.isEmpty()) {
 			this.limits.renew(nowNanos, this.core);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -13,8 +13,8 @@
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.event.EventId;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.state.FleetState;
@@ -220,7 +220,7 @@
 	 * beat brings it.
 	 * @param stated what the targets said
 	 */
-	public void limitsTold(List<StatedLimit> stated) {
+	public void limitsTold(List<AdvertisedLimit> stated) {
 		this.duty.offer(new TrafficMessage.LimitsTold(stated));
 	}
 
@@ -228,7 +228,7 @@
 	 * Returns what other daemons are to be told of targets' limits.
 	 * @return what the targets said last, the newest first
 	 */
-	public List<StatedLimit> statedLimits() {
+	public List<AdvertisedLimit> statedLimits() {
 		return this.watch.limits().stated();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.quarantine.SuspectedRequest;
@@ -129,7 +129,7 @@
 	 *
 	 * @param stated what the targets said
 	 */
-	record LimitsTold(List<StatedLimit> stated) implements TrafficMessage {
+	record LimitsTold(List<AdvertisedLimit> stated) implements TrafficMessage {
 	}
 
 	/**
