--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashEvidence.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashEvidence.java
@@ -1,27 +1,27 @@
 package org.pistachioline.core.quarantine;
 
 /**
- * The death of one target while it ran a request.
+ * Evidence against a request: one target crashed while running it.
  *
  * @param targetId the target
- * @param crashedAtNanos when it died, by this daemon's monotonic clock
- * @param phase how far it had come with the request
- * @param excused whether the request has run to its end since, so that it is not the
- * cause
+ * @param crashedAtNanos when the target crashed, by this daemon's monotonic clock
+ * @param phase how far the request had progressed on the target
+ * @param excused whether a target has since run the request without crashing, which
+ * clears it of this crash
  */
 public record CrashEvidence(String targetId, long crashedAtNanos, CrashPhase phase, boolean excused) {
 
 	/**
-	 * Puts together what two daemons know of the same death. The result does not depend
-	 * on who asks whom, and how often.
-	 * @param other the same death
-	 * @return the earlier time, the earlier phase, and excused if either is
+	 * Merges evidence of the same crash from two daemons. The operation is commutative,
+	 * associative and idempotent.
+	 * @param other evidence of the same crash
+	 * @return the earlier time and phase, excused if either is
 	 */
 	CrashEvidence merge(CrashEvidence other) {
-		final boolean earlier = other.crashedAtNanos - this.crashedAtNanos < 0;
-		final CrashPhase first = (other.phase == CrashPhase.STARTING) ? other.phase : this.phase;
-		return new CrashEvidence(this.targetId, earlier ? other.crashedAtNanos : this.crashedAtNanos, first,
-				this.excused || other.excused);
+		final boolean otherIsEarlier = other.crashedAtNanos - this.crashedAtNanos < 0;
+		final CrashPhase earlierPhase = (other.phase == CrashPhase.STARTING) ? other.phase : this.phase;
+		return new CrashEvidence(this.targetId, otherIsEarlier ? other.crashedAtNanos : this.crashedAtNanos,
+				earlierPhase, this.excused || other.excused);
 	}
 
 	CrashEvidence asExcused() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashHistory.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashHistory.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * The deaths of targets under one request, as far as this daemon knows.
+ * The crash evidence that this daemon knows against one request.
  */
 final class CrashHistory {
 
-	/** More are not needed for a verdict. */
+	/** Sufficient to reach the quarantine threshold. */
 	private static final int MAX_CRASHES = 8;
 
 	private final String fingerprint;
@@ -34,25 +34,26 @@
 	}
 
 	/**
-	 * Takes a death that was seen here or told.
-	 * @param death the death
-	 * @return whether that is news
+	 * Merges evidence of a crash, observed here or reported by a peer.
+	 * @param evidence the evidence
+	 * @return true if it changed what is known of the request
 	 */
-	boolean add(CrashEvidence death) {
-		final CrashEvidence known = this.evidenceByTargetId.get(death.targetId());
-		if (known == null && this.evidenceByTargetId.size() >= MAX_CRASHES && !evictExcused()) {
+	boolean add(CrashEvidence evidence) {
+		final CrashEvidence existing = this.evidenceByTargetId.get(evidence.targetId());
+		if (existing == null && this.evidenceByTargetId.size() >= MAX_CRASHES && !evictExcused()) {
 			return false;
 		}
-		if (this.evidenceByTargetId.isEmpty() || death.crashedAtNanos() - this.lastCrashNanos > 0) {
-			this.lastCrashNanos = death.crashedAtNanos();
+		if (this.evidenceByTargetId.isEmpty() || evidence.crashedAtNanos() - this.lastCrashNanos > 0) {
+			this.lastCrashNanos = evidence.crashedAtNanos();
 		}
-		final CrashEvidence merged = (known != null) ? known.merge(death) : death;
-		this.evidenceByTargetId.put(death.targetId(), merged);
-		// A death that only looks a little older than it was is no news.
-		return known == null || known.phase() != merged.phase() || known.excused() != merged.excused();
+		final CrashEvidence merged = (existing != null) ? existing.merge(evidence) : evidence;
+		this.evidenceByTargetId.put(evidence.targetId(), merged);
+		// An earlier time of the same crash alone does not count as a change.
+		return existing == null || existing.phase() != merged.phase() || existing.excused() != merged.excused();
 	}
 
-	// A popular request outlives many targets, and may begin to crash them all the same.
+	// A popular request that completes often may still begin to crash targets later, so
+	// excused evidence makes room for new evidence.
 	private boolean evictExcused() {
 		final Optional<String> excused = this.evidenceByTargetId.values()
 			.stream()
@@ -64,14 +65,14 @@
 	}
 
 	/**
-	 * Excuses all deaths, as the request has run to its end.
-	 * @return whether any death was held against it
+	 * Excuses all crashes, because a target has run the request without crashing.
+	 * @return true if any evidence against the request was not excused before
 	 */
 	boolean excuse() {
-		final boolean news = weight() > 0;
-		this.evidenceByTargetId.replaceAll((targetId, death) -> death.asExcused());
+		final boolean changed = weight() > 0;
+		this.evidenceByTargetId.replaceAll((targetId, evidence) -> evidence.asExcused());
 		this.outageChecked = false;
-		return news;
+		return changed;
 	}
 
 	int weight() {
@@ -79,41 +80,45 @@
 	}
 
 	/**
-	 * Weighs the deaths beside what else ran on the targets that died. One that another
-	 * request explains, as more targets died under that, does not count; one that another
-	 * explains as well counts half.
-	 * @param others all requests
-	 * @return the weight
+	 * Returns the weight of the crashes attributed to this request. A crash counts
+	 * nothing if another request that ran on the same target has more weight in total,
+	 * and half if another has the same weight.
+	 * @param others the histories of all requests
+	 * @return the attributed weight
 	 */
 	int attributedWeight(Collection<CrashHistory> others) {
-		final int own = weight();
+		final int ownWeight = weight();
 		int sum = 0;
-		for (final CrashEvidence death : this.evidenceByTargetId.values()) {
-			final int rival = others.stream()
-				.filter((other) -> other != this && other.hasEvidence(death.targetId()))
+		for (final CrashEvidence evidence : this.evidenceByTargetId.values()) {
+			final int strongestOther = others.stream()
+				.filter((other) -> other != this && other.hasEvidence(evidence.targetId()))
 				.mapToInt(CrashHistory::weight)
 				.max()
 				.orElse(0);
-			if (rival <= own) {
-				sum += (rival == own) ? death.weight() / 2 : death.weight();
+			if (strongestOther <= ownWeight) {
+				sum += (strongestOther == ownWeight) ? evidence.weight() / 2 : evidence.weight();
 			}
 		}
 		return sum;
 	}
 
 	private boolean hasEvidence(String targetId) {
-		final CrashEvidence death = this.evidenceByTargetId.get(targetId);
-		return death != null && !death.excused();
+		final CrashEvidence evidence = this.evidenceByTargetId.get(targetId);
+		return evidence != null && !evidence.excused();
 	}
 
 	/**
-	 * Returns whether other daemons are to know. Each plain crash leaves many deaths that
-	 * say little, and of those two must come together.
-	 * @return whether they are
+	 * Returns whether the evidence is strong enough to be sent to peers. Every unrelated
+	 * crash leaves many requests with a single piece of in-progress evidence; these are
+	 * not sent until a second one follows.
+	 * @return true if peers should receive it
 	 */
 	boolean shouldGossip() {
-		final int known = this.evidenceByTargetId.values().stream().mapToInt((death) -> death.phase().weight()).sum();
-		return known >= CrashPhase.STARTING.weight();
+		final int totalWeight = this.evidenceByTargetId.values()
+			.stream()
+			.mapToInt((evidence) -> evidence.phase().weight())
+			.sum();
+		return totalWeight >= CrashPhase.STARTING.weight();
 	}
 
 	String fingerprint() {
@@ -125,8 +130,8 @@
 	}
 
 	/**
-	 * Returns how long ago the last death was, excused or not.
-	 * @param nowNanos the monotonic time
+	 * Returns the time since the last crash, excused or not.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @return the age in nanoseconds
 	 */
 	long lastCrashAgeNanos(long nowNanos) {
@@ -134,15 +139,16 @@
 	}
 
 	/**
-	 * Returns whether targets were dying without the request when enough had died under
-	 * it. What was so then stays so: their deaths are forgotten sooner than this one's.
-	 * @param now whether they are
-	 * @return whether they were
+	 * Returns whether an outage was in progress when the evidence first reached the
+	 * threshold. The first value is kept, since the evidence of the unrelated crashes
+	 * expires earlier than that of this request.
+	 * @param inProgress whether an outage is in progress now
+	 * @return the value passed with the first call since the request was last excused
 	 */
-	boolean duringOutage(boolean now) {
+	boolean duringOutage(boolean inProgress) {
 		if (!this.outageChecked) {
 			this.outageChecked = true;
-			this.duringOutage = now;
+			this.duringOutage = inProgress;
 		}
 		return this.duringOutage;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashPhase.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashPhase.java
@@ -1,16 +1,18 @@
 package org.pistachioline.core.quarantine;
 
 /**
- * How far a target had come with a request when it died.
+ * How far a request had progressed on a target when the target crashed.
  */
 public enum CrashPhase {
 
-	/** It had just begun to answer, or not yet. */
+	/**
+	 * The target had produced no output for the request, or only the first few events.
+	 */
 	STARTING(4),
 
 	/**
-	 * It had been answering for a while, which tells half as much: most of what runs on a
-	 * target that dies for another reason is in this phase.
+	 * The target had been producing output for a while. Weighs half, since most requests
+	 * on a target that crashes for an unrelated reason are in this phase.
 	 */
 	IN_PROGRESS(2);
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashRegistry.java
@@ -9,18 +9,20 @@
 import java.util.Set;
 
 /**
- * The requests under which targets died, as this daemon saw it and others told.
+ * Crash evidence per request, observed by this daemon or reported by its peers.
  * <p>
- * What daemons tell each other can be put together in any order and any number of times,
- * so that frames may be lost, doubled or late. It is bounded: entries are only made by
- * deaths of targets, and where there is no room those that tell least go first.
+ * Merging reports is commutative and idempotent, so frames between daemons may be lost,
+ * duplicated or reordered. The size is bounded: only target crashes create entries, and a
+ * full registry evicts the request with the weakest evidence.
  */
 final class CrashRegistry {
 
-	/** Some 200 bytes each; a rack that goes leaves as many suspects. */
+	/**
+	 * About 200 bytes per request; a single rack failure can produce this many suspects.
+	 */
 	static final int MAX_REQUESTS = 512;
 
-	/** An outage must not bar everybody's requests. */
+	/** Keeps an outage from quarantining the requests of all callers. */
 	static final int MAX_QUARANTINED = LogBasedQuarantine.MAX_QUARANTINES;
 
 	private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -29,33 +31,44 @@
 
 	private static final long QUARANTINE_NANOS = LogBasedQuarantine.QUARANTINE_MINUTES * MINUTE_NANOS;
 
-	/** A caller who sends its request again does so within seconds. */
+	/**
+	 * How long a suspect is retained; callers that resubmit a request do so within
+	 * seconds.
+	 */
 	private static final long SUSPECT_RETENTION_NANOS = 2 * MINUTE_NANOS;
 
 	/**
-	 * For how long a barred request is remembered: once its time is up it may run again,
-	 * and the death of one target bars it anew.
+	 * How long a request that reached the threshold is retained. After the quarantine
+	 * ends it may run again, and one further crash quarantines it again.
 	 */
 	private static final long QUARANTINED_RETENTION_NANOS = 60 * MINUTE_NANOS;
 
-	/** While so many targets die without a request, one more must die under it. */
+	/**
+	 * Number of crashed targets, not explained by a request over the threshold, that
+	 * indicates an outage. For requests that first reach the threshold during an outage,
+	 * the threshold is one crash higher.
+	 */
 	private static final int OUTAGE_TARGETS = 3;
 
 	private static final long OUTAGE_WINDOW_NANOS = MINUTE_NANOS / 6;
 
-	/** How many requests one heartbeat tells of. */
+	/** Maximum number of requests in one heartbeat or broadcast. */
 	static final int MAX_SAMPLED = 8;
 
-	/** How many requests a daemon is told of that has just started. */
+	/** Maximum number of requests sent to a daemon that has just started. */
 	static final int MAX_KNOWN_SUSPECTS = 16;
 
-	/** How often news is told with each heartbeat before it waits its turn. */
+	/**
+	 * How many heartbeats carry a changed request before it is resent only at intervals.
+	 */
 	private static final int EAGER_SENDS = 4;
 
-	/** How often what is no news is told, for daemons that have just started. */
+	/**
+	 * Interval at which unchanged requests are resent, for daemons that started later.
+	 */
 	private static final long RESEND_INTERVAL_NANOS = 1_200 * NANOS_PER_MILLI;
 
-	/** How late a quarantine may end. */
+	/** Interval between expiry runs; a quarantine can end this much late. */
 	private static final long EXPIRY_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
 	private final int crashesToQuarantine;
@@ -67,12 +80,12 @@
 	private long lastExpiryNanos = Long.MIN_VALUE / 2;
 
 	/**
-	 * Creates an empty book.
-	 * @param deathsToQuarantine how many targets must die as they begin with a request
-	 * until it is barred; of those that had been answering for a while twice as many
+	 * Creates an empty registry.
+	 * @param crashesToQuarantine how many targets must crash while starting a request to
+	 * quarantine it; twice as many if the request was in progress
 	 */
-	CrashRegistry(int deathsToQuarantine) {
-		this.crashesToQuarantine = deathsToQuarantine;
+	CrashRegistry(int crashesToQuarantine) {
+		this.crashesToQuarantine = crashesToQuarantine;
 	}
 
 	boolean isQuarantined(String fingerprint) {
@@ -80,14 +93,14 @@
 	}
 
 	/**
-	 * Returns whether a target died as it began with a request, or two later on, and
-	 * nothing speaks for the request.
+	 * Returns whether a request has unexcused evidence of at least one crash while
+	 * starting, or two while in progress.
 	 * @param fingerprint the request's fingerprint
-	 * @return whether it is suspected
+	 * @return true if the request is a suspect
 	 */
 	boolean isSuspected(String fingerprint) {
-		final CrashHistory deaths = this.histories.get(fingerprint);
-		return deaths != null && deaths.weight() >= CrashPhase.STARTING.weight();
+		final CrashHistory history = this.histories.get(fingerprint);
+		return history != null && history.weight() >= CrashPhase.STARTING.weight();
 	}
 
 	Set<String> quarantined() {
@@ -95,69 +108,71 @@
 	}
 
 	/**
-	 * Takes a death; {@link #updateQuarantines} draws the conclusions.
-	 * @param nowNanos the monotonic time
+	 * Adds evidence of one crash. The caller then calls {@link #updateQuarantines}.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @param fingerprint the request's fingerprint
-	 * @param death the death
-	 * @return whether that is news
+	 * @param evidence the evidence
+	 * @return true if it changed what is known of the request
 	 */
-	boolean add(long nowNanos, String fingerprint, CrashEvidence death) {
-		final CrashHistory deaths = getOrCreate(nowNanos, fingerprint);
-		final boolean news = deaths.add(death);
-		if (news) {
-			deaths.resetSendCount();
+	boolean add(long nowNanos, String fingerprint, CrashEvidence evidence) {
+		final CrashHistory history = getOrCreate(nowNanos, fingerprint);
+		final boolean changed = history.add(evidence);
+		if (changed) {
+			history.resetSendCount();
 		}
-		return news;
+		return changed;
 	}
 
 	/**
-	 * Excuses all known deaths under a request that has run to its end.
+	 * Excuses all recorded crashes of a request that a target has run without crashing.
 	 * @param fingerprint the request's fingerprint
 	 */
 	void excuse(String fingerprint) {
-		final CrashHistory deaths = this.histories.get(fingerprint);
-		if (deaths != null && deaths.excuse()) {
-			deaths.resetSendCount();
+		final CrashHistory history = this.histories.get(fingerprint);
+		if (history != null && history.excuse()) {
+			history.resetSendCount();
 			this.quarantined.remove(fingerprint);
 		}
 	}
 
 	/**
-	 * Bars the requests that are the best explanation of enough deaths, and no others.
-	 * @param nowNanos the monotonic time
+	 * Quarantines the requests whose attributed evidence reaches the threshold, and
+	 * releases all others.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 */
 	void updateQuarantines(long nowNanos) {
 		this.quarantined.clear();
-		final List<CrashHistory> enough = this.histories.values()
+		final List<CrashHistory> candidates = this.histories.values()
 			.stream()
-			.filter((deaths) -> reachesThreshold(deaths.weight(), 0))
+			.filter((history) -> reachesThreshold(history.weight(), 0))
 			.toList();
-		if (enough.isEmpty()) {
+		if (candidates.isEmpty()) {
 			return;
 		}
-		final boolean outage = countUnexplainedTargets(enough, nowNanos) >= OUTAGE_TARGETS;
-		for (final CrashHistory deaths : enough) {
-			final int more = deaths.duringOutage(outage) ? 1 : 0;
-			final boolean recent = deaths.lastCrashAgeNanos(nowNanos) < QUARANTINE_NANOS;
-			final boolean room = this.quarantined.size() < MAX_QUARANTINED;
-			if (recent && room && reachesThreshold(deaths.attributedWeight(this.histories.values()), more)) {
-				this.quarantined.add(deaths.fingerprint());
+		final boolean outage = countUnexplainedTargets(candidates, nowNanos) >= OUTAGE_TARGETS;
+		for (final CrashHistory history : candidates) {
+			final int extraCrashes = history.duringOutage(outage) ? 1 : 0;
+			final boolean recent = history.lastCrashAgeNanos(nowNanos) < QUARANTINE_NANOS;
+			final boolean hasRoom = this.quarantined.size() < MAX_QUARANTINED;
+			if (recent && hasRoom
+					&& reachesThreshold(history.attributedWeight(this.histories.values()), extraCrashes)) {
+				this.quarantined.add(history.fingerprint());
 			}
 		}
 	}
 
-	private long countUnexplainedTargets(List<CrashHistory> explained, long nowNanos) {
+	private long countUnexplainedTargets(List<CrashHistory> explaining, long nowNanos) {
 		final Set<String> targetIds = new HashSet<>();
 		this.histories.values()
 			.stream()
-			.filter((deaths) -> deaths.lastCrashAgeNanos(nowNanos) < OUTAGE_WINDOW_NANOS)
-			.forEach((deaths) -> targetIds.addAll(deaths.targetIds()));
-		explained.forEach((deaths) -> targetIds.removeAll(deaths.targetIds()));
+			.filter((history) -> history.lastCrashAgeNanos(nowNanos) < OUTAGE_WINDOW_NANOS)
+			.forEach((history) -> targetIds.addAll(history.targetIds()));
+		explaining.forEach((history) -> targetIds.removeAll(history.targetIds()));
 		return targetIds.size();
 	}
 
-	private boolean reachesThreshold(int weight, int moreDeaths) {
-		return weight >= (this.crashesToQuarantine + moreDeaths) * CrashPhase.STARTING.weight();
+	private boolean reachesThreshold(int weight, int extraCrashes) {
+		return weight >= (this.crashesToQuarantine + extraCrashes) * CrashPhase.STARTING.weight();
 	}
 
 	private CrashHistory getOrCreate(long nowNanos, String fingerprint) {
@@ -174,28 +189,28 @@
 	}
 
 	private void evictWeakest(long nowNanos) {
-		final Comparator<Map.Entry<String, CrashHistory>> byWorth = Comparator
+		final Comparator<Map.Entry<String, CrashHistory>> byStrength = Comparator
 			.comparingInt((Map.Entry<String, CrashHistory> entry) -> entry.getValue().weight())
 			.thenComparing((entry) -> -entry.getValue().lastCrashAgeNanos(nowNanos));
-		this.histories.entrySet().stream().min(byWorth).map(Map.Entry::getKey).ifPresent((fingerprint) -> {
+		this.histories.entrySet().stream().min(byStrength).map(Map.Entry::getKey).ifPresent((fingerprint) -> {
 			this.histories.remove(fingerprint);
 			this.quarantined.remove(fingerprint);
 		});
 	}
 
 	/**
-	 * Lets suspicions and quarantines expire.
-	 * @param nowNanos the monotonic time
+	 * Expires suspicions and quarantines.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 */
 	void onTick(long nowNanos) {
 		if (nowNanos - this.lastExpiryNanos < EXPIRY_INTERVAL_NANOS) {
 			return;
 		}
 		this.lastExpiryNanos = nowNanos;
-		this.histories.values().removeIf((deaths) -> {
-			final long keptNanos = reachesThreshold(deaths.weight(), 0) ? QUARANTINED_RETENTION_NANOS
+		this.histories.values().removeIf((history) -> {
+			final long retentionNanos = reachesThreshold(history.weight(), 0) ? QUARANTINED_RETENTION_NANOS
 					: SUSPECT_RETENTION_NANOS;
-			return deaths.lastCrashAgeNanos(nowNanos) >= keptNanos;
+			return history.lastCrashAgeNanos(nowNanos) >= retentionNanos;
 		});
 		if (!this.quarantined.isEmpty()) {
 			updateQuarantines(nowNanos);
@@ -203,49 +218,52 @@
 	}
 
 	/**
-	 * Chooses what the next heartbeat tells: what was told least often first.
-	 * @param nowNanos the monotonic time
-	 * @return the requests
+	 * Selects the requests for the next heartbeat, least often sent first, and counts
+	 * them as sent.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return at most {@link #MAX_SAMPLED} requests with their evidence
 	 */
 	List<SuspectedRequest> gossipSample(long nowNanos) {
 		return this.histories.values()
 			.stream()
 			.filter(CrashHistory::shouldGossip)
-			.filter((deaths) -> deaths.sendCount() < EAGER_SENDS
-					|| nowNanos - deaths.lastSentNanos() >= RESEND_INTERVAL_NANOS)
-			.sorted(Comparator.comparingInt((CrashHistory deaths) -> Math.min(EAGER_SENDS, deaths.sendCount()))
-				.thenComparingLong((deaths) -> deaths.lastSentNanos() - nowNanos))
+			.filter((history) -> history.sendCount() < EAGER_SENDS
+					|| nowNanos - history.lastSentNanos() >= RESEND_INTERVAL_NANOS)
+			.sorted(Comparator.comparingInt((CrashHistory history) -> Math.min(EAGER_SENDS, history.sendCount()))
+				.thenComparingLong((history) -> history.lastSentNanos() - nowNanos))
 			.limit(MAX_SAMPLED)
-			.map((deaths) -> deaths.recordSend(nowNanos))
+			.map((history) -> history.recordSend(nowNanos))
 			.toList();
 	}
 
 	/**
-	 * Tells of some requests.
-	 * @param nowNanos the monotonic time
+	 * Selects those of the given requests that are worth sending to peers, and counts
+	 * them as sent.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @param fingerprints the requests' fingerprints
-	 * @return those that are to be told
+	 * @return at most {@link #MAX_SAMPLED} requests with their evidence
 	 */
 	List<SuspectedRequest> select(long nowNanos, Set<String> fingerprints) {
-		final List<SuspectedRequest> told = new ArrayList<>();
+		final List<SuspectedRequest> selected = new ArrayList<>();
 		for (final String fingerprint : fingerprints) {
-			final CrashHistory deaths = this.histories.get(fingerprint);
-			if (deaths != null && deaths.shouldGossip() && told.size() < MAX_SAMPLED) {
-				told.add(deaths.recordSend(nowNanos));
+			final CrashHistory history = this.histories.get(fingerprint);
+			if (history != null && history.shouldGossip() && selected.size() < MAX_SAMPLED) {
+				selected.add(history.recordSend(nowNanos));
 			}
 		}
-		return told;
+		return selected;
 	}
 
 	/**
-	 * Returns what a daemon is told that has just started: what weighs most first.
-	 * @return the requests
+	 * Returns the requests to send to a daemon that has just started, strongest evidence
+	 * first.
+	 * @return at most {@link #MAX_KNOWN_SUSPECTS} requests with their evidence
 	 */
 	List<SuspectedRequest> knownSuspects() {
 		return this.histories.values()
 			.stream()
 			.filter(CrashHistory::shouldGossip)
-			.sorted(Comparator.comparingInt((CrashHistory deaths) -> -deaths.weight()))
+			.sorted(Comparator.comparingInt((CrashHistory history) -> -history.weight()))
 			.limit(MAX_KNOWN_SUSPECTS)
 			.map(CrashHistory::toSuspectedRequest)
 			.toList();
@@ -253,15 +271,15 @@
 
 	Map<String, Set<String>> targetIdsByFingerprint() {
 		final Map<String, Set<String>> targetIds = new LinkedHashMap<>();
-		this.histories.forEach((fingerprint, deaths) -> targetIds.put(fingerprint, deaths.targetIds()));
+		this.histories.forEach((fingerprint, history) -> targetIds.put(fingerprint, history.targetIds()));
 		return targetIds;
 	}
 
 	List<CrashReport> reports(long nowNanos) {
 		final List<CrashReport> reports = new ArrayList<>();
-		this.histories.forEach((fingerprint, deaths) -> reports
-			.add(new CrashReport(fingerprint, this.quarantined.contains(fingerprint), deaths.targetIds(),
-					deaths.lastCrashAgeNanos(nowNanos) / NANOS_PER_MILLI)));
+		this.histories.forEach((fingerprint, history) -> reports
+			.add(new CrashReport(fingerprint, this.quarantined.contains(fingerprint), history.targetIds(),
+					history.lastCrashAgeNanos(nowNanos) / NANOS_PER_MILLI)));
 		return reports;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashReport.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashReport.java
@@ -3,12 +3,12 @@
 import java.util.Set;
 
 /**
- * A request under which targets died, for operators.
+ * Crash evidence against one request, as shown to operators.
  *
  * @param fingerprint the request's fingerprint
- * @param quarantined whether it is barred
- * @param targetIds the targets that died
- * @param lastDeathAgeMillis how long ago the last of them died
+ * @param quarantined whether the request is quarantined
+ * @param targetIds the targets that crashed while running it
+ * @param lastDeathAgeMillis time since the last of these crashes, in milliseconds
  */
 public record CrashReport(String fingerprint, boolean quarantined, Set<String> targetIds, long lastDeathAgeMillis) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashVerdict.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashVerdict.java
@@ -1,17 +1,20 @@
 package org.pistachioline.core.quarantine;
 
 /**
- * What a target's death means for a request that it was running.
+ * Consequence of a broken attempt for its request.
  */
 public enum CrashVerdict {
 
-	/** The request completed before; the death is not held against it. */
+	/**
+	 * The attempt is not counted against the request, for instance because it completed
+	 * before.
+	 */
 	EXCUSED,
 
-	/** The request is suspect and runs apart from other suspects. */
+	/** The request is a suspect and is isolated from other suspects. */
 	SUSPECTED,
 
-	/** The request is quarantined from now on. */
+	/** The request is quarantined and must not run again. */
 	QUARANTINED
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/GossipQuarantine.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/GossipQuarantine.java
@@ -6,25 +6,27 @@
 import java.util.Set;
 
 /**
- * Quarantines a request after targets died under it at any daemons, which tell each other
- * directly.
+ * Quarantines requests on crash evidence that daemons exchange directly, by broadcast and
+ * with heartbeats.
  * <p>
- * Made for daemons without a log of their own, in front of targets that die every few
- * seconds for reasons of their own. A broken connection is no death: the target must have
- * been found dead. What ran beside the culprit, or on a target that died for another
- * reason, has mostly been answered for a while, which weighs half; a death that another
- * request explains better does not count; and one end in order excuses all deaths before
- * it. So {@value #CRASHES_TO_QUARANTINE} deaths are needed, and what has met its first is
- * kept neither waiting nor apart: after each plain crash its whole batch would be late.
+ * Serves daemons without a replicated log, in front of targets that also crash every few
+ * seconds for unrelated reasons. A broken connection alone is no evidence: the target
+ * must have been confirmed dead. Requests that ran beside the culprit, or on a target
+ * that crashed for another reason, were mostly in progress, which weighs half; a crash
+ * that another request explains better does not count; and one run without a crash
+ * excuses all earlier crashes. Hence {@value #CRASHES_TO_QUARANTINE} crashes are
+ * required. Suspects are not isolated, nor held back beyond a short retry delay, since
+ * every unrelated crash would then delay its whole batch.
  */
 public final class GossipQuarantine implements QuarantinePolicy {
 
-	/** How many targets that die as they begin with a request bar it. */
+	/** How many targets must crash while starting a request to quarantine it. */
 	public static final int CRASHES_TO_QUARANTINE = 3;
 
 	/**
-	 * By then it is known whether the target has died. SentAttempt on at once, a request
-	 * that has crashed targets would reach one more before it is barred.
+	 * Delay before a suspect is sent again, by which a crash of the last target is
+	 * confirmed. Without it a request that crashes targets would reach one more before it
+	 * is quarantined.
 	 */
 	private static final long RETRY_DELAY_NANOS = 150_000_000L;
 
@@ -33,18 +35,19 @@
 	private final Set<String> pendingBroadcast = new LinkedHashSet<>();
 
 	/**
-	 * Creates a policy that knows of no death.
+	 * Creates a policy without evidence.
 	 */
 	public GossipQuarantine() {
 		this(CRASHES_TO_QUARANTINE);
 	}
 
 	/**
-	 * Creates a policy that knows of no death.
-	 * @param deathsToQuarantine how many targets must die under a request
+	 * Creates a policy without evidence.
+	 * @param crashesToQuarantine how many targets must crash while starting a request to
+	 * quarantine it
 	 */
-	public GossipQuarantine(int deathsToQuarantine) {
-		this.registry = new CrashRegistry(deathsToQuarantine);
+	public GossipQuarantine(int crashesToQuarantine) {
+		this.registry = new CrashRegistry(crashesToQuarantine);
 	}
 
 	@Override
@@ -64,7 +67,7 @@
 
 	@Override
 	public CrashVerdict onBrokenAttempt(long nowNanos, String fingerprint, String targetId) {
-		// The connection broke, and whether its target has died is not known yet.
+		// Whether the target of the broken connection has crashed is not known yet.
 		return CrashVerdict.EXCUSED;
 	}
 
@@ -89,14 +92,14 @@
 	}
 
 	@Override
-	public void onPeerReports(long nowNanos, List<SuspectedRequest> told) {
-		boolean news = false;
-		for (final SuspectedRequest request : told) {
-			for (final CrashEvidence death : request.evidence()) {
-				news |= this.registry.add(nowNanos, request.fingerprint(), death);
+	public void onPeerReports(long nowNanos, List<SuspectedRequest> suspects) {
+		boolean changed = false;
+		for (final SuspectedRequest request : suspects) {
+			for (final CrashEvidence evidence : request.evidence()) {
+				changed |= this.registry.add(nowNanos, request.fingerprint(), evidence);
 			}
 		}
-		if (news) {
+		if (changed) {
 			this.registry.updateQuarantines(nowNanos);
 		}
 	}
@@ -113,7 +116,7 @@
 
 	@Override
 	public void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
-		// There is no log on which daemons agree.
+		// Daemons with this policy share no replicated log.
 	}
 
 	@Override
@@ -131,9 +134,9 @@
 		if (this.pendingBroadcast.isEmpty()) {
 			return List.of();
 		}
-		final List<SuspectedRequest> told = this.registry.select(nowNanos, this.pendingBroadcast);
+		final List<SuspectedRequest> suspects = this.registry.select(nowNanos, this.pendingBroadcast);
 		this.pendingBroadcast.clear();
-		return told;
+		return suspects;
 	}
 
 	@Override
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/LogBasedQuarantine.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/LogBasedQuarantine.java
@@ -7,28 +7,30 @@
 import java.util.Set;
 
 /**
- * Quarantines a request after two different targets died under it.
+ * Quarantines a request after attempts at two different targets broke off under it, and
+ * shares its state with other daemons through the replicated log.
  * <p>
- * Made for one request that crashes each target that runs it, and whose caller sends it
- * again. Without it every repeat takes a group of many instances away from all callers,
- * until none is left. One death names a suspect and not a culprit, since all requests of
- * the batch see the same death; so a suspect runs once more, apart from other suspects,
- * and only the death of a second target condemns it. Once a culprit is found, the others
- * that were suspected for the same targets are free.
+ * A request that crashes every target that runs it, and is resubmitted by its caller,
+ * would otherwise take one group of many instances after the other out of service. One
+ * crash only makes a request a suspect, since all requests of the batch see the same
+ * crash. A suspect is run again, isolated from other suspects, and only a crash of a
+ * second target quarantines it. The other suspects of the same targets are then cleared.
  * <p>
- * The limits: {@value #MAX_QUARANTINES} quarantines at a time, since a rolling outage
- * kills targets under innocents, and a cap keeps it from barring everybody's requests;
- * each earlier completion excuses one death, up to {@value #MAX_CREDITS}, so that a
- * popular prompt which runs on all groups of a rack is not barred with the rack.
+ * At most {@value #MAX_QUARANTINES} requests are quarantined at a time, since a rolling
+ * outage crashes targets under unrelated requests and must not block all callers. Each
+ * earlier completion excuses one crash, up to {@value #MAX_CREDITS}, so that a popular
+ * prompt that runs on all groups of a rack is not quarantined when the rack fails.
  */
 public final class LogBasedQuarantine implements QuarantinePolicy {
 
-	/** How long a suspicion or a quarantine lasts, in minutes. */
+	/** Duration of a suspicion or a quarantine, in minutes. */
 	public static final long QUARANTINE_MINUTES = 10;
 
 	private static final long QUARANTINE_NANOS = QUARANTINE_MINUTES * 60 * 1_000_000_000L;
 
-	/** How many requests may be quarantined at a time, here and on the log. */
+	/**
+	 * Maximum number of requests quarantined at a time, by this daemon and on the log.
+	 */
 	public static final int MAX_QUARANTINES = 64;
 
 	private static final int MAX_CREDITS = 8;
@@ -101,19 +103,19 @@
 	public void onRunPastCrash(String fingerprint, boolean completed) {
 		this.suspects.remove(fingerprint);
 		if (completed && !fingerprint.isEmpty()) {
-			this.credits.merge(fingerprint, 1, (had, one) -> Math.min(MAX_CREDITS, had + one));
+			this.credits.merge(fingerprint, 1, (credit, added) -> Math.min(MAX_CREDITS, credit + added));
 		}
 	}
 
 	@Override
 	public void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
 		suspectTargetIds.forEach((fingerprint, targetId) -> {
-			final String before = this.loggedSuspects.get(fingerprint);
-			if (!targetId.equals(before) && !quarantined.contains(fingerprint) && !isTrusted(fingerprint)) {
+			final String previousTargetId = this.loggedSuspects.get(fingerprint);
+			if (!targetId.equals(previousTargetId) && !quarantined.contains(fingerprint) && !isTrusted(fingerprint)) {
 				final Suspicion suspicion = this.suspects.computeIfAbsent(fingerprint, (key) -> new Suspicion());
-				// A newer report stands for the older one, of which others may have
-				// cleared it.
-				suspicion.targetIds.remove(before);
+				// A newer report replaces the older one, of which another daemon may have
+				// cleared the request.
+				suspicion.targetIds.remove(previousTargetId);
 				suspicion.targetIds.add(targetId);
 				suspicion.expiresAtNanos = nowNanos + QUARANTINE_NANOS;
 			}
@@ -127,14 +129,14 @@
 		this.loggedSuspects = Map.copyOf(suspectTargetIds);
 	}
 
-	private void onLoggedQuarantine(String fingerprint, String firstTargetId) {
+	private void onLoggedQuarantine(String fingerprint, String loggedTargetId) {
 		final Set<String> targetIds = new HashSet<>();
 		final Suspicion suspicion = this.suspects.remove(fingerprint);
 		if (suspicion != null) {
 			targetIds.addAll(suspicion.targetIds);
 		}
-		if (firstTargetId != null) {
-			targetIds.add(firstTargetId);
+		if (loggedTargetId != null) {
+			targetIds.add(loggedTargetId);
 		}
 		clearBystanders(targetIds);
 	}
@@ -142,24 +144,24 @@
 	@Override
 	public void onTick(long nowNanos) {
 		this.suspects.values().removeIf((suspicion) -> nowNanos - suspicion.expiresAtNanos >= 0);
-		this.quarantineEndsNanos.values().removeIf((untilNanos) -> nowNanos - untilNanos >= 0);
+		this.quarantineEndsNanos.values().removeIf((endsNanos) -> nowNanos - endsNanos >= 0);
 	}
 
 	@Override
 	public Map<String, Set<String>> suspects() {
-		final Map<String, Set<String>> copy = new HashMap<>();
-		this.suspects.forEach((fingerprint, suspicion) -> copy.put(fingerprint, Set.copyOf(suspicion.targetIds)));
-		return copy;
+		final Map<String, Set<String>> targetIds = new HashMap<>();
+		this.suspects.forEach((fingerprint, suspicion) -> targetIds.put(fingerprint, Set.copyOf(suspicion.targetIds)));
+		return targetIds;
 	}
 
-	private static <V> Map<String, V> boundedMap(int mostEntries) {
+	private static <V> Map<String, V> boundedMap(int maxEntries) {
 		return new LinkedHashMap<>() {
 
 			private static final long serialVersionUID = 1L;
 
 			@Override
 			protected boolean removeEldestEntry(Map.Entry<String, V> eldest) {
-				return size() > mostEntries;
+				return size() > maxEntries;
 			}
 
 		};
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/NoQuarantine.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/NoQuarantine.java
@@ -4,7 +4,8 @@
 import java.util.Set;
 
 /**
- * Holds no death against any request; the baseline that a killer request walks through.
+ * Never quarantines a request. Serves as the baseline of comparisons: a request that
+ * crashes targets can reach all of them.
  */
 public final class NoQuarantine implements QuarantinePolicy {
 
@@ -30,17 +31,17 @@
 
 	@Override
 	public void onRunPastCrash(String fingerprint, boolean completed) {
-		// Nothing is held against it.
+		// There are no suspects to clear.
 	}
 
 	@Override
 	public void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
-		// Nothing is taken from others.
+		// The log is ignored.
 	}
 
 	@Override
 	public void onTick(long nowNanos) {
-		// Nothing expires.
+		// There is no state to expire.
 	}
 
 	@Override
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/QuarantinePolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/QuarantinePolicy.java
@@ -5,104 +5,108 @@
 import java.util.Set;
 
 /**
- * Tells requests that crash targets from those that merely ran beside one.
+ * Distinguishes requests that crash targets from those that merely ran on a target that
+ * crashed.
  */
 public interface QuarantinePolicy {
 
 	/**
-	 * Returns whether a request is quarantined.
+	 * Returns whether a request must not be sent to any target.
 	 * @param fingerprint the request's fingerprint
-	 * @return whether it is
+	 * @return true if the request is quarantined
 	 */
 	boolean isQuarantined(String fingerprint);
 
 	/**
-	 * Returns whether a target died under a request and nothing speaks for it yet.
+	 * Returns whether a request is to run isolated from other suspects, because a target
+	 * may have crashed under it and it has not been cleared since.
 	 * @param fingerprint the request's fingerprint
-	 * @return whether it is suspect
+	 * @return true if the request is a suspect
 	 */
 	boolean isSuspect(String fingerprint);
 
 	/**
-	 * Returns whether a request completed before, so that its copies may run anywhere.
+	 * Returns whether copies of a request may run on several targets at once, because it
+	 * has completed before.
 	 * @param fingerprint the request's fingerprint
-	 * @return whether it is proven
+	 * @return true if the request is trusted
 	 */
 	boolean isTrusted(String fingerprint);
 
 	/**
-	 * Notes that a target died while it ran a request.
-	 * @param nowNanos the monotonic time
+	 * Records that an attempt broke off, which may be due to a crash of its target.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @param fingerprint the request's fingerprint
-	 * @param targetId the target
-	 * @return what it means for the request
+	 * @param targetId the target of the attempt
+	 * @return the consequence for the request
 	 */
 	CrashVerdict onBrokenAttempt(long nowNanos, String fingerprint, String targetId);
 
 	/**
-	 * Notes that a request ran on past the point where a target died under it.
+	 * Records that a request ran past the point at which a target crashed under it.
 	 * @param fingerprint the request's fingerprint
-	 * @param completed whether it ran to its end
+	 * @param completed whether it ran to completion
 	 */
 	void onRunPastCrash(String fingerprint, boolean completed);
 
 	/**
-	 * Takes over what is agreed on the log.
-	 * @param nowNanos the monotonic time
-	 * @param quarantined the quarantined fingerprints
-	 * @param suspectTargetIds for each suspected fingerprint the target that died
+	 * Applies the suspects and quarantines that the daemons agreed on through the
+	 * replicated log.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param quarantined the fingerprints of all quarantined requests
+	 * @param suspectTargetIds the target that crashed, by the suspect's fingerprint
 	 */
 	void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds);
 
 	/**
-	 * Lets suspicions expire.
-	 * @param nowNanos the monotonic time
+	 * Expires suspicions and quarantines.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 */
 	void onTick(long nowNanos);
 
 	/**
-	 * Returns the suspects for operators to read.
-	 * @return for each suspected fingerprint the targets that died
+	 * Returns the suspects, as shown to operators.
+	 * @return the targets that crashed, by the suspect's fingerprint
 	 */
 	Map<String, Set<String>> suspects();
 
 	/**
-	 * Returns how long a request waits for its next attempt after one that broke off.
+	 * Returns how long to wait after a broken attempt before the request is sent again.
 	 * @param fingerprint the request's fingerprint
-	 * @return the time in nanoseconds
+	 * @return the delay in nanoseconds
 	 */
 	default long retryDelayNanos(String fingerprint) {
 		return 0;
 	}
 
 	/**
-	 * Takes word that a target has died, and under what.
-	 * @param nowNanos the monotonic time
-	 * @param crash the target, and what it was running for this daemon
+	 * Records a confirmed crash of a target.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param crash the target and the requests of this daemon that it was running
 	 */
 	default void onCrash(long nowNanos, TargetCrash crash) {
-		// Judged by broken attempts alone.
+		// The default relies on broken attempts only.
 	}
 
 	/**
-	 * Takes what another daemon told of requests under which targets died.
-	 * @param nowNanos the monotonic time
-	 * @param told the requests
+	 * Merges crash evidence received from another daemon.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param suspects the requests with their evidence
 	 */
-	default void onPeerReports(long nowNanos, List<SuspectedRequest> told) {
-		// Daemons share it by other means.
+	default void onPeerReports(long nowNanos, List<SuspectedRequest> suspects) {
+		// The default does not exchange evidence directly between daemons.
 	}
 
 	/**
-	 * Notes that a target answered a request with a failure and lives on.
+	 * Records that a target answered a request with an error and kept running.
 	 * @param fingerprint the request's fingerprint
 	 */
 	default void onErrorResponse(String fingerprint) {
-		// A failure says nothing.
+		// The default draws no conclusion from an error.
 	}
 
 	/**
-	 * Returns what daemons that tell each other directly have quarantined.
+	 * Returns the requests quarantined on evidence that daemons exchange directly.
 	 * @return the fingerprints
 	 */
 	default Set<String> quarantined() {
@@ -110,35 +114,35 @@
 	}
 
 	/**
-	 * Returns what all other daemons are to be told at once, and forgets that they are.
-	 * @param nowNanos the monotonic time
-	 * @return the requests
+	 * Returns and clears the evidence to be broadcast to all other daemons at once.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the requests with their evidence
 	 */
 	default List<SuspectedRequest> drainBroadcast(long nowNanos) {
 		return List.of();
 	}
 
 	/**
-	 * Returns what the next heartbeat tells.
-	 * @param nowNanos the monotonic time
-	 * @return some requests
+	 * Selects the evidence to be sent with the next heartbeat.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the requests with their evidence
 	 */
 	default List<SuspectedRequest> gossipSample(long nowNanos) {
 		return List.of();
 	}
 
 	/**
-	 * Returns what a daemon is told that has just started.
-	 * @return the requests
+	 * Returns the evidence to send to a daemon that has just started.
+	 * @return the requests with their evidence
 	 */
 	default List<SuspectedRequest> knownSuspects() {
 		return List.of();
 	}
 
 	/**
-	 * Describes the requests under which targets died, for operators.
-	 * @param nowNanos the monotonic time
-	 * @return the requests
+	 * Returns the requests with crash evidence, as shown to operators.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the reports
 	 */
 	default List<CrashReport> reports(long nowNanos) {
 		return List.of();
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/SuspectedRequest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/SuspectedRequest.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A request under which targets died, as one daemon tells it to others.
+ * A request with its crash evidence, as exchanged between daemons.
  *
  * @param fingerprint the request's fingerprint
- * @param evidence the targets that died under it
+ * @param evidence the evidence of each target that crashed while running it
  */
 public record SuspectedRequest(String fingerprint, List<CrashEvidence> evidence) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/TargetCrash.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/TargetCrash.java
@@ -3,13 +3,11 @@
 import java.util.Set;
 
 /**
- * A target that died, and what it was running for this daemon.
+ * A confirmed crash of a target, with the requests of this daemon that it was running.
  *
  * @param targetId the target
- * @param startingFingerprints the fingerprints of requests that it had just begun, or not
- * yet
- * @param inProgressFingerprints the fingerprints of requests that it had been answering
- * for a while
+ * @param startingFingerprints the requests in phase {@link CrashPhase#STARTING}
+ * @param inProgressFingerprints the requests in phase {@link CrashPhase#IN_PROGRESS}
  */
 public record TargetCrash(String targetId, Set<String> startingFingerprints, Set<String> inProgressFingerprints) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which requests crash the targets that run them.
+ * Detects requests that crash the targets running them, and quarantines such requests.
  */
 package org.pistachioline.core.quarantine;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashRegistryTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashRegistryTests.java
@@ -57,8 +57,8 @@
 	}
 
 	/**
-	 * Guards against a popular request that has outlived many targets, and is never
-	 * barred when it begins to crash them.
+	 * Guards against a popular request that is never quarantined once it begins to crash
+	 * targets, because excused crashes fill its history.
 	 */
 	@Test
 	void excusedCrashesLeaveRoomForLaterOnes() {
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	 * Guards against a request that is barred since it ran beside one that crashes
-	 * targets three times.
+	 * Guards against a request that is quarantined because it ran on the same three
+	 * targets as a request that crashes them.
 	 */
 	@Test
 	void aRequestThatOnlyRanBesideTheCulpritIsNotQuarantined() {
@@ -86,8 +86,8 @@
 	}
 
 	/**
-	 * Guards against a caller who goes on for hours and costs three targets each time
-	 * that the quarantine has expired.
+	 * Guards against a caller that resubmits for hours and costs three targets each time
+	 * its quarantine expires.
 	 */
 	@Test
 	void afterAQuarantineOneCrashQuarantinesTheRequestAgain() {
@@ -108,30 +108,30 @@
 	}
 
 	/**
-	 * Guards against daemons that come to different verdicts since frames reached them in
+	 * Guards against daemons that disagree on quarantines because frames arrived in
 	 * another order, or twice.
 	 */
 	@Test
 	void reportsInAnyOrderLeadToTheSameQuarantines() {
-		final List<SuspectedRequest> told = new ArrayList<>();
+		final List<SuspectedRequest> reports = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
-			told.add(new SuspectedRequest("a", List.of(new CrashEvidence("i-" + i, i, CrashPhase.STARTING, false))));
-			told.add(new SuspectedRequest("b", List.of(new CrashEvidence("i-" + i, i, CrashPhase.STARTING, false),
+			reports.add(new SuspectedRequest("a", List.of(new CrashEvidence("i-" + i, i, CrashPhase.STARTING, false))));
+			reports.add(new SuspectedRequest("b", List.of(new CrashEvidence("i-" + i, i, CrashPhase.STARTING, false),
 					new CrashEvidence("i-" + i, i, CrashPhase.IN_PROGRESS, i == 2))));
 		}
-		told.addAll(told);
+		reports.addAll(reports);
 		final Random random = new Random(7);
 		for (int i = 0; i < 50; i++) {
-			Collections.shuffle(told, random);
+			Collections.shuffle(reports, random);
 			final GossipQuarantine daemon = new GossipQuarantine();
-			told.forEach((request) -> daemon.onPeerReports(10, List.of(request)));
+			reports.forEach((request) -> daemon.onPeerReports(10, List.of(request)));
 			assertThat(daemon.quarantined()).containsExactly("a");
 		}
 	}
 
 	/**
-	 * Guards against an outage, or a caller who makes up bodies, that fills the memory or
-	 * drives out what is barred.
+	 * Guards against an outage, or a caller that sends many distinct bodies, exhausting
+	 * the memory or evicting quarantined requests.
 	 */
 	@Test
 	void theRegistryIsBoundedAndEvictsTheWeakestEvidence() {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulation.java
@@ -14,10 +14,12 @@
 import org.pistachioline.core.world.VirtualTime;
 
 /**
- * Daemons before the same targets in virtual time, and requests that crash each target
- * that runs them. It notes how many targets end under each, how many times it reaches one
- * later than three seconds after the third has ended, from daemons that have run for as
- * long, and which others are barred.
+ * Simulates daemons in front of shared targets, in virtual time, with requests that crash
+ * every target that runs them.
+ * <p>
+ * Counts per such request the targets that crashed, and the late arrivals: those at a
+ * target more than three seconds after the third crash, from daemons that have been up
+ * for as long. Collects the other requests that were quarantined.
  */
 final class CrashSimulation {
 
@@ -25,15 +27,15 @@
 
 	static final long MILLI_NANOS = 1_000_000L;
 
-	/** Callers begin the fingerprint of what crashes targets so. */
+	/** Prefix of the fingerprints of requests that crash targets. */
 	static final String CRASHING_PREFIX = "killer";
 
-	/** Until then daemons may not have heard of the third death. */
+	/** Time after which all daemons are expected to know of the third crash. */
 	private static final long PROPAGATION_NANOS = 3 * SECOND_NANOS;
 
 	private static final int DETECTION_CRASHES = 3;
 
-	/** For how long a dead target is still listed. */
+	/** Time for which a crashed target remains in the target list. */
 	private static final long DELISTING_DELAY_NANOS = 3_600 * MILLI_NANOS;
 
 	private static final long TICK_INTERVAL_NANOS = 50 * MILLI_NANOS;
@@ -52,13 +54,13 @@
 
 	int bystandersServed;
 
-	/** The share of frames between daemons that is lost. */
+	/** Ratio of the frames between daemons that are lost. */
 	double frameLossRatio;
 
-	/** The share of attempts that are reset by a target that lives on. */
+	/** Ratio of the attempts whose connection is reset by a target that keeps running. */
 	double resetRatio;
 
-	/** Daemons that neither hear the others nor are heard. */
+	/** Ids of daemons that are partitioned from all others. */
 	final Set<String> partitionedIds = new HashSet<>();
 
 	private final Supplier<QuarantinePolicy> policy;
@@ -92,29 +94,32 @@
 		return this.policy.get();
 	}
 
-	private void heartbeat(CrashSimulationDaemon from) {
-		if (from.running()) {
-			final List<SuspectedRequest> told = from.gossipSample();
+	private void heartbeat(CrashSimulationDaemon sender) {
+		if (sender.running()) {
+			final List<SuspectedRequest> suspects = sender.gossipSample();
 			for (int i = 0; i < FAN_OUT; i++) {
-				final CrashSimulationDaemon to = this.daemons.get(this.random.nextInt(this.daemons.size()));
-				sendFrame(from, to, told);
-				if (to.running() && to.isNewIncarnation(from)) {
-					sendFrame(to, from, to.core().crashed().known());
+				final CrashSimulationDaemon receiver = this.daemons.get(this.random.nextInt(this.daemons.size()));
+				sendFrame(sender, receiver, suspects);
+				if (receiver.running() && receiver.isNewIncarnation(sender)) {
+					sendFrame(receiver, sender, receiver.core().crashed().known());
 				}
 			}
 		}
 	}
 
-	void broadcast(CrashSimulationDaemon from, List<SuspectedRequest> told) {
-		this.daemons.stream().filter((to) -> to != from).forEach((to) -> sendFrame(from, to, told));
+	void broadcast(CrashSimulationDaemon sender, List<SuspectedRequest> suspects) {
+		this.daemons.stream()
+			.filter((receiver) -> receiver != sender)
+			.forEach((receiver) -> sendFrame(sender, receiver, suspects));
 	}
 
-	private void sendFrame(CrashSimulationDaemon from, CrashSimulationDaemon to, List<SuspectedRequest> told) {
-		final boolean lost = this.random.nextDouble() < this.frameLossRatio || this.partitionedIds.contains(from.id())
-				|| this.partitionedIds.contains(to.id());
+	private void sendFrame(CrashSimulationDaemon sender, CrashSimulationDaemon receiver,
+			List<SuspectedRequest> suspects) {
+		final boolean lost = this.random.nextDouble() < this.frameLossRatio || this.partitionedIds.contains(sender.id())
+				|| this.partitionedIds.contains(receiver.id());
 		if (!lost) {
 			final long delayNanos = MILLI_NANOS + this.random.nextInt(MAX_FRAME_DELAY_MILLIS) * MILLI_NANOS;
-			after(delayNanos, () -> to.receive(told, delayNanos));
+			after(delayNanos, () -> receiver.receive(suspects, delayNanos));
 		}
 	}
 
@@ -143,8 +148,9 @@
 	}
 
 	/**
-	 * Lets innocent requests come, each of its own, as independent callers send them.
-	 * @param perSecond how many a second
+	 * Sends harmless requests with distinct fingerprints at random intervals, each
+	 * resubmitted once after a failure.
+	 * @param perSecond the mean rate in requests per second
 	 */
 	void sendUniqueRequests(double perSecond) {
 		after(nextGapNanos(perSecond), () -> {
@@ -154,9 +160,9 @@
 	}
 
 	/**
-	 * Lets one innocent request come again and again, from many callers.
-	 * @param fingerprint its fingerprint
-	 * @param perSecond how many times a second
+	 * Sends a harmless request repeatedly at random intervals, as from many callers.
+	 * @param fingerprint the request's fingerprint
+	 * @param perSecond the mean rate in requests per second
 	 */
 	void sendPopularRequest(String fingerprint, double perSecond) {
 		after(nextGapNanos(perSecond), () -> {
@@ -167,11 +173,11 @@
 	}
 
 	/**
-	 * Lets a request that crashes targets come again and again, to any daemon.
-	 * @param name its name
-	 * @param perSecond how many times a second
-	 * @param copies how many daemons it comes to at the same moment
-	 * @param seconds for how long
+	 * Sends a request that crashes targets repeatedly, to random daemons.
+	 * @param name the name of the request
+	 * @param perSecond the mean rate in submissions per second
+	 * @param copies how many copies are sent at the same moment
+	 * @param seconds for how long it is sent
 	 */
 	void sendCrashingRequest(String name, double perSecond, int copies, double seconds) {
 		sendCrashingRequestUntil(CRASHING_PREFIX + name, perSecond, copies,
@@ -190,8 +196,8 @@
 	}
 
 	/**
-	 * Lets targets die for reasons of their own.
-	 * @param perSecond how many a second
+	 * Crashes random targets, independently of requests.
+	 * @param perSecond the mean rate in crashes per second
 	 */
 	void crashRandomTargets(double perSecond) {
 		after(nextGapNanos(perSecond), () -> {
@@ -201,9 +207,9 @@
 	}
 
 	/**
-	 * Lets several targets die in the same moment.
-	 * @param first the first of them
-	 * @param count how many
+	 * Crashes several targets at the same moment.
+	 * @param first the index of the first target
+	 * @param count the number of targets
 	 */
 	void crashRack(int first, int count) {
 		this.targets.subList(first, first + count).forEach(CrashSimulationTarget::crash);
@@ -214,59 +220,59 @@
 	}
 
 	/**
-	 * Sends a request to a daemon that runs.
+	 * Sends a request to a random running daemon.
 	 * @param fingerprint the request's fingerprint
-	 * @param repeats how often its caller sends it again after a failure
+	 * @param resubmissions how often its caller resubmits it after a failure
 	 */
-	void arrive(String fingerprint, int repeats) {
+	void arrive(String fingerprint, int resubmissions) {
 		final List<CrashSimulationDaemon> running = this.daemons.stream()
 			.filter(CrashSimulationDaemon::running)
 			.toList();
 		if (!running.isEmpty()) {
-			running.get(this.random.nextInt(running.size())).arrive(fingerprint, repeats);
+			running.get(this.random.nextInt(running.size())).arrive(fingerprint, resubmissions);
 		}
 	}
 
 	void onCrash(String fingerprint) {
-		final int known = this.crashCount.merge(fingerprint, 1, Integer::sum);
-		if (known == DETECTION_CRASHES) {
+		final int count = this.crashCount.merge(fingerprint, 1, Integer::sum);
+		if (count == DETECTION_CRASHES) {
 			this.thirdCrashNanos.put(fingerprint, this.time.nowNanos());
 		}
 	}
 
-	void onArrival(CrashSimulationDaemon from, String fingerprint) {
-		final Long thirdNanos = this.thirdCrashNanos.get(fingerprint);
-		if (thirdNanos != null && this.time.nowNanos() - thirdNanos > PROPAGATION_NANOS
-				&& from.uptimeNanos() > PROPAGATION_NANOS) {
+	void onArrival(CrashSimulationDaemon sender, String fingerprint) {
+		final Long crashedAtNanos = this.thirdCrashNanos.get(fingerprint);
+		if (crashedAtNanos != null && this.time.nowNanos() - crashedAtNanos > PROPAGATION_NANOS
+				&& sender.uptimeNanos() > PROPAGATION_NANOS) {
 			this.lateArrivals.merge(fingerprint, 1, Integer::sum);
 		}
 	}
 
 	/**
-	 * Returns how many targets ended under a request that crashes them.
-	 * @param name its name
-	 * @return the number of targets
+	 * Returns how many targets crashed while running a request.
+	 * @param name the name of the request
+	 * @return the number of crashes
 	 */
 	int crashCount(String name) {
 		return this.crashCount.getOrDefault(CRASHING_PREFIX + name, 0);
 	}
 
 	/**
-	 * Returns how many times a request reached targets later than three seconds after the
-	 * third had ended under it.
-	 * @param name its name
+	 * Returns how often a request reached a target more than three seconds after the
+	 * third crash.
+	 * @param name the name of the request
 	 * @return the number of arrivals
 	 */
 	int lateArrivals(String name) {
 		return this.lateArrivals.getOrDefault(CRASHING_PREFIX + name, 0);
 	}
 
-	void after(long nanos, Runnable what) {
-		this.time.after(nanos, what);
+	void after(long nanos, Runnable action) {
+		this.time.after(nanos, action);
 	}
 
-	void afterDelisting(Runnable what) {
-		after(DELISTING_DELAY_NANOS, what);
+	void afterDelisting(Runnable action) {
+		after(DELISTING_DELAY_NANOS, action);
 	}
 
 	void run(double seconds) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulationDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulationDaemon.java
@@ -18,14 +18,14 @@
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
- * One daemon of a {@link CrashSimulation}: the decision core with the policies of a
- * daemon that relays by routes, and what carries out its actions.
+ * A simulated daemon: the traffic core with the policies of a daemon that relays by
+ * routes, and an executor of its actions.
  */
 final class CrashSimulationDaemon {
 
 	private static final long ONE_WAY_NANOS = 2 * CrashSimulation.MILLI_NANOS;
 
-	/** A broken connection, and a new one that is refused. */
+	/** Time for a connection to break and a new one to be refused. */
 	private static final long CRASH_DETECTION_NANOS = 3 * ONE_WAY_NANOS;
 
 	private static final long SOFT_DEADLINE_NANOS = 400 * CrashSimulation.MILLI_NANOS;
@@ -36,13 +36,13 @@
 
 	private static final int MAX_STARTING_EVENTS = 3;
 
-	private final CrashSimulation world;
+	private final CrashSimulation simulation;
 
 	private final String id;
 
 	private final Map<Long, Caller> callers = new HashMap<>();
 
-	private final Map<AttemptId, Sent> liveAttempts = new HashMap<>();
+	private final Map<AttemptId, SentAttempt> liveAttempts = new HashMap<>();
 
 	private final Map<String, Integer> knownIncarnations = new HashMap<>();
 
@@ -56,8 +56,8 @@
 
 	private long lastRequestId;
 
-	CrashSimulationDaemon(CrashSimulation world, String id) {
-		this.world = world;
+	CrashSimulationDaemon(CrashSimulation simulation, String id) {
+		this.simulation = simulation;
 		this.id = id;
 		start();
 	}
@@ -71,11 +71,11 @@
 	}
 
 	/**
-	 * Returns how long ago it started.
-	 * @return the time in nanoseconds
+	 * Returns the time since the last start.
+	 * @return the uptime in nanoseconds
 	 */
 	long uptimeNanos() {
-		return this.world.nowNanos() - this.startedAtNanos;
+		return this.simulation.nowNanos() - this.startedAtNanos;
 	}
 
 	TrafficCore core() {
@@ -93,68 +93,67 @@
 
 	void start() {
 		this.running = true;
-		this.startedAtNanos = this.world.nowNanos();
-		this.core = new TrafficCore(RoutingPolicies.create("zone", this.world.random.nextLong(),
-				new RetryBudget(0.2, 100, 10 * CrashSimulation.SECOND_NANOS), () -> 8, this.world.policy()));
+		this.startedAtNanos = this.simulation.nowNanos();
+		this.core = new TrafficCore(RoutingPolicies.create("zone", this.simulation.random.nextLong(),
+				new RetryBudget(0.2, 100, 10 * CrashSimulation.SECOND_NANOS), () -> 8, this.simulation.policy()));
 		updateTargets();
 	}
 
 	void updateTargets() {
 		if (this.running) {
-			apply(this.core.onTargets(this.world.nowNanos(), this.world.views()));
+			apply(this.core.onTargets(this.simulation.nowNanos(), this.simulation.views()));
 		}
 	}
 
 	void tick() {
 		if (this.running) {
-			apply(this.core.onTick(this.world.nowNanos()));
-			final List<SuspectedRequest> news = this.core.crashed().takeNews(this.world.nowNanos());
-			if (!news.isEmpty()) {
-				this.world.broadcast(this, news);
+			apply(this.core.onTick(this.simulation.nowNanos()));
+			final List<SuspectedRequest> broadcast = this.core.crashed().takeNews(this.simulation.nowNanos());
+			if (!broadcast.isEmpty()) {
+				this.simulation.broadcast(this, broadcast);
 			}
 		}
 	}
 
 	/**
-	 * Returns whether a daemon that sends a heartbeat here was not known before in its
-	 * present life.
-	 * @param from the daemon
-	 * @return whether it was not
+	 * Records the incarnation of a daemon that sent a heartbeat.
+	 * @param sender the daemon
+	 * @return true if this incarnation was not known
 	 */
-	boolean isNewIncarnation(CrashSimulationDaemon from) {
-		return !Integer.valueOf(from.incarnation).equals(this.knownIncarnations.put(from.id, from.incarnation));
+	boolean isNewIncarnation(CrashSimulationDaemon sender) {
+		return !Integer.valueOf(sender.incarnation).equals(this.knownIncarnations.put(sender.id, sender.incarnation));
 	}
 
 	List<SuspectedRequest> gossipSample() {
-		return this.core.crashed().sample(this.world.nowNanos());
+		return this.core.crashed().sample(this.simulation.nowNanos());
 	}
 
 	/**
-	 * Takes what another daemon tells.
-	 * @param told what it tells
-	 * @param delayNanos how long the frame took, by which deaths look later than they
+	 * Receives crash evidence from another daemon.
+	 * @param suspects the requests with their evidence
+	 * @param delayNanos the transmission delay, by which crashes appear later than they
 	 * were
 	 */
-	void receive(List<SuspectedRequest> told, long delayNanos) {
+	void receive(List<SuspectedRequest> suspects, long delayNanos) {
 		if (this.running) {
 			this.core.crashed()
-				.hearFromPeer(this.world.nowNanos(),
-						told.stream()
-							.map((request) -> new SuspectedRequest(request.fingerprint(),
-									request.evidence().stream().map((death) -> delayed(death, delayNanos)).toList()))
-							.toList());
-			apply(this.core.onTick(this.world.nowNanos()));
+				.hearFromPeer(this.simulation.nowNanos(), suspects.stream()
+					.map((request) -> new SuspectedRequest(request.fingerprint(),
+							request.evidence().stream().map((evidence) -> delayed(evidence, delayNanos)).toList()))
+					.toList());
+			apply(this.core.onTick(this.simulation.nowNanos()));
 		}
 	}
 
-	private static CrashEvidence delayed(CrashEvidence death, long nanos) {
-		return new CrashEvidence(death.targetId(), death.crashedAtNanos() + nanos, death.phase(), death.excused());
+	private static CrashEvidence delayed(CrashEvidence evidence, long nanos) {
+		return new CrashEvidence(evidence.targetId(), evidence.crashedAtNanos() + nanos, evidence.phase(),
+				evidence.excused());
 	}
 
-	void arrive(String fingerprint, int repeats) {
-		final long nowNanos = this.world.nowNanos();
+	void arrive(String fingerprint, int resubmissions) {
+		final long nowNanos = this.simulation.nowNanos();
 		final long requestId = ++this.lastRequestId;
-		this.callers.put(requestId, new Caller(fingerprint, repeats));
+		this.callers.put(requestId, new Caller(fingerprint, resubmissions));
 		apply(this.core.onRequest(nowNanos,
 				new RequestInfo(requestId, "shop", TargetKind.MODEL, "pool/m", 100, 60, 0, nowNanos + DEADLINE_NANOS,
 						nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, fingerprint, List.of(), 2,
@@ -162,20 +161,20 @@
 	}
 
 	/**
-	 * Learns that a target is dead, a moment after its attempts there broke off.
+	 * Handles a crash of a target, confirmed shortly after its attempts broke off.
 	 * @param targetId the target
-	 * @param ended what the target was running, for all daemons
+	 * @param interrupted the attempts of all daemons that were running on the target
 	 */
-	void onTargetCrash(String targetId, List<CrashSimulationTarget.Run> ended) {
-		final Set<String> beginning = new HashSet<>();
-		final Set<String> underWay = new HashSet<>();
-		ended.stream()
+	void onTargetCrash(String targetId, List<CrashSimulationTarget.Run> interrupted) {
+		final Set<String> starting = new HashSet<>();
+		final Set<String> inProgress = new HashSet<>();
+		interrupted.stream()
 			.filter((run) -> run.attempt.daemon() == this)
-			.forEach((run) -> ((run.events <= MAX_STARTING_EVENTS) ? beginning : underWay).add(run.fingerprint));
-		if (!beginning.isEmpty() || !underWay.isEmpty()) {
+			.forEach((run) -> ((run.events <= MAX_STARTING_EVENTS) ? starting : inProgress).add(run.fingerprint));
+		if (!starting.isEmpty() || !inProgress.isEmpty()) {
 			afterUnlessRestarted(CRASH_DETECTION_NANOS, () -> {
-				this.core.crashed().hear(this.world.nowNanos(), new TargetCrash(targetId, beginning, underWay));
-				apply(this.core.onTick(this.world.nowNanos()));
+				this.core.crashed().hear(this.simulation.nowNanos(), new TargetCrash(targetId, starting, inProgress));
+				apply(this.core.onTick(this.simulation.nowNanos()));
 			});
 		}
 	}
@@ -190,13 +189,13 @@
 			send(start, this.callers.get(requestId).fingerprint());
 		}
 		else if (action instanceof TrafficAction.Cancel cancel) {
-			final Sent sent = this.liveAttempts.get(cancel.attempt());
-			this.world.after(ONE_WAY_NANOS, () -> sent.target.cancel(sent));
+			final SentAttempt sent = this.liveAttempts.get(cancel.attempt());
+			this.simulation.after(ONE_WAY_NANOS, () -> sent.target.cancel(sent));
 			sent.end(AttemptEnd.CANCELLED, 0);
 		}
 		else if (action instanceof TrafficAction.Finish) {
 			final Caller caller = this.callers.remove(requestId);
-			this.world.bystandersServed += caller.crashesTargets() ? 0 : 1;
+			this.simulation.bystandersServed += caller.crashesTargets() ? 0 : 1;
 		}
 		else if (action instanceof TrafficAction.Fail fail) {
 			onFail(this.callers.remove(requestId), fail.kind());
@@ -205,17 +204,17 @@
 
 	private void onFail(Caller caller, ErrorKind kind) {
 		if (kind == ErrorKind.QUARANTINED && !caller.crashesTargets()) {
-			this.world.quarantinedBystanders.add(caller.fingerprint());
+			this.simulation.quarantinedBystanders.add(caller.fingerprint());
 		}
 		if (kind != ErrorKind.QUARANTINED && caller.resubmissions() > 0) {
-			this.world.after(RESUBMIT_DELAY_NANOS,
-					() -> this.world.arrive(caller.fingerprint(), caller.resubmissions() - 1));
+			this.simulation.after(RESUBMIT_DELAY_NANOS,
+					() -> this.simulation.arrive(caller.fingerprint(), caller.resubmissions() - 1));
 		}
 	}
 
 	private void send(TrafficAction.Start start, String fingerprint) {
-		final CrashSimulationTarget target = this.world.target(start.target().targetId());
-		final Sent sent = new Sent(start.attempt(), target, start.resumeFromTokens());
+		final CrashSimulationTarget target = this.simulation.target(start.target().targetId());
+		final SentAttempt sent = new SentAttempt(start.attempt(), target, start.resumeFromTokens());
 		this.liveAttempts.put(start.attempt(), sent);
 		afterUnlessRestarted(ONE_WAY_NANOS, () -> {
 			if (target == null || !target.up() || !target.hasId(start.target().targetId())) {
@@ -227,11 +226,11 @@
 		});
 	}
 
-	private void afterUnlessRestarted(long nanos, Runnable what) {
-		final int inLife = this.incarnation;
-		this.world.after(nanos, () -> {
-			if (this.running && this.incarnation == inLife) {
-				what.run();
+	private void afterUnlessRestarted(long nanos, Runnable action) {
+		final int scheduledIncarnation = this.incarnation;
+		this.simulation.after(nanos, () -> {
+			if (this.running && this.incarnation == scheduledIncarnation) {
+				action.run();
 			}
 		});
 	}
@@ -244,8 +243,8 @@
 
 	}
 
-	/** An attempt that was sent to a target. */
-	final class Sent {
+	/** An attempt in flight to a target. */
+	final class SentAttempt {
 
 		private final AttemptId attempt;
 
@@ -255,10 +254,10 @@
 
 		private boolean ended;
 
-		Sent(AttemptId attempt, CrashSimulationTarget target, int resumedFrom) {
+		SentAttempt(AttemptId attempt, CrashSimulationTarget target, int resumedFromTokens) {
 			this.attempt = attempt;
 			this.target = target;
-			this.resumedFromTokens = resumedFrom;
+			this.resumedFromTokens = resumedFromTokens;
 		}
 
 		CrashSimulationDaemon daemon() {
@@ -268,7 +267,7 @@
 		void progress(int events) {
 			afterUnlessRestarted(ONE_WAY_NANOS, () -> {
 				if (!this.ended) {
-					CrashSimulationDaemon.this.core.onProgress(CrashSimulationDaemon.this.world.nowNanos(),
+					CrashSimulationDaemon.this.core.onProgress(CrashSimulationDaemon.this.simulation.nowNanos(),
 							this.attempt, this.resumedFromTokens + events);
 				}
 			});
@@ -282,12 +281,12 @@
 			afterUnlessRestarted(ONE_WAY_NANOS, () -> end(AttemptEnd.BROKEN, events));
 		}
 
-		private void end(AttemptEnd how, int events) {
+		private void end(AttemptEnd end, int events) {
 			if (!this.ended) {
 				this.ended = true;
 				CrashSimulationDaemon.this.liveAttempts.remove(this.attempt);
-				apply(CrashSimulationDaemon.this.core.onAttemptEnd(CrashSimulationDaemon.this.world.nowNanos(),
-						this.attempt, how, this.resumedFromTokens + events));
+				apply(CrashSimulationDaemon.this.core.onAttemptEnd(CrashSimulationDaemon.this.simulation.nowNanos(),
+						this.attempt, end, this.resumedFromTokens + events));
 			}
 		}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulationTarget.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulationTarget.java
@@ -9,7 +9,7 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * One target of a {@link CrashSimulation}; each of its lives has an id of its own.
+ * A simulated target. Each restart gives it a new id.
  */
 final class CrashSimulationTarget {
 
@@ -25,7 +25,7 @@
 
 	private static final int MAX_EVENTS = 60;
 
-	private final CrashSimulation world;
+	private final CrashSimulation simulation;
 
 	private final String id;
 
@@ -39,8 +39,8 @@
 
 	private long nextRunId;
 
-	CrashSimulationTarget(CrashSimulation world, String id) {
-		this.world = world;
+	CrashSimulationTarget(CrashSimulation simulation, String id) {
+		this.simulation = simulation;
 		this.id = id;
 	}
 
@@ -62,94 +62,95 @@
 	}
 
 	/**
-	 * Takes an attempt that has arrived.
+	 * Runs an attempt: crashes, resets the connection or produces events until
+	 * completion.
 	 * @param attempt the attempt
-	 * @param fingerprint its request's fingerprint
+	 * @param fingerprint the request's fingerprint
 	 */
-	void run(CrashSimulationDaemon.Sent attempt, String fingerprint) {
-		final long number = this.nextRunId++;
+	void run(CrashSimulationDaemon.SentAttempt attempt, String fingerprint) {
+		final long runId = this.nextRunId++;
 		final Run run = new Run(attempt, fingerprint);
-		this.runs.put(number, run);
-		this.world.onArrival(attempt.daemon(), fingerprint);
+		this.runs.put(runId, run);
+		this.simulation.onArrival(attempt.daemon(), fingerprint);
 		if (fingerprint.startsWith(CrashSimulation.CRASHING_PREFIX)) {
-			whileRunning(number, FIRST_EVENT_NANOS + CRASH_DELAY_NANOS, () -> crashUnder(fingerprint));
+			whileRunning(runId, FIRST_EVENT_NANOS + CRASH_DELAY_NANOS, () -> crashUnder(fingerprint));
 		}
-		else if (this.world.random.nextDouble() < this.world.resetRatio) {
-			whileRunning(number, RESET_DELAY_NANOS, () -> {
-				this.runs.remove(number);
+		else if (this.simulation.random.nextDouble() < this.simulation.resetRatio) {
+			whileRunning(runId, RESET_DELAY_NANOS, () -> {
+				this.runs.remove(runId);
 				attempt.broken(0);
 			});
 		}
 		else {
-			final int events = 1 + this.world.random.nextInt(MAX_EVENTS);
-			whileRunning(number, FIRST_EVENT_NANOS, () -> sendEvent(number, run, events));
+			final int events = 1 + this.simulation.random.nextInt(MAX_EVENTS);
+			whileRunning(runId, FIRST_EVENT_NANOS, () -> sendEvent(runId, run, events));
 		}
 	}
 
-	private void sendEvent(long number, Run run, int left) {
+	private void sendEvent(long runId, Run run, int remaining) {
 		run.events++;
 		run.attempt.progress(run.events);
-		if (left == 1) {
-			this.runs.remove(number);
+		if (remaining == 1) {
+			this.runs.remove(runId);
 			run.attempt.complete();
 		}
 		else {
-			whileRunning(number, EVENT_INTERVAL_NANOS, () -> sendEvent(number, run, left - 1));
+			whileRunning(runId, EVENT_INTERVAL_NANOS, () -> sendEvent(runId, run, remaining - 1));
 		}
 	}
 
-	private void whileRunning(long number, long nanos, Runnable what) {
-		this.world.after(nanos, () -> {
-			if (this.runs.containsKey(number)) {
-				what.run();
+	private void whileRunning(long runId, long nanos, Runnable action) {
+		this.simulation.after(nanos, () -> {
+			if (this.runs.containsKey(runId)) {
+				action.run();
 			}
 		});
 	}
 
-	void cancel(CrashSimulationDaemon.Sent attempt) {
+	void cancel(CrashSimulationDaemon.SentAttempt attempt) {
 		this.runs.values().removeIf((run) -> run.attempt == attempt);
 	}
 
 	private void crashUnder(String fingerprint) {
-		this.world.onCrash(fingerprint);
+		this.simulation.onCrash(fingerprint);
 		crash();
 	}
 
-	/** Ends the target; it is back some seconds later, in another life. */
+	/** Crashes the target; it restarts three to five seconds later under a new id. */
 	void crash() {
 		if (!this.up) {
 			return;
 		}
 		this.up = false;
-		final List<Run> ended = new ArrayList<>(this.runs.values());
+		final List<Run> interrupted = new ArrayList<>(this.runs.values());
 		this.runs.clear();
-		ended.forEach((run) -> run.attempt.broken(run.events));
-		this.world.daemons().forEach((daemon) -> daemon.onTargetCrash(targetId(), ended));
-		final int over = this.incarnation;
-		this.world.afterDelisting(() -> {
-			if (this.incarnation == over) {
+		interrupted.forEach((run) -> run.attempt.broken(run.events));
+		this.simulation.daemons().forEach((daemon) -> daemon.onTargetCrash(targetId(), interrupted));
+		final int crashedIncarnation = this.incarnation;
+		this.simulation.afterDelisting(() -> {
+			if (this.incarnation == crashedIncarnation) {
 				this.listed = false;
-				this.world.updateTargets();
+				this.simulation.updateTargets();
 			}
 		});
-		this.world.after((3 + this.world.random.nextInt(3)) * CrashSimulation.SECOND_NANOS, () -> {
+		this.simulation.after((3 + this.simulation.random.nextInt(3)) * CrashSimulation.SECOND_NANOS, () -> {
 			this.incarnation++;
 			this.up = true;
 			this.listed = true;
-			this.world.updateTargets();
+			this.simulation.updateTargets();
 		});
 	}
 
-	/** An attempt that the target works on. */
+	/** An attempt that is running on the target. */
 	static final class Run {
 
-		final CrashSimulationDaemon.Sent attempt;
+		final CrashSimulationDaemon.SentAttempt attempt;
 
 		final String fingerprint;
 
 		int events;
 
-		Run(CrashSimulationDaemon.Sent attempt, String fingerprint) {
+		Run(CrashSimulationDaemon.SentAttempt attempt, String fingerprint) {
 			this.attempt = attempt;
 			this.fingerprint = fingerprint;
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/GossipQuarantineTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/GossipQuarantineTests.java
@@ -17,163 +17,167 @@
 
 	private static final double REQUESTS_PER_SECOND = TARGET_COUNT * 3;
 
-	/** What the users allow later than three seconds after the third target has ended. */
+	/**
+	 * Accepted number of arrivals at targets more than three seconds after the third
+	 * crash.
+	 */
 	private static final int MAX_LATE_ARRIVALS = 3;
 
-	/** They tell what the request does. */
+	/** Number of crashes required to identify the request. */
 	private static final int DETECTION_CRASHES = 3;
 
-	/** How many times copies may come before the first has crashed its target. */
+	/** How many further submissions may be on their way when a target crashes. */
 	private static final int MAX_CONCURRENT_SUBMISSIONS = 3;
 
 	private static CrashSimulation startSimulation(long seed, int daemons) {
-		final CrashSimulation world = new CrashSimulation(seed, daemons, TARGET_COUNT, GossipQuarantine::new);
-		world.sendUniqueRequests(REQUESTS_PER_SECOND);
-		world.run(3);
-		return world;
+		final CrashSimulation simulation = new CrashSimulation(seed, daemons, TARGET_COUNT, GossipQuarantine::new);
+		simulation.sendUniqueRequests(REQUESTS_PER_SECOND);
+		simulation.run(3);
+		return simulation;
 	}
 
 	private static int maxCrashes(int copies) {
 		return DETECTION_CRASHES + MAX_CONCURRENT_SUBMISSIONS * copies;
 	}
 
-	private static void assertContained(long seed, CrashSimulation world, int copies, String... killers) {
-		for (final String killer : killers) {
-			assertThat(world.crashCount(killer)).as("seed " + seed).isBetween(1, maxCrashes(copies));
-			assertThat(world.lateArrivals(killer)).as("seed " + seed).isLessThanOrEqualTo(MAX_LATE_ARRIVALS);
+	private static void assertContained(long seed, CrashSimulation simulation, int copies, String... names) {
+		for (final String name : names) {
+			assertThat(simulation.crashCount(name)).as("seed " + seed).isBetween(1, maxCrashes(copies));
+			assertThat(simulation.lateArrivals(name)).as("seed " + seed).isLessThanOrEqualTo(MAX_LATE_ARRIVALS);
 		}
-		assertThat(world.quarantinedBystanders).as("seed " + seed).isEmpty();
+		assertThat(simulation.quarantinedBystanders).as("seed " + seed).isEmpty();
 	}
 
 	/**
-	 * Guards against a request that crashes one target after the other, two with each
-	 * copy, as long as its callers send it.
+	 * Guards against a request that crashes one target after another for as long as its
+	 * callers submit it, up to two with each copy.
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 1", "1, 3", "8, 1", "8, 3", "95, 1", "95, 3" })
 	void aRequestThatCrashesTargetsIsSoonQuarantined(int daemons, int copies) {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, daemons);
-			world.sendCrashingRequest("a", 3, copies, 12);
-			world.run(15);
-			assertContained(seed, world, copies, "a");
+			final CrashSimulation simulation = startSimulation(seed, daemons);
+			simulation.sendCrashingRequest("a", 3, copies, 12);
+			simulation.run(15);
+			assertContained(seed, simulation, copies, "a");
 		}
 	}
 
 	/**
-	 * Guards against two such requests whose deaths are taken for each other's, or for
-	 * those of what ran beside them.
+	 * Guards against crashes of two requests being attributed to each other, or to
+	 * requests that ran beside them.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 8 })
 	void twoConcurrentCrashingRequestsAreBothQuarantined(int daemons) {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, daemons);
-			world.sendCrashingRequest("a", 4, 1, 15);
-			world.sendCrashingRequest("b", 4, 2, 15);
-			world.run(20);
-			assertContained(seed, world, 2, "a", "b");
+			final CrashSimulation simulation = startSimulation(seed, daemons);
+			simulation.sendCrashingRequest("a", 4, 1, 15);
+			simulation.sendCrashingRequest("b", 4, 2, 15);
+			simulation.run(20);
+			assertContained(seed, simulation, 2, "a", "b");
 		}
 	}
 
 	/**
-	 * Guards against callers who are refused for good since targets that died for other
-	 * reasons were running their requests.
+	 * Guards against quarantined requests that only ran on targets which crashed for
+	 * other reasons.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 8, 95 })
 	void noRequestIsQuarantinedWhileTargetsCrashForOtherReasons(int daemons) {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, daemons);
-			world.sendPopularRequest("popular", 10);
-			world.crashRandomTargets(0.7);
-			world.run(30);
-			assertThat(world.quarantinedBystanders).as("seed " + seed).isEmpty();
-			assertThat((double) world.bystandersServed / world.bystanders).as("seed " + seed).isGreaterThan(0.9);
+			final CrashSimulation simulation = startSimulation(seed, daemons);
+			simulation.sendPopularRequest("popular", 10);
+			simulation.crashRandomTargets(0.7);
+			simulation.run(30);
+			assertThat(simulation.quarantinedBystanders).as("seed " + seed).isEmpty();
+			assertThat((double) simulation.bystandersServed / simulation.bystanders).as("seed " + seed)
+				.isGreaterThan(0.9);
 		}
 	}
 
 	/**
-	 * Guards against callers who are refused for good since rack after rack went under
-	 * their requests.
+	 * Guards against requests that are quarantined because several racks failed while
+	 * running them.
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 8, 95 })
 	void rackFailuresQuarantineNoRequest(int daemons) {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, daemons);
+			final CrashSimulation simulation = startSimulation(seed, daemons);
 			for (int rack = 0; rack < 4; rack++) {
-				world.crashRack(10 * rack, 10);
-				world.run(0.2);
+				simulation.crashRack(10 * rack, 10);
+				simulation.run(0.2);
 			}
-			world.run(5);
-			assertThat(world.quarantinedBystanders).as("seed " + seed).isEmpty();
+			simulation.run(5);
+			assertThat(simulation.quarantinedBystanders).as("seed " + seed).isEmpty();
 		}
 	}
 
 	/**
-	 * Guards against a request that met three such deaths by chance, one right after the
-	 * other, and is refused for good.
+	 * Guards against a request that is quarantined because it was running during three
+	 * unrelated crashes in quick succession.
 	 */
 	@Test
 	void threeCrashesQuarantineNothingDuringUnrelatedCrashes() {
-		final CrashSimulation world = new CrashSimulation(16, 1, TARGET_COUNT, GossipQuarantine::new);
-		world.sendUniqueRequests(REQUESTS_PER_SECOND);
-		world.crashRandomTargets(0.7);
-		world.sendPopularRequest("popular", 10);
+		final CrashSimulation simulation = new CrashSimulation(16, 1, TARGET_COUNT, GossipQuarantine::new);
+		simulation.sendUniqueRequests(REQUESTS_PER_SECOND);
+		simulation.crashRandomTargets(0.7);
+		simulation.sendPopularRequest("popular", 10);
 		for (int second = 0; second < 30; second++) {
-			world.run(1);
-			assertThat(world.daemon(0).core().crashed().quarantined()).isEmpty();
+			simulation.run(1);
+			assertThat(simulation.daemon(0).core().crashed().quarantined()).isEmpty();
 		}
 	}
 
 	/**
-	 * Guards against callers who are refused for good since connections to targets that
-	 * live on are reset again and again.
+	 * Guards against requests that are quarantined because running targets reset their
+	 * connections repeatedly.
 	 */
 	@Test
 	void noRequestIsQuarantinedWhileTargetsResetConnections() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, 8);
-			world.resetRatio = 0.4;
-			world.sendPopularRequest("popular", 10);
-			world.run(20);
-			assertThat(world.quarantinedBystanders).as("seed " + seed).isEmpty();
+			final CrashSimulation simulation = startSimulation(seed, 8);
+			simulation.resetRatio = 0.4;
+			simulation.sendPopularRequest("popular", 10);
+			simulation.run(20);
+			assertThat(simulation.quarantinedBystanders).as("seed " + seed).isEmpty();
 		}
 	}
 
 	/**
-	 * Guards against a request that is found out only as long as all frames between
-	 * daemons arrive.
+	 * Guards against a quarantine that depends on every frame between daemons being
+	 * delivered; here half of them are lost.
 	 */
 	@Test
 	void heartbeatsMakeUpForLostBroadcasts() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, 8);
-			world.frameLossRatio = 0.5;
-			world.sendCrashingRequest("a", 3, 1, 15);
-			world.run(20);
-			assertContained(seed, world, 1, "a");
+			final CrashSimulation simulation = startSimulation(seed, 8);
+			simulation.frameLossRatio = 0.5;
+			simulation.sendCrashingRequest("a", 3, 1, 15);
+			simulation.run(20);
+			assertContained(seed, simulation, 1, "a");
 		}
 	}
 
 	/**
-	 * Guards against a daemon that has been cut off from the others, or has just started,
-	 * and crashes targets anew.
+	 * Guards against further crashes caused by a daemon that was partitioned from the
+	 * others or has just started.
 	 */
 	@Test
 	void aDaemonThatRejoinsSoonHasTheSameQuarantinesAsItsPeers() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, 8);
-			world.partitionedIds.add("daemon-0");
-			world.sendCrashingRequest("a", 3, 1, 2);
-			world.run(6);
-			world.partitionedIds.clear();
-			world.daemon(1).stop();
-			world.run(1);
-			world.daemon(1).start();
-			world.run(3);
-			assertThat(world.daemons()).as("seed " + seed)
+			final CrashSimulation simulation = startSimulation(seed, 8);
+			simulation.partitionedIds.add("daemon-0");
+			simulation.sendCrashingRequest("a", 3, 1, 2);
+			simulation.run(6);
+			simulation.partitionedIds.clear();
+			simulation.daemon(1).stop();
+			simulation.run(1);
+			simulation.daemon(1).start();
+			simulation.run(3);
+			assertThat(simulation.daemons()).as("seed " + seed)
 				.allMatch((daemon) -> daemon.core()
 					.crashed()
 					.quarantined()
@@ -182,42 +186,42 @@
 	}
 
 	/**
-	 * Guards against a request that takes more targets with each daemon that restarts.
+	 * Guards against a request that crashes further targets each time a daemon restarts.
 	 */
 	@Test
 	void rollingRestartsLoseNoQuarantine() {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, 8);
-			world.sendCrashingRequest("a", 3, 1, 30);
-			world.run(3);
-			for (int turn = 0; turn < 16; turn++) {
-				world.daemon(turn % 8).stop();
-				world.run(0.7);
-				world.daemon(turn % 8).start();
-				world.run(0.7);
+			final CrashSimulation simulation = startSimulation(seed, 8);
+			simulation.sendCrashingRequest("a", 3, 1, 30);
+			simulation.run(3);
+			for (int restart = 0; restart < 16; restart++) {
+				simulation.daemon(restart % 8).stop();
+				simulation.run(0.7);
+				simulation.daemon(restart % 8).start();
+				simulation.run(0.7);
 			}
-			assertContained(seed, world, 1, "a");
+			assertContained(seed, simulation, 1, "a");
 		}
 	}
 
 	/**
-	 * Guards against a request that is taken for harmless after all daemons have died and
-	 * none remembers it, and reaches many targets anew, at whatever rate it comes.
+	 * Guards against a request that crashes many targets again, at a high or a low rate,
+	 * after all daemons restarted and lost their evidence.
 	 */
 	@ParameterizedTest
 	@ValueSource(doubles = { 3, 0.4 })
 	void afterAllDaemonsRestartTheRequestIsQuarantinedAgain(double perSecond) {
 		for (long seed = 1; seed <= SEED_COUNT; seed++) {
-			final CrashSimulation world = startSimulation(seed, 8);
-			world.sendCrashingRequest("a", perSecond, 1, 60);
-			world.run(20);
-			world.daemons().forEach(CrashSimulationDaemon::stop);
-			world.run(1);
-			world.daemons().forEach(CrashSimulationDaemon::start);
-			world.run(30);
-			assertThat(world.crashCount("a")).as("seed " + seed).isBetween(1, 2 * maxCrashes(1));
-			assertThat(world.lateArrivals("a")).as("seed " + seed).isLessThanOrEqualTo(MAX_LATE_ARRIVALS);
-			assertThat(world.quarantinedBystanders).as("seed " + seed).isEmpty();
+			final CrashSimulation simulation = startSimulation(seed, 8);
+			simulation.sendCrashingRequest("a", perSecond, 1, 60);
+			simulation.run(20);
+			simulation.daemons().forEach(CrashSimulationDaemon::stop);
+			simulation.run(1);
+			simulation.daemons().forEach(CrashSimulationDaemon::start);
+			simulation.run(30);
+			assertThat(simulation.crashCount("a")).as("seed " + seed).isBetween(1, 2 * maxCrashes(1));
+			assertThat(simulation.lateArrivals("a")).as("seed " + seed).isLessThanOrEqualTo(MAX_LATE_ARRIVALS);
+			assertThat(simulation.quarantinedBystanders).as("seed " + seed).isEmpty();
 		}
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/LogBasedQuarantineTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/LogBasedQuarantineTests.java
@@ -13,31 +13,30 @@
 
 	private final LogBasedQuarantine policy = new LogBasedQuarantine();
 
-	// A killer and the others of its batch were suspected for the same group. Once the
-	// killer is found there is nothing against the others, and they need not wait for
-	// each other any longer.
+	// All requests of a batch are suspected when its group crashes. Once the culprit is
+	// quarantined, the others must no longer be isolated from each other.
 	@Test
 	void bystandersAreClearedWhenTheCulpritIsQuarantined() {
-		this.policy.onBrokenAttempt(0, "killer", "g0@1");
-		this.policy.onBrokenAttempt(0, "innocent", "g0@1");
+		this.policy.onBrokenAttempt(0, "culprit", "g0@1");
+		this.policy.onBrokenAttempt(0, "bystander", "g0@1");
 		this.policy.onBrokenAttempt(0, "elsewhere", "g7@1");
-		assertThat(this.policy.onBrokenAttempt(0, "killer", "g1@1")).isEqualTo(CrashVerdict.QUARANTINED);
+		assertThat(this.policy.onBrokenAttempt(0, "culprit", "g1@1")).isEqualTo(CrashVerdict.QUARANTINED);
 		assertThat(this.policy.suspects()).containsOnlyKeys("elsewhere");
 	}
 
-	// The culprit was found by another daemon; this one learns of it from the log.
+	// The quarantine is learned from the log rather than decided by this daemon.
 	@Test
 	void bystandersAreClearedWhenAnotherDaemonQuarantinesTheCulprit() {
-		this.policy.onBrokenAttempt(0, "innocent", "g0@1");
-		this.policy.onLogState(0, Set.of(), Map.of("killer", "g0@1"));
-		assertThat(this.policy.isSuspect("killer")).isTrue();
-		this.policy.onLogState(0, Set.of("killer"), Map.of("killer", "g0@1"));
-		assertThat(this.policy.isQuarantined("killer")).isTrue();
+		this.policy.onBrokenAttempt(0, "bystander", "g0@1");
+		this.policy.onLogState(0, Set.of(), Map.of("culprit", "g0@1"));
+		assertThat(this.policy.isSuspect("culprit")).isTrue();
+		this.policy.onLogState(0, Set.of("culprit"), Map.of("culprit", "g0@1"));
+		assertThat(this.policy.isQuarantined("culprit")).isTrue();
 		assertThat(this.policy.suspects()).isEmpty();
 	}
 
-	// A popular prompt has run well many times when a rack takes three of its groups at
-	// once. Its callers are not to be told that it crashes groups.
+	// A popular prompt has completed three times when a rack failure takes three of its
+	// groups at once. It must not be treated as the cause.
 	@Test
 	void earlierCompletionsExcuseCrashes() {
 		for (int i = 0; i < 3; i++) {
@@ -49,7 +48,8 @@
 		assertThat(this.policy.onBrokenAttempt(0, "popular", "g3")).isEqualTo(CrashVerdict.SUSPECTED);
 	}
 
-	// A group's death long ago, and another one today, are no pattern.
+	// Two crashes that are more than ten minutes apart are not evidence against a
+	// request.
 	@Test
 	void suspicionsAndQuarantinesExpire() {
 		this.policy.onBrokenAttempt(0, "a", "g0@1");
