--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashVerdict.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashVerdict.java
@@ -6,8 +6,8 @@
 public enum CrashVerdict {
 
 	/**
-	 * The attempt is not counted against the request, for instance because it completed
-	 * before.
+	 * The attempt is not counted against the request, for instance because the request
+	 * completed before.
 	 */
 	EXCUSED,
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashRegistryTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashRegistryTests.java
@@ -78,9 +78,9 @@
 	void aRequestThatOnlyRanBesideTheCulpritIsNotQuarantined() {
 		for (final String targetId : List.of("i-1", "i-2", "i-3")) {
 			crash(0, "culprit", targetId, CrashPhase.STARTING);
-			crash(0, "beside", targetId, CrashPhase.STARTING);
+			crash(0, "bystander", targetId, CrashPhase.STARTING);
 		}
-		assertThat(this.registry.quarantined()).doesNotContain("beside");
+		assertThat(this.registry.quarantined()).doesNotContain("bystander");
 		crash(0, "culprit", "i-4", CrashPhase.STARTING);
 		assertThat(this.registry.quarantined()).containsExactly("culprit");
 	}
@@ -137,7 +137,7 @@
 	void theRegistryIsBoundedAndEvictsTheWeakestEvidence() {
 		quarantine(0, "a");
 		for (int i = 0; i < 3 * CrashRegistry.MAX_REQUESTS; i++) {
-			crash(i, "innocent-" + i, "i-" + i, CrashPhase.STARTING);
+			crash(i, "bystander-" + i, "i-" + i, CrashPhase.STARTING);
 		}
 		assertThat(this.registry.isQuarantined("a")).isTrue();
 		assertThat(this.registry.reports(0)).hasSize(CrashRegistry.MAX_REQUESTS);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/LogBasedQuarantineTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/LogBasedQuarantineTests.java
@@ -48,8 +48,7 @@
 		assertThat(this.policy.onBrokenAttempt(0, "popular", "g3")).isEqualTo(CrashVerdict.SUSPECTED);
 	}
 
-	// Two crashes that are more than ten minutes apart are not evidence against a
-	// request.
+	// Two crashes more than ten minutes apart are not evidence against a request.
 	@Test
 	void suspicionsAndQuarantinesExpire() {
 		this.policy.onBrokenAttempt(0, "a", "g0@1");
