--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/InstanceLimit.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/InstanceLimit.java
@@ -7,12 +7,13 @@
 import org.pistachioline.core.placement.LiveDaemons;
 
 /**
- * The limit of one instance, and when this daemon may start its next attempt there.
+ * The rate limit of one instance, and the schedule of this daemon's attempts there.
  * <p>
- * A daemon that holds permits starts attempts at their part of the limit, evenly spaced,
- * and saves up next to nothing: what each saves up, all would send together. One that
- * holds none starts one attempt only when nobody has told of the instance for long. Else
- * a limit that is over would hold for ever where the holders have no callers.
+ * A daemon that holds permits starts attempts at its share of the limit, evenly spaced
+ * and almost without a burst allowance, since the saved allowances of all daemons could
+ * be used at the same moment. A daemon without permits starts a single probe only when
+ * nothing has been received from the instance for long. Otherwise a limit that has ended
+ * would stay in force if the permit holders have no callers.
  */
 public final class InstanceLimit {
 
@@ -22,24 +23,37 @@
 
 	private static final long REPORT_WINDOW_NANOS = 4_000_000_000L;
 
-	/** How long the end of a limit is told to other daemons. */
+	/** How long the end of a limit is gossiped to other daemons. */
 	private static final long END_GOSSIP_NANOS = 30_000_000_000L;
 
-	/** More than a heartbeat takes from daemon to daemon. */
+	/**
+	 * Error bound of times received from peers; exceeds the delay of a heartbeat between
+	 * daemons.
+	 */
 	private static final long PEER_TIME_ERROR_NANOS = 500_000_000L;
 
-	/** Makes up for attempts that start a tick late. */
+	/**
+	 * Lateness of a start that does not delay the next one; compensates for attempts that
+	 * start a tick late.
+	 */
 	private static final long MAX_LATENESS_NANOS = 200_000_000L;
 
-	/** For how many requests' time nothing is heard before one without permits asks. */
+	/**
+	 * Time without news before a daemon without permits probes, in requests at the
+	 * limit's rate.
+	 */
 	private static final double PROBE_QUIET_REQUESTS = 5;
 
 	/**
-	 * Where daemons tell each other nothing, those without permits add an eighth at most.
+	 * Range of the random extra delay of a probe, in requests at the limit's rate per
+	 * daemon. If daemons cannot exchange limits, the probes of all daemons together add
+	 * at most an eighth of the limit.
 	 */
 	private static final double PROBE_SPREAD_REQUESTS = 16;
 
-	/** The rate at which an instance is asked that takes less, or nothing. */
+	/**
+	 * Lower bound of the rate from which probe delays are computed, for limits below it.
+	 */
 	private static final double MIN_PROBES_PER_SECOND = 0.1;
 
 	private final String instanceId;
@@ -61,7 +75,7 @@
 	private long drawCount;
 
 	/**
-	 * Creates the limit of an instance that has named none.
+	 * Creates the state of an instance that has not advertised a limit.
 	 * @param instanceId the instance
 	 * @param daemons the live daemons
 	 */
@@ -76,67 +90,68 @@
 	}
 
 	/**
-	 * Returns whether the instance names a limit.
-	 * @return whether it does
+	 * Returns whether the instance currently advertises a limit.
+	 * @return true if a limit is in force
 	 */
 	public boolean isLimited() {
 		return this.latest.requestsPerSecond().isPresent();
 	}
 
 	/**
-	 * Returns whether other daemons are to be told: of a limit that holds, and of one
-	 * that ended lately.
-	 * @param nowNanos the monotonic time
-	 * @return whether they are
+	 * Returns whether the latest state is to be gossiped: while a limit is in force, and
+	 * for 30 seconds after it ended.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return true if peers should receive it
 	 */
 	boolean shouldGossip(long nowNanos) {
 		return isLimited() || (this.hasBeenLimited && nowNanos - this.latest.receivedAtNanos() < END_GOSSIP_NANOS);
 	}
 
 	/**
-	 * Takes what another daemon told. Its time is known less exactly than that of an
-	 * answer, and what this daemon told itself comes back a little newer than it was.
-	 * @param nowNanos the monotonic time
-	 * @param heard what the instance said
-	 * @return whether it says something else than the last
+	 * Applies a limit received from a peer if it is clearly newer. Times from peers are
+	 * less exact than those of responses, and state that this daemon sent itself returns
+	 * looking slightly newer.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param received what the instance advertised
+	 * @return true if the limit changed
 	 */
-	boolean onPeerLimit(long nowNanos, AdvertisedLimit heard) {
-		final boolean newer = !this.hasBeenLimited
-				|| heard.receivedAtNanos() - this.latest.receivedAtNanos() > PEER_TIME_ERROR_NANOS;
-		final boolean meant = this.hasBeenLimited || heard.requestsPerSecond().isPresent();
-		return newer && meant && update(nowNanos, heard);
+	boolean onPeerLimit(long nowNanos, AdvertisedLimit received) {
+		final boolean isNewer = !this.hasBeenLimited
+				|| received.receivedAtNanos() - this.latest.receivedAtNanos() > PEER_TIME_ERROR_NANOS;
+		final boolean isRelevant = this.hasBeenLimited || received.requestsPerSecond().isPresent();
+		return isNewer && isRelevant && update(nowNanos, received);
 	}
 
 	/**
-	 * Returns how many requests the instance takes from all daemons together.
-	 * @return the requests a second; 0 where it names no limit
+	 * Returns the limit for all daemons together.
+	 * @return the limit in requests per second; 0 if none is in force
 	 */
 	public double requestsPerSecond() {
 		return this.latest.requestsPerSecond().orElse(0);
 	}
 
 	/**
-	 * Returns this daemon's part of the limit.
-	 * @return the requests a second
+	 * Returns this daemon's share of the limit.
+	 * @return the share in requests per second; 0 if it holds no permit
 	 */
 	public double ownRequestsPerSecond() {
 		return this.ownRequestsPerSecond;
 	}
 
 	/**
-	 * Takes what the instance said last.
-	 * @param nowNanos the monotonic time
-	 * @param heard what the instance said
-	 * @return whether it says something else than the last
+	 * Replaces the latest advertised limit.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param received what the instance advertised
+	 * @return true if the limit changed
 	 */
-	boolean update(long nowNanos, AdvertisedLimit heard) {
-		final OptionalDouble before = this.latest.requestsPerSecond();
-		this.latest = heard;
-		this.hasBeenLimited |= heard.requestsPerSecond().isPresent();
-		if (before.equals(heard.requestsPerSecond())) {
+	boolean update(long nowNanos, AdvertisedLimit received) {
+		final OptionalDouble previous = this.latest.requestsPerSecond();
+		this.latest = received;
+		this.hasBeenLimited |= received.requestsPerSecond().isPresent();
+		if (previous.equals(received.requestsPerSecond())) {
 			return false;
 		}
-		if (before.isEmpty()) {
+		if (previous.isEmpty()) {
 			this.lastStartNanos = nowNanos;
 			this.scheduledStartNanos = nowNanos + probeDelayNanos();
 			this.ownRequestsPerSecond = 0;
@@ -146,12 +161,12 @@
 	}
 
 	/**
-	 * Takes over which daemons share the limit.
-	 * @param nowNanos the monotonic time
-	 * @param live the live daemons
+	 * Recomputes this daemon's share after a change of the live daemons.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param liveDaemons the live daemons
 	 */
-	void onLiveDaemons(long nowNanos, LiveDaemons live) {
-		this.daemons = live;
+	void onLiveDaemons(long nowNanos, LiveDaemons liveDaemons) {
+		this.daemons = liveDaemons;
 		updateShare(nowNanos);
 	}
 
@@ -160,21 +175,21 @@
 			return;
 		}
 		final int permits = PermitAllocation.permitCount(requestsPerSecond());
-		final double part = requestsPerSecond() * PermitAllocation.countHeld(this.daemons, this.instanceId, permits)
+		final double share = requestsPerSecond() * PermitAllocation.countHeld(this.daemons, this.instanceId, permits)
 				/ permits;
-		if (part == this.ownRequestsPerSecond) {
+		if (share == this.ownRequestsPerSecond) {
 			return;
 		}
-		final boolean heldBefore = this.ownRequestsPerSecond > 0;
-		this.ownRequestsPerSecond = part;
-		if (part == 0) {
+		final boolean heldPermit = this.ownRequestsPerSecond > 0;
+		this.ownRequestsPerSecond = share;
+		if (share == 0) {
 			this.scheduledStartNanos = this.lastStartNanos + probeDelayNanos();
 		}
-		else if (heldBefore) {
+		else if (heldPermit) {
 			this.scheduledStartNanos = this.lastStartNanos + spacingNanos();
 		}
 		else {
-			// The former holder may have used the permit just now.
+			// The previous holder may have just used the permit.
 			this.scheduledStartNanos = nowNanos + (long) ((1 + nextDraw()) / 2 * spacingNanos());
 		}
 	}
@@ -184,9 +199,9 @@
 	}
 
 	private long probeDelayNanos() {
-		final double perSecond = Math.max(MIN_PROBES_PER_SECOND, requestsPerSecond());
+		final double probesPerSecond = Math.max(MIN_PROBES_PER_SECOND, requestsPerSecond());
 		final double requests = PROBE_QUIET_REQUESTS + nextDraw() * PROBE_SPREAD_REQUESTS * this.daemons.ids().size();
-		return (long) (requests / perSecond * NANOS_PER_SECOND);
+		return (long) (requests / probesPerSecond * NANOS_PER_SECOND);
 	}
 
 	private double nextDraw() {
@@ -194,30 +209,32 @@
 	}
 
 	/**
-	 * Returns when this daemon may start its next attempt there.
-	 * @return the monotonic time, past or to come; {@link Long#MIN_VALUE} where the
-	 * instance names no limit
+	 * Returns the earliest time at which this daemon may start its next attempt on the
+	 * instance.
+	 * @return the monotonic time in nanoseconds, possibly in the past;
+	 * {@link Long#MIN_VALUE} if no limit is in force
 	 */
 	public long nextStartNanos() {
 		if (!isLimited()) {
 			return Long.MIN_VALUE;
 		}
-		final long heardSinceNanos = Math.max(0, this.latest.receivedAtNanos() - this.lastStartNanos);
-		return (this.ownRequestsPerSecond > 0) ? this.scheduledStartNanos : this.scheduledStartNanos + heardSinceNanos;
+		// A probe is postponed by any news received since the last start.
+		final long postponedNanos = Math.max(0, this.latest.receivedAtNanos() - this.lastStartNanos);
+		return (this.ownRequestsPerSecond > 0) ? this.scheduledStartNanos : this.scheduledStartNanos + postponedNanos;
 	}
 
 	/**
-	 * Returns whether this daemon may start an attempt there.
-	 * @param nowNanos the monotonic time
-	 * @return whether it may
+	 * Returns whether this daemon may start an attempt on the instance now.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return true if the limit allows it
 	 */
 	public boolean mayStart(long nowNanos) {
 		return !isLimited() || nowNanos - nextStartNanos() >= 0;
 	}
 
 	/**
-	 * Counts an attempt that starts.
-	 * @param nowNanos the monotonic time
+	 * Records the start of an attempt and schedules the next one.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 */
 	public void onStart(long nowNanos) {
 		if (!isLimited()) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitRegistry.java
@@ -9,16 +9,20 @@
 import org.pistachioline.core.placement.LiveDaemons;
 
 /**
- * The limits that instances name.
+ * The rate limits that instances advertise.
  * <p>
- * An instance names a limit in each answer for as long as it holds. One answer without it
- * ends it, but only if its request was sent after the limit was last heard: answers on
- * different connections overtake each other. Daemons tell each other what they heard
- * last, so that those who send nothing there hear of the end.
+ * An instance advertises its limit in every response while the limit is in force. One
+ * response without it ends the limit, but only if its request was sent after the limit
+ * was last received, since responses on different connections may arrive out of order.
+ * Daemons gossip the latest state, so that those which send nothing to an instance learn
+ * of the end as well.
  */
 public final class LimitRegistry {
 
-	/** A head that leaves its group is soon the head of another. */
+	/**
+	 * How long a limit is retained after its instance is no longer a target; the head of
+	 * a dissolved group usually soon heads another.
+	 */
 	private static final long RETENTION_NANOS = 60_000_000_000L;
 
 	private final Map<String, InstanceLimit> limits = new HashMap<>();
@@ -26,7 +30,7 @@
 	private LiveDaemons daemons = LiveDaemons.ALONE;
 
 	/**
-	 * Returns the limit of an instance, whether it names one or not.
+	 * Returns the state of an instance, which may have no limit in force.
 	 * @param instanceId the instance
 	 * @return its limit
 	 */
@@ -35,63 +39,65 @@
 	}
 
 	/**
-	 * Takes what an instance said in an answer.
-	 * @param nowNanos the monotonic time
-	 * @param sentAtNanos when the answer's request was sent
+	 * Applies what an instance advertised in a response.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param sentAtNanos when the request of the response was sent
 	 * @param instanceId the instance
-	 * @param requestsPerSecond the limit that it named; empty where it named none
-	 * @return whether that changes anything
+	 * @param requestsPerSecond the advertised limit; empty if the response had none
+	 * @return true if the limit changed
 	 */
 	public boolean onResponse(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
-		final InstanceLimit known = this.limits.get(instanceId);
-		if (known == null) {
+		final InstanceLimit limit = this.limits.get(instanceId);
+		if (limit == null) {
 			return false;
 		}
-		final boolean overtaken = requestsPerSecond.isEmpty() && sentAtNanos - known.latest().receivedAtNanos() < 0;
-		return !overtaken && known.update(nowNanos, new AdvertisedLimit(instanceId, requestsPerSecond, nowNanos));
+		final boolean outdated = requestsPerSecond.isEmpty() && sentAtNanos - limit.latest().receivedAtNanos() < 0;
+		return !outdated && limit.update(nowNanos, new AdvertisedLimit(instanceId, requestsPerSecond, nowNanos));
 	}
 
 	/**
-	 * Takes what another daemon told.
-	 * @param nowNanos the monotonic time
-	 * @param stated what instances said there, or farther away
-	 * @return those that change anything
+	 * Applies limits received from a peer.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param peerLimits the limits known to the peer
+	 * @return those that changed a limit
 	 */
-	public List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> stated) {
-		return stated.stream().filter((heard) -> getOrCreate(heard.instanceId()).onPeerLimit(nowNanos, heard)).toList();
+	public List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> peerLimits) {
+		return peerLimits.stream()
+			.filter((received) -> getOrCreate(received.instanceId()).onPeerLimit(nowNanos, received))
+			.toList();
 	}
 
 	/**
-	 * Returns what other daemons are to be told.
-	 * @param nowNanos the monotonic time
-	 * @return what each instance said last that names a limit, or did so lately; the
-	 * newest first
+	 * Returns the limits to gossip.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the latest state of each instance with a limit that is in force or ended
+	 * recently, newest first
 	 */
 	public List<AdvertisedLimit> latestLimits(long nowNanos) {
 		return this.limits.values()
 			.stream()
-			.filter((known) -> known.shouldGossip(nowNanos))
+			.filter((limit) -> limit.shouldGossip(nowNanos))
 			.map(InstanceLimit::latest)
 			.sorted((first, second) -> Long.compare(second.receivedAtNanos() - first.receivedAtNanos(), 0))
 			.toList();
 	}
 
 	/**
-	 * Takes over which daemons share the limits.
-	 * @param nowNanos the monotonic time
+	 * Recomputes all shares if the live daemons changed.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @param live the live daemons
 	 */
 	public void onLiveDaemons(long nowNanos, LiveDaemons live) {
 		if (!live.equals(this.daemons)) {
 			this.daemons = live;
-			this.limits.values().forEach((known) -> known.onLiveDaemons(nowNanos, live));
+			this.limits.values().forEach((limit) -> limit.onLiveDaemons(nowNanos, live));
 		}
 	}
 
 	/**
-	 * Forgets the instances that have been gone for long.
-	 * @param nowNanos the monotonic time
-	 * @param instanceIds those that are there
+	 * Removes instances that are no longer targets and have no recent limit.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param instanceIds the instances to keep
 	 */
 	public void retain(long nowNanos, Set<String> instanceIds) {
 		this.limits.entrySet()
@@ -100,15 +106,15 @@
 	}
 
 	/**
-	 * Describes the limits that hold, for operators.
-	 * @param nowNanos the monotonic time
-	 * @return the limits
+	 * Returns the limits in force, as shown to operators.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the reports
 	 */
 	public List<LimitReport> reports(long nowNanos) {
 		return this.limits.values()
 			.stream()
 			.filter(InstanceLimit::isLimited)
-			.map((known) -> known.report(nowNanos))
+			.map((limit) -> limit.report(nowNanos))
 			.toList();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitReport.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitReport.java
@@ -1,13 +1,14 @@
 package org.pistachioline.core.limit;
 
 /**
- * An instance that names a limit, for operators.
+ * A limit in force, as shown to operators.
  *
  * @param instanceId the instance
- * @param requestsPerSecond its limit, for all daemons together
- * @param ownRequestsPerSecond this daemon's part of it
- * @param heardAgeMillis how long ago it was heard
- * @param recentAttempts how many attempts this daemon sent there in the last four seconds
+ * @param requestsPerSecond the limit for all daemons together
+ * @param ownRequestsPerSecond this daemon's share of it
+ * @param heardAgeMillis time since the limit was last received, in milliseconds
+ * @param recentAttempts number of attempts that this daemon started in the last four
+ * seconds
  */
 public record LimitReport(String instanceId, double requestsPerSecond, double ownRequestsPerSecond, long heardAgeMillis,
 		int recentAttempts) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/PermitAllocation.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/PermitAllocation.java
@@ -7,19 +7,23 @@
 import org.pistachioline.core.placement.LiveDaemons;
 
 /**
- * Divides a limit into permits and draws which daemons hold them, without a message.
+ * Divides a limit into permits and assigns them to daemons by rendezvous hashing, without
+ * coordination.
  * <p>
- * A permit is held by the live daemon whose name hashes highest with it, so a daemon that
- * comes or goes moves only the permits that it holds. Divided evenly, a request a second
- * among a hundred daemons would be one in a hundred seconds for each, which none could
- * use when it has a caller.
+ * A permit belongs to the live daemon with the highest hash of permit and daemon id, so a
+ * daemon that joins or leaves moves only its own permits. An even division would be
+ * unusable for small limits: one request per second among a hundred daemons would allow
+ * each one request in a hundred seconds, which it could not use when it has a caller.
  */
 final class PermitAllocation {
 
-	/** Daemons of a small fleet hold some permit at one target or another. */
+	/**
+	 * Permits beyond one per request per second, so that in a small fleet each daemon
+	 * holds a permit for some target.
+	 */
 	private static final int EXTRA_PERMITS = 2;
 
-	/** Bounds the hashing for targets that take thousands of requests a second. */
+	/** Bounds the cost of hashing for limits of thousands of requests per second. */
 	private static final int MAX_PERMITS = 128;
 
 	private static final double HASH_UNIT = 1.0 / (1L << Integer.SIZE);
@@ -28,8 +32,8 @@
 	}
 
 	/**
-	 * Returns into how many permits a limit is divided: about one for each request a
-	 * second, so that all of them used at once are hardly more than a second's requests.
+	 * Returns the number of permits of a limit: about one per request per second, so that
+	 * using all of them at once sends hardly more than one second's requests.
 	 * @param requestsPerSecond the limit
 	 * @return the number of permits
 	 */
@@ -38,10 +42,10 @@
 	}
 
 	/**
-	 * Counts the permits that a daemon holds.
+	 * Counts the permits that this daemon holds.
 	 * @param daemons the live daemons
-	 * @param instanceId the instance that names the limit
-	 * @param permits how many permits there are
+	 * @param instanceId the instance that advertises the limit
+	 * @param permits the number of permits of the limit
 	 * @return how many of them this daemon holds
 	 */
 	static int countHeld(LiveDaemons daemons, String instanceId, int permits) {
@@ -66,11 +70,12 @@
 	}
 
 	/**
-	 * Draws a number that differs from daemon to daemon and from draw to draw.
+	 * Returns a pseudo-random number derived from the arguments, so that daemons draw
+	 * different values.
 	 * @param daemonId the daemon
-	 * @param instanceId the instance that it is about
-	 * @param draw the number of the draw
-	 * @return a number from 0 to 1
+	 * @param instanceId the instance
+	 * @param draw the sequence number of the draw
+	 * @return a number from 0 (inclusive) to 1 (exclusive)
 	 */
 	static double uniformDraw(String daemonId, String instanceId, long draw) {
 		return Integer.toUnsignedLong(hash(instanceId + '#' + draw, daemonId)) * HASH_UNIT;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The request limits that targets name in their answers, for all daemons together.
+ * Enforces request rate limits that targets advertise in their responses, shared by all
+ * daemons.
  */
 package org.pistachioline.core.limit;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulation.java
@@ -12,11 +12,13 @@
 import org.pistachioline.core.world.VirtualTime;
 
 /**
- * Daemons before the same targets, some of which name a limit or turn requests away, in
- * virtual time. It notes every moment at which a target that names a limit has got more
- * than half as much again as it takes, from the daemons that it had told, and every
- * request but two that reach a target from a daemon that it had asked for rest, or that
- * reaches one from a daemon that it had told of its leaving.
+ * Simulates daemons in front of shared targets that advertise limits, decline requests or
+ * leave, in virtual time.
+ * <p>
+ * Records as violations: each arrival at which a limited target has received more than
+ * 1.5 times its limit, plus a burst, from daemons that had received the limit; each
+ * arrival after the second from a daemon during a backoff that the target requested of
+ * it; and each arrival from a daemon that was informed that the target is leaving.
  */
 final class LimitSimulation {
 
@@ -24,7 +26,7 @@
 
 	static final long MILLI_NANOS = 1_000_000L;
 
-	/** Until then daemons may not have heard of a limit. */
+	/** Time after which all daemons are expected to know of a limit. */
 	private static final long PROPAGATION_NANOS = 3 * SECOND_NANOS;
 
 	private static final long WINDOW_NANOS = 4 * SECOND_NANOS;
@@ -37,7 +39,10 @@
 
 	private static final int ALLOWED_DURING_BACKOFF = 2;
 
-	/** What was on its way when a target said that it leaves has arrived by then. */
+	/**
+	 * Time after which requests sent before a target announced that it is leaving have
+	 * arrived.
+	 */
 	private static final long LEAVING_GRACE_NANOS = SECOND_NANOS / 10;
 
 	private static final int SLOTS = 12;
@@ -52,12 +57,12 @@
 
 	private static final long LIVENESS_INTERVAL_NANOS = 250 * MILLI_NANOS;
 
-	/** How long a dead daemon counts as live. */
+	/** Time for which a stopped daemon still counts as live. */
 	private static final long FAILURE_DETECTION_NANOS = 2_400 * MILLI_NANOS;
 
 	final List<String> violations = new ArrayList<>();
 
-	/** Whether daemons tell each other of limits. */
+	/** Whether daemons exchange limits. */
 	boolean gossipEnabled = true;
 
 	final Random random;
@@ -87,12 +92,12 @@
 
 	private void gossip() {
 		for (final LimitSimulationDaemon daemon : this.daemons) {
-			final List<AdvertisedLimit> stated = (daemon.running() && this.gossipEnabled) ? daemon.latestLimits()
+			final List<AdvertisedLimit> limits = (daemon.running() && this.gossipEnabled) ? daemon.latestLimits()
 					: List.of();
-			for (int i = 0; i < FAN_OUT && !stated.isEmpty(); i++) {
-				final LimitSimulationDaemon peer = this.daemons.get(this.random.nextInt(this.daemons.size()));
+			for (int i = 0; i < FAN_OUT && !limits.isEmpty(); i++) {
+				final LimitSimulationDaemon receiver = this.daemons.get(this.random.nextInt(this.daemons.size()));
 				final long delayNanos = MILLI_NANOS + this.random.nextInt(MAX_FRAME_DELAY_MILLIS) * MILLI_NANOS;
-				after(delayNanos, () -> peer.receive(stated, delayNanos));
+				after(delayNanos, () -> receiver.receive(limits, delayNanos));
 			}
 		}
 	}
@@ -103,9 +108,9 @@
 
 	List<TargetView> views() {
 		return this.instances.stream()
-			.filter((engine) -> engine.groupEpoch > 0)
-			.map((engine) -> new TargetView(engine.id + '@' + engine.groupEpoch, this.kind, "pool/m", engine.id,
-					engine.groupEpoch, "zone", true, SLOTS, 0, 0, 0))
+			.filter((instance) -> instance.groupEpoch > 0)
+			.map((instance) -> new TargetView(instance.id + '@' + instance.groupEpoch, this.kind, "pool/m", instance.id,
+					instance.groupEpoch, "zone", true, SLOTS, 0, 0, 0))
 			.toList();
 	}
 
@@ -114,7 +119,7 @@
 	}
 
 	LimitSimulationInstance instance(String instanceId) {
-		return this.instances.stream().filter((engine) -> engine.id.equals(instanceId)).findFirst().orElseThrow();
+		return this.instances.stream().filter((instance) -> instance.id.equals(instanceId)).findFirst().orElseThrow();
 	}
 
 	LimitSimulationDaemon daemon(int index) {
@@ -139,8 +144,8 @@
 	}
 
 	/**
-	 * Lets requests come, evenly over the daemons, as independent callers send them.
-	 * @param perSecond how many a second
+	 * Sends requests to random daemons at random intervals, as from independent callers.
+	 * @param perSecond the mean rate in requests per second
 	 */
 	void sendRequests(double perSecond) {
 		final double gapSeconds = -Math.log(1 - this.random.nextDouble()) / perSecond;
@@ -153,8 +158,8 @@
 		});
 	}
 
-	void after(long nanos, Runnable what) {
-		this.time.after(nanos, what);
+	void after(long nanos, Runnable action) {
+		this.time.after(nanos, action);
 	}
 
 	void run(double seconds) {
@@ -162,92 +167,94 @@
 	}
 
 	/**
-	 * Makes a target name a limit.
-	 * @param index the target
+	 * Sets or ends the limit that a target advertises.
+	 * @param index the index of the target
 	 * @param requestsPerSecond the limit; empty to end it
 	 */
 	void setLimit(int index, OptionalDouble requestsPerSecond) {
-		final LimitSimulationInstance engine = instance(index);
-		engine.limit = requestsPerSecond;
-		engine.limitSetAtNanos = this.time.nowNanos();
-		engine.countedArrivalsNanos.clear();
-		engine.receivedRequests = 0;
-		this.daemons.forEach((daemon) -> daemon.limitReceivedAtNanos.remove(engine.id));
+		final LimitSimulationInstance instance = instance(index);
+		instance.limit = requestsPerSecond;
+		instance.limitSetAtNanos = this.time.nowNanos();
+		instance.countedArrivalsNanos.clear();
+		instance.receivedRequests = 0;
+		this.daemons.forEach((daemon) -> daemon.limitReceivedAtNanos.remove(instance.id));
 	}
 
 	/**
-	 * Dissolves a target's group and makes the instance the head of another a second
-	 * later.
-	 * @param index the target
+	 * Dissolves a target's group and forms another with the same head one second later.
+	 * @param index the index of the target
 	 */
 	void reformGroup(int index) {
-		final long next = instance(index).groupEpoch + 1;
+		final long nextEpoch = instance(index).groupEpoch + 1;
 		instance(index).groupEpoch = 0;
 		this.daemons.forEach(LimitSimulationDaemon::updateTargets);
 		after(SECOND_NANOS, () -> {
-			instance(index).groupEpoch = next;
+			instance(index).groupEpoch = nextEpoch;
 			this.daemons.forEach(LimitSimulationDaemon::updateTargets);
 		});
 	}
 
 	/**
-	 * Makes a target turn requests away.
-	 * @param index the target
-	 * @param restSeconds for how long it asks daemons for rest; 0 to serve again
+	 * Makes a target decline all requests and request a backoff, or serve again.
+	 * @param index the index of the target
+	 * @param backoffSeconds the backoff to request; 0 to serve again
 	 */
-	void setBackoff(int index, double restSeconds) {
-		instance(index).backoffNanos = (long) (restSeconds * SECOND_NANOS);
+	void setBackoff(int index, double backoffSeconds) {
+		instance(index).backoffNanos = (long) (backoffSeconds * SECOND_NANOS);
 	}
 
 	/**
-	 * Turns a request away and asks its daemon for rest.
-	 * @param from the daemon
+	 * Records that a target declined a request and asked its daemon to back off.
+	 * @param sender the daemon
 	 * @param instance the target
 	 */
-	void recordBackoff(LimitSimulationDaemon from, LimitSimulationInstance engine) {
-		engine.backoffs.computeIfAbsent(from.id(), (id) -> new ArrayList<>())
+	void recordBackoff(LimitSimulationDaemon sender, LimitSimulationInstance instance) {
+		instance.backoffs.computeIfAbsent(sender.id(), (id) -> new ArrayList<>())
 			.add(new LimitSimulationInstance.RequestedBackoff(this.time.nowNanos() + REACTION_NANOS,
-					this.time.nowNanos() + engine.backoffNanos));
+					this.time.nowNanos() + instance.backoffNanos));
 	}
 
-	private void checkBackoff(LimitSimulationDaemon from, LimitSimulationInstance engine) {
-		for (final LimitSimulationInstance.RequestedBackoff rest : engine.backoffs.getOrDefault(from.id(), List.of())) {
-			final boolean within = this.time.nowNanos() >= rest.fromNanos && this.time.nowNanos() < rest.untilNanos;
-			rest.receivedRequests += within ? 1 : 0;
-			if (within && rest.receivedRequests > ALLOWED_DURING_BACKOFF) {
-				this.violations.add(this.time.nowNanos() / MILLI_NANOS + " ms: " + engine.id + " asked " + from.id()
-						+ " for rest and got " + rest.receivedRequests);
+	private void checkBackoff(LimitSimulationDaemon sender, LimitSimulationInstance instance) {
+		for (final LimitSimulationInstance.RequestedBackoff backoff : instance.backoffs.getOrDefault(sender.id(),
+				List.of())) {
+			final boolean within = this.time.nowNanos() >= backoff.fromNanos
+					&& this.time.nowNanos() < backoff.untilNanos;
+			backoff.receivedRequests += within ? 1 : 0;
+			if (within && backoff.receivedRequests > ALLOWED_DURING_BACKOFF) {
+				this.violations.add(this.time.nowNanos() / MILLI_NANOS + " ms: " + instance.id + " asked " + sender.id()
+						+ " to back off and received " + backoff.receivedRequests);
 			}
 		}
 	}
 
-	private void checkLeaving(LimitSimulationDaemon from, LimitSimulationInstance engine) {
-		final Long toldAtNanos = engine.leavingReceivedNanos.get(from.id());
-		if (toldAtNanos != null && this.time.nowNanos() - toldAtNanos > LEAVING_GRACE_NANOS) {
-			this.violations
-				.add(this.time.nowNanos() / MILLI_NANOS + " ms: " + engine.id + " has left for " + from.id());
+	private void checkLeaving(LimitSimulationDaemon sender, LimitSimulationInstance instance) {
+		final Long receivedAtNanos = instance.leavingReceivedNanos.get(sender.id());
+		if (receivedAtNanos != null && this.time.nowNanos() - receivedAtNanos > LEAVING_GRACE_NANOS) {
+			this.violations.add(this.time.nowNanos() / MILLI_NANOS + " ms: " + instance.id
+					+ " is leaving, which it announced to " + sender.id());
 		}
 	}
 
-	void onArrival(LimitSimulationDaemon from, LimitSimulationInstance engine) {
-		engine.receivedRequests++;
-		checkBackoff(from, engine);
-		checkLeaving(from, engine);
-		final Long toldAtNanos = from.limitReceivedAtNanos.get(engine.id);
-		if (engine.limit.isEmpty() || toldAtNanos == null || this.time.nowNanos() - toldAtNanos < REACTION_NANOS) {
+	void onArrival(LimitSimulationDaemon sender, LimitSimulationInstance instance) {
+		instance.receivedRequests++;
+		checkBackoff(sender, instance);
+		checkLeaving(sender, instance);
+		final Long receivedAtNanos = sender.limitReceivedAtNanos.get(instance.id);
+		if (instance.limit.isEmpty() || receivedAtNanos == null
+				|| this.time.nowNanos() - receivedAtNanos < REACTION_NANOS) {
 			return;
 		}
-		engine.countedArrivalsNanos.addLast(this.time.nowNanos());
-		while (this.time.nowNanos() - engine.countedArrivalsNanos.peekFirst() > WINDOW_NANOS) {
-			engine.countedArrivalsNanos.removeFirst();
+		instance.countedArrivalsNanos.addLast(this.time.nowNanos());
+		while (this.time.nowNanos() - instance.countedArrivalsNanos.peekFirst() > WINDOW_NANOS) {
+			instance.countedArrivalsNanos.removeFirst();
 		}
-		final double perWindow = engine.limit.getAsDouble() * WINDOW_NANOS / SECOND_NANOS;
+		final double perWindow = instance.limit.getAsDouble() * WINDOW_NANOS / SECOND_NANOS;
 		final double allowed = ALLOWED_RATIO * perWindow + ALLOWED_BURST;
-		if (this.time.nowNanos() - engine.limitSetAtNanos >= PROPAGATION_NANOS
-				&& engine.countedArrivalsNanos.size() > allowed) {
-			this.violations
-				.add(this.time.nowNanos() / MILLI_NANOS + " ms: " + engine.id + " named " + engine.limit.getAsDouble()
-						+ " a second and got " + engine.countedArrivalsNanos.size() + ", allowed " + allowed);
+		if (this.time.nowNanos() - instance.limitSetAtNanos >= PROPAGATION_NANOS
+				&& instance.countedArrivalsNanos.size() > allowed) {
+			this.violations.add(this.time.nowNanos() / MILLI_NANOS + " ms: " + instance.id + " advertised "
+					+ instance.limit.getAsDouble() + " requests per second and received "
+					+ instance.countedArrivalsNanos.size() + ", allowed " + allowed);
 		}
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationDaemon.java
@@ -18,8 +18,7 @@
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
- * One daemon of a {@link LimitSimulation}: the decision core, and what carries out its
- * actions.
+ * A simulated daemon: the traffic core and an executor of its actions.
  */
 final class LimitSimulationDaemon {
 
@@ -33,21 +32,21 @@
 
 	private static final long DEADLINE_NANOS = 6 * LimitSimulation.SECOND_NANOS;
 
-	private final LimitSimulation world;
+	private final LimitSimulation simulation;
 
 	private final String id;
 
-	/** When it first heard of the limit of each target that names one. */
+	/** When the daemon first received each target's present limit, by instance id. */
 	final Map<String, Long> limitReceivedAtNanos = new HashMap<>();
 
 	int served;
 
 	int rejected;
 
-	/** The soonest that any caller who was refused was told to come back. */
+	/** Shortest retry delay given to a rejected caller. */
 	long minRetryAfterMillis = Long.MAX_VALUE;
 
-	/** Requests that were refused though they had waited for most of their time. */
+	/** Number of requests rejected after waiting for more than half of their deadline. */
 	int rejectedLate;
 
 	private final Map<Long, Long> arrivedAtNanos = new HashMap<>();
@@ -62,8 +61,8 @@
 
 	private long lastRequestId;
 
-	LimitSimulationDaemon(LimitSimulation world, String id) {
-		this.world = world;
+	LimitSimulationDaemon(LimitSimulation simulation, String id) {
+		this.simulation = simulation;
 		this.id = id;
 		start();
 	}
@@ -86,61 +85,62 @@
 
 	void stop() {
 		this.running = false;
-		this.stoppedAtNanos = this.world.nowNanos();
+		this.stoppedAtNanos = this.simulation.nowNanos();
 		this.incarnation++;
 		this.limitReceivedAtNanos.clear();
 	}
 
 	void start() {
 		this.running = true;
-		this.core = new TrafficCore(RoutingPolicies.create("zone", this.world.random.nextLong(),
+		this.core = new TrafficCore(RoutingPolicies.create("zone", this.simulation.random.nextLong(),
 				new RetryBudget(0.2, 100, 10 * LimitSimulation.SECOND_NANOS), () -> 8, new GossipQuarantine()));
 		updateTargets();
 	}
 
 	void updateTargets() {
-		apply(this.core.onTargets(this.world.nowNanos(), this.world.views()));
+		apply(this.core.onTargets(this.simulation.nowNanos(), this.simulation.views()));
 	}
 
 	void tick() {
 		if (this.running) {
-			apply(this.core.onTick(this.world.nowNanos()));
+			apply(this.core.onTick(this.simulation.nowNanos()));
 		}
 	}
 
 	void updateLiveDaemons(Set<String> liveIds) {
 		if (this.running) {
-			apply(this.core.onShares(this.world.nowNanos(), LiveDaemons.of(this.id, liveIds), Map.of()));
+			apply(this.core.onShares(this.simulation.nowNanos(), LiveDaemons.of(this.id, liveIds), Map.of()));
 		}
 	}
 
 	List<AdvertisedLimit> latestLimits() {
-		return this.core.limits().stated(this.world.nowNanos());
+		return this.core.limits().stated(this.simulation.nowNanos());
 	}
 
 	/**
-	 * Takes what a heartbeat tells.
-	 * @param latestLimits what it tells
-	 * @param delayNanos how long the frame took, by which they look newer than they are
+	 * Receives limits from another daemon.
+	 * @param limits the limits
+	 * @param delayNanos the transmission delay, by which limits appear newer than they
+	 * are
 	 */
-	void receive(List<AdvertisedLimit> stated, long delayNanos) {
+	void receive(List<AdvertisedLimit> limits, long delayNanos) {
 		if (this.running) {
 			this.core.limits()
-				.hearFromPeer(this.world.nowNanos(),
-						stated.stream()
-							.map((heard) -> new AdvertisedLimit(heard.instanceId(), heard.requestsPerSecond(),
-									heard.receivedAtNanos() + delayNanos))
+				.hearFromPeer(this.simulation.nowNanos(),
+						limits.stream()
+							.map((limit) -> new AdvertisedLimit(limit.instanceId(), limit.requestsPerSecond(),
+									limit.receivedAtNanos() + delayNanos))
 							.toList());
 		}
 	}
 
 	void arrive() {
-		final long nowNanos = this.world.nowNanos();
+		final long nowNanos = this.simulation.nowNanos();
 		final long requestId = ++this.lastRequestId;
 		this.arrivedAtNanos.put(requestId, nowNanos);
 		apply(this.core.onRequest(nowNanos,
-				new RequestInfo(requestId, "shop", this.world.kind(), "pool/m", 100, 60, 0, nowNanos + DEADLINE_NANOS,
-						nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, "", List.of(), 2,
+				new RequestInfo(requestId, "shop", this.simulation.kind(), "pool/m", 100, 60, 0,
+						nowNanos + DEADLINE_NANOS, nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, "", List.of(), 2,
 						nowNanos + SOFT_DEADLINE_NANOS)));
 	}
 
@@ -153,7 +153,7 @@
 			send(start);
 		}
 		else if (action instanceof TrafficAction.Cancel cancel) {
-			apply(this.core.onAttemptEnd(this.world.nowNanos(), cancel.attempt(), AttemptEnd.CANCELLED, 0));
+			apply(this.core.onAttemptEnd(this.simulation.nowNanos(), cancel.attempt(), AttemptEnd.CANCELLED, 0));
 		}
 		else if (action instanceof TrafficAction.Finish finish) {
 			this.arrivedAtNanos.remove(finish.requestId());
@@ -162,56 +162,56 @@
 		else if (action instanceof TrafficAction.Fail fail) {
 			this.rejected++;
 			this.minRetryAfterMillis = Math.min(this.minRetryAfterMillis, fail.retryAfterMillis());
-			final long heldNanos = this.world.nowNanos() - this.arrivedAtNanos.remove(fail.requestId());
-			this.rejectedLate += (heldNanos > DEADLINE_NANOS / 2) ? 1 : 0;
+			final long waitedNanos = this.simulation.nowNanos() - this.arrivedAtNanos.remove(fail.requestId());
+			this.rejectedLate += (waitedNanos > DEADLINE_NANOS / 2) ? 1 : 0;
 		}
 	}
 
 	private void send(TrafficAction.Start start) {
-		final long sentAtNanos = this.world.nowNanos();
-		final LimitSimulationInstance engine = this.world.instance(start.target().instanceId());
-		this.world.after(ONE_WAY_NANOS, () -> this.world.onArrival(this, engine));
-		if (engine.backoffNanos > 0) {
-			decline(start, engine);
+		final long sentAtNanos = this.simulation.nowNanos();
+		final LimitSimulationInstance instance = this.simulation.instance(start.target().instanceId());
+		this.simulation.after(ONE_WAY_NANOS, () -> this.simulation.onArrival(this, instance));
+		if (instance.backoffNanos > 0) {
+			decline(start, instance);
 			return;
 		}
 		afterUnlessRestarted(FIRST_TOKEN_DELAY_NANOS, () -> {
-			final OptionalDouble limit = engine.limit;
-			afterUnlessRestarted(ONE_WAY_NANOS, () -> onResponseHead(start.attempt(), engine, sentAtNanos, limit));
+			final OptionalDouble limit = instance.limit;
+			afterUnlessRestarted(ONE_WAY_NANOS, () -> onResponseHead(start.attempt(), instance, sentAtNanos, limit));
 		});
-		afterUnlessRestarted(RUN_DURATION_NANOS,
-				() -> apply(this.core.onAttemptEnd(this.world.nowNanos(), start.attempt(), AttemptEnd.COMPLETE, 10)));
+		afterUnlessRestarted(RUN_DURATION_NANOS, () -> apply(
+				this.core.onAttemptEnd(this.simulation.nowNanos(), start.attempt(), AttemptEnd.COMPLETE, 10)));
 	}
 
-	private void decline(TrafficAction.Start start, LimitSimulationInstance engine) {
-		final long restNanos = engine.backoffNanos;
+	private void decline(TrafficAction.Start start, LimitSimulationInstance instance) {
+		final long backoffNanos = instance.backoffNanos;
 		afterUnlessRestarted(ONE_WAY_NANOS, () -> {
-			this.world.recordBackoff(this, engine);
+			this.simulation.recordBackoff(this, instance);
 			afterUnlessRestarted(ONE_WAY_NANOS, () -> {
-				this.core.avoided().hearBackoff(this.world.nowNanos(), engine.id, restNanos);
-				apply(this.core.onAttemptEnd(this.world.nowNanos(), start.attempt(), AttemptEnd.DECLINED, 0));
+				this.core.avoided().hearBackoff(this.simulation.nowNanos(), instance.id, backoffNanos);
+				apply(this.core.onAttemptEnd(this.simulation.nowNanos(), start.attempt(), AttemptEnd.DECLINED, 0));
 			});
 		});
 	}
 
-	private void onResponseHead(AttemptId attempt, LimitSimulationInstance engine, long sentAtNanos,
+	private void onResponseHead(AttemptId attempt, LimitSimulationInstance instance, long sentAtNanos,
 			OptionalDouble limit) {
 		if (limit.isPresent()) {
-			this.limitReceivedAtNanos.putIfAbsent(engine.id, this.world.nowNanos());
+			this.limitReceivedAtNanos.putIfAbsent(instance.id, this.simulation.nowNanos());
 		}
-		this.core.limits().hear(this.world.nowNanos(), sentAtNanos, engine.id, limit);
-		if (engine.leaving) {
-			engine.leavingReceivedNanos.putIfAbsent(this.id, this.world.nowNanos());
-			this.core.avoided().hearLeaving(this.world.nowNanos(), engine.id);
+		this.core.limits().hear(this.simulation.nowNanos(), sentAtNanos, instance.id, limit);
+		if (instance.leaving) {
+			instance.leavingReceivedNanos.putIfAbsent(this.id, this.simulation.nowNanos());
+			this.core.avoided().hearLeaving(this.simulation.nowNanos(), instance.id);
 		}
-		this.core.onProgress(this.world.nowNanos(), attempt, 1);
+		this.core.onProgress(this.simulation.nowNanos(), attempt, 1);
 	}
 
-	private void afterUnlessRestarted(long nanos, Runnable what) {
-		final int inLife = this.incarnation;
-		this.world.after(nanos, () -> {
-			if (this.running && this.incarnation == inLife) {
-				what.run();
+	private void afterUnlessRestarted(long nanos, Runnable action) {
+		final int scheduledIncarnation = this.incarnation;
+		this.simulation.after(nanos, () -> {
+			if (this.running && this.incarnation == scheduledIncarnation) {
+				action.run();
 			}
 		});
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationInstance.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationInstance.java
@@ -8,35 +8,38 @@
 import java.util.OptionalDouble;
 
 /**
- * One target of a {@link LimitSimulation}.
+ * A simulated instance that is the head of a target's group.
  */
 final class LimitSimulationInstance {
 
 	final String id;
 
-	/** The epoch of the group that it heads; 0 where it has none. */
+	/** Epoch of the group; 0 while the instance has none. */
 	long groupEpoch = 1;
 
 	OptionalDouble limit = OptionalDouble.empty();
 
 	long limitSetAtNanos;
 
-	/** When the last requests of daemons came that had heard of the limit. */
+	/** Arrival times of recent requests from daemons that had received the limit. */
 	final Deque<Long> countedArrivalsNanos = new ArrayDeque<>();
 
-	/** For how long it asks a daemon for rest that it turns away; 0 while it serves. */
+	/**
+	 * Backoff requested of daemons whose requests are declined; 0 while the instance
+	 * serves.
+	 */
 	long backoffNanos;
 
-	/** Whether it says in its answers that it leaves. */
+	/** Whether responses announce that the instance is leaving. */
 	boolean leaving;
 
-	/** When daemons first passed on that it leaves, by the daemon's name. */
+	/** When each daemon first processed the announcement of leaving, by daemon id. */
 	final Map<String, Long> leavingReceivedNanos = new HashMap<>();
 
-	/** The rest that it asked daemons for, by the daemon's name. */
+	/** Requested backoffs, by daemon id. */
 	final Map<String, List<RequestedBackoff>> backoffs = new HashMap<>();
 
-	/** How many requests came since the limit was last changed. */
+	/** Number of requests since the limit was last changed. */
 	int receivedRequests;
 
 	LimitSimulationInstance(String id) {
@@ -44,7 +47,7 @@
 	}
 
 	/**
-	 * A time in which one daemon is to send next to nothing.
+	 * A period in which one daemon is expected to send almost no requests.
 	 */
 	static final class RequestedBackoff {
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/package-info.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of limits that targets name, by many daemons before the same targets.
+ * Tests of advertised limits and backoffs with many daemons in front of shared targets.
  */
 package org.pistachioline.core.limit;
