--- a/pistachioline-core/src/main/java/org/pistachioline/core/backoff/BackoffRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/backoff/BackoffRegistry.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * The instances that want no requests of this daemon. One thread calls it.
+ * The backoffs that instances requested of this daemon. Not thread-safe.
  * <p>
- * What an instance asked is kept where it is no target for a while: a head that leaves
- * its group is soon the head of another, and the platform's list may show again an
- * instance that left. Ids of instances are new with each start, so the oldest are
- * forgotten in the end.
+ * A backoff is kept while its instance is not a target: the head of a dissolved group
+ * usually soon heads another, and the platform's list may again show an instance that has
+ * left. Instance ids are new with each start, so the oldest entries are evicted when
+ * there are too many.
  */
 public final class BackoffRegistry {
 
@@ -21,7 +21,7 @@
 	private final Map<String, InstanceBackoff> backoffs = new LinkedHashMap<>();
 
 	/**
-	 * Returns the backoff of an instance, whether it has asked for one or not.
+	 * Returns the state of an instance, which may have no backoff in force.
 	 * @param instanceId the instance
 	 * @return its backoff
 	 */
@@ -30,51 +30,51 @@
 	}
 
 	/**
-	 * Takes word that an instance wants nothing for a while.
-	 * @param nowNanos the monotonic time
+	 * Records that an instance requested a backoff.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @param instanceId the instance
-	 * @param forNanos for how long
-	 * @return whether it wanted requests before
+	 * @param durationNanos the duration in nanoseconds
+	 * @return true if no backoff was in force before
 	 */
-	public boolean onBackoff(long nowNanos, String instanceId, long forNanos) {
-		return getOrCreate(instanceId).extend(nowNanos, forNanos);
+	public boolean onBackoff(long nowNanos, String instanceId, long durationNanos) {
+		return getOrCreate(instanceId).extend(nowNanos, durationNanos);
 	}
 
 	/**
-	 * Takes word that an instance leaves.
+	 * Records that an instance announced that it is leaving.
 	 * @param instanceId the instance
-	 * @return whether that is news
+	 * @return true if this was not known
 	 */
 	public boolean onLeaving(String instanceId) {
 		return getOrCreate(instanceId).markLeaving();
 	}
 
 	/**
-	 * Returns whether an instance leaves.
+	 * Returns whether an instance announced that it is leaving.
 	 * @param instanceId the instance
-	 * @return whether it has said so
+	 * @return true if it is leaving
 	 */
 	public boolean isLeaving(String instanceId) {
-		final InstanceBackoff known = this.backoffs.get(instanceId);
-		return known != null && known.isLeaving();
+		final InstanceBackoff backoff = this.backoffs.get(instanceId);
+		return backoff != null && backoff.isLeaving();
 	}
 
 	/**
-	 * Returns whether an instance wants no requests.
-	 * @param nowNanos the monotonic time
+	 * Returns whether an instance is to receive no requests.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 * @param instanceId the instance
-	 * @return whether it rests or leaves
+	 * @return true if a backoff is in force or the instance is leaving
 	 */
 	public boolean isActive(long nowNanos, String instanceId) {
-		final InstanceBackoff known = this.backoffs.get(instanceId);
-		return known != null && known.isActive(nowNanos);
+		final InstanceBackoff backoff = this.backoffs.get(instanceId);
+		return backoff != null && backoff.isActive(nowNanos);
 	}
 
 	/**
-	 * Forgets the instances that are no targets and have asked for nothing that still
-	 * holds.
-	 * @param nowNanos the monotonic time
-	 * @param instanceIds those that are targets
+	 * Removes instances that are not targets and have no backoff in force, then the
+	 * oldest entries beyond the size bound.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param instanceIds the instances that are targets
 	 */
 	public void retain(long nowNanos, Set<String> instanceIds) {
 		this.backoffs.entrySet()
@@ -88,15 +88,15 @@
 	}
 
 	/**
-	 * Describes the backoffs that hold, for operators.
-	 * @param nowNanos the monotonic time
-	 * @return the backoffs
+	 * Returns the backoffs in force, as shown to operators.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the reports
 	 */
 	public List<BackoffReport> reports(long nowNanos) {
 		return this.backoffs.values()
 			.stream()
-			.filter((known) -> known.isActive(nowNanos))
-			.map((known) -> known.report(nowNanos))
+			.filter((backoff) -> backoff.isActive(nowNanos))
+			.map((backoff) -> backoff.report(nowNanos))
 			.toList();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/backoff/InstanceBackoff.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/backoff/InstanceBackoff.java
@@ -1,15 +1,15 @@
 package org.pistachioline.core.backoff;
 
 /**
- * For how long one instance wants no requests of this daemon.
+ * The backoff that one instance requested of this daemon.
  * <p>
- * An instance that turns a request away may say how long it wants nothing, and one that
- * leaves says so in each answer. Both bind the daemon that heard it and no other: the
- * instance tells each daemon by itself.
+ * An instance that declines a request may state for how long it accepts none, and an
+ * instance that is leaving announces it in every response. Both apply only to the daemon
+ * that received the response, since the instance informs each daemon itself.
  */
 public final class InstanceBackoff {
 
-	/** What is left of the wait for an instance that leaves. */
+	/** Remaining backoff of an instance that is leaving. */
 	public static final long INDEFINITE_NANOS = Long.MAX_VALUE;
 
 	private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -29,56 +29,57 @@
 	}
 
 	/**
-	 * Takes word that the instance wants nothing for a while. Answers overtake each
-	 * other, so the later end counts.
-	 * @param nowNanos the monotonic time
-	 * @param forNanos for how long
-	 * @return whether the instance wanted requests before
+	 * Extends the backoff. Responses may arrive out of order, so an earlier end does not
+	 * shorten it.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @param durationNanos the requested duration in nanoseconds
+	 * @return true if no backoff was in force before
 	 */
-	boolean extend(long nowNanos, long forNanos) {
-		final boolean news = !isActive(nowNanos);
-		if (news) {
+	boolean extend(long nowNanos, long durationNanos) {
+		final boolean isNew = !isActive(nowNanos);
+		if (isNew) {
 			this.attempts = 0;
 		}
-		if (!this.requested || nowNanos + forNanos - this.endsAtNanos > 0) {
-			this.endsAtNanos = nowNanos + forNanos;
+		if (!this.requested || nowNanos + durationNanos - this.endsAtNanos > 0) {
+			this.endsAtNanos = nowNanos + durationNanos;
 		}
 		this.requested = true;
-		return news;
+		return isNew;
 	}
 
 	/**
-	 * Takes word that the instance leaves; it never comes back under its id.
-	 * @return whether that is news
+	 * Records that the instance is leaving. This is final, since an instance does not
+	 * return under its id.
+	 * @return true if this was not known
 	 */
 	boolean markLeaving() {
-		final boolean news = !this.leaving;
+		final boolean isNew = !this.leaving;
 		this.leaving = true;
-		return news;
+		return isNew;
 	}
 
 	/**
-	 * Returns whether the instance leaves.
-	 * @return whether it has said so
+	 * Returns whether the instance announced that it is leaving.
+	 * @return true if it is leaving
 	 */
 	public boolean isLeaving() {
 		return this.leaving;
 	}
 
 	/**
-	 * Returns whether the instance wants no requests.
-	 * @param nowNanos the monotonic time
-	 * @return whether it wants none
+	 * Returns whether the instance is to receive no requests.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return true if a backoff is in force or the instance is leaving
 	 */
 	public boolean isActive(long nowNanos) {
 		return remainingNanos(nowNanos) > 0;
 	}
 
 	/**
-	 * Returns how long the instance wants no requests yet.
-	 * @param nowNanos the monotonic time
-	 * @return the time; 0 where it takes requests, {@link #INDEFINITE_NANOS} where it
-	 * leaves
+	 * Returns the remaining backoff.
+	 * @param nowNanos the current monotonic time in nanoseconds
+	 * @return the time in nanoseconds; 0 if none is in force, {@link #INDEFINITE_NANOS}
+	 * if the instance is leaving
 	 */
 	public long remainingNanos(long nowNanos) {
 		if (this.leaving) {
@@ -88,8 +89,8 @@
 	}
 
 	/**
-	 * Counts an attempt that starts.
-	 * @param nowNanos the monotonic time
+	 * Counts an attempt that starts in spite of the backoff.
+	 * @param nowNanos the current monotonic time in nanoseconds
 	 */
 	public void onStart(long nowNanos) {
 		if (isActive(nowNanos)) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/backoff/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/backoff/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What instances ask of this daemon alone: no requests for a while, or none any more.
+ * Tracks instances that asked this daemon to send no requests, for a while or because
+ * they are leaving.
  */
 package org.pistachioline.core.backoff;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/EndpointSelector.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/EndpointSelector.java
@@ -10,20 +10,23 @@
 import org.pistachioline.core.peer.PeerStatus;
 
 /**
- * Chooses the addresses that callers are told to use: ready, not leaving, the near
- * availability zone first, then spread by load.
+ * Selects the daemons whose addresses are returned to a caller: ready and not leaving,
+ * the caller's availability zone first, weighted by load.
  * <p>
- * Made for callers that keep an answer for long and use its first address. Were the least
- * loaded daemon always first, every caller that asks within one beat would go there and
- * stay. So the order is drawn by chance that the answer's number fixes: a daemon at half
- * of another's load comes first about twice as often. Loads are not trusted below a
- * floor, since what callers will send later is not in them yet. Several addresses are
- * given, so that a caller survives a dead daemon without asking again; not all, since at
- * hundreds of daemons the answer would grow with the fleet.
+ * Callers keep a response for long and use its first address. If the least loaded daemon
+ * always came first, all callers that ask within one heartbeat would go to it and stay.
+ * Hence the order is random, seeded by the number of the lookup, and a daemon at half the
+ * load of another comes first about twice as often. Loads are clamped from below, since
+ * they do not yet include what callers will send later. Several addresses are returned so
+ * that a caller survives the failure of a daemon without another lookup, but not all,
+ * since the response would grow with a fleet of hundreds of daemons.
  */
 public final class EndpointSelector {
 
-	/** Three in the near zone die together seldom; the others are for when they do. */
+	/**
+	 * Maximum number of daemons, of which at most {@link #MAX_SAME_ZONE} are in the
+	 * caller's zone. These seldom all fail together; the others serve as fallback.
+	 */
 	private static final int MAX_ENDPOINTS = 8;
 
 	private static final int MAX_SAME_ZONE = 5;
@@ -36,34 +39,35 @@
 	}
 
 	/**
-	 * Chooses addresses.
-	 * @param daemons the live daemons, this one included
-	 * @param availabilityZone the caller's availability zone; empty where it is not known
-	 * @param answer the number of the answer, which fixes the order
-	 * @return the daemons to use, the best first
+	 * Selects daemons for one lookup.
+	 * @param daemons the live daemons, including this one
+	 * @param availabilityZone the caller's availability zone; empty if unknown
+	 * @param lookup the number of the lookup, which seeds the order
+	 * @return at most eight daemons, preferred first
 	 */
-	public static List<PeerStatus> select(List<PeerStatus> daemons, String availabilityZone, long answer) {
-		final List<PeerStatus> near = new ArrayList<>();
-		final List<PeerStatus> far = new ArrayList<>();
+	public static List<PeerStatus> select(List<PeerStatus> daemons, String availabilityZone, long lookup) {
+		final List<PeerStatus> sameZone = new ArrayList<>();
+		final List<PeerStatus> otherZones = new ArrayList<>();
 		for (final PeerStatus daemon : daemons) {
 			if (daemon.ready() && !daemon.leaving()) {
-				(daemon.availabilityZone().equals(availabilityZone) ? near : far).add(daemon);
+				(daemon.availabilityZone().equals(availabilityZone) ? sameZone : otherZones).add(daemon);
 			}
 		}
-		final Comparator<PeerStatus> byDraw = Comparator
-			.comparingDouble((PeerStatus daemon) -> exponentialSample(daemon, answer))
+		final Comparator<PeerStatus> bySample = Comparator
+			.comparingDouble((PeerStatus daemon) -> exponentialSample(daemon, lookup))
 			.thenComparing(PeerStatus::daemonId);
-		near.sort(byDraw);
-		far.sort(byDraw);
-		final List<PeerStatus> chosen = new ArrayList<>(near.subList(0, Math.min(MAX_SAME_ZONE, near.size())));
-		chosen.addAll(far.subList(0, Math.min(MAX_ENDPOINTS - chosen.size(), far.size())));
-		return chosen;
+		sameZone.sort(bySample);
+		otherZones.sort(bySample);
+		final List<PeerStatus> selected = new ArrayList<>(
+				sameZone.subList(0, Math.min(MAX_SAME_ZONE, sameZone.size())));
+		selected.addAll(otherZones.subList(0, Math.min(MAX_ENDPOINTS - selected.size(), otherZones.size())));
+		return selected;
 	}
 
-	// The smallest of draws from exponential distributions with these rates belongs to
-	// each daemon with a chance in proportion to its rate.
-	private static double exponentialSample(PeerStatus daemon, long answer) {
-		final long hash = MurmurHash3.hash32x86((daemon.daemonId() + '/' + answer).getBytes(StandardCharsets.UTF_8))
+	// The minimum of exponentially distributed samples belongs to each daemon with a
+	// probability proportional to its rate, the inverse of its load.
+	private static double exponentialSample(PeerStatus daemon, long lookup) {
+		final long hash = MurmurHash3.hash32x86((daemon.daemonId() + '/' + lookup).getBytes(StandardCharsets.UTF_8))
 				& 0xFFFFFFFFL;
 		final double uniform = (hash + 1) * HASH_UNIT;
 		return -Math.log(uniform) * Math.max(MIN_LOAD_RATIO, daemon.loadRatio());
--- a/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/WarmUpPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/WarmUpPolicy.java
@@ -5,19 +5,20 @@
 import org.pistachioline.core.peer.PeerStatus;
 
 /**
- * Decides whether a restarted daemon relays made-up requests before callers are sent to
- * it.
+ * Decides whether a restarted daemon relays synthetic requests before callers are
+ * directed to it.
  * <p>
- * Code that the virtual machine has not run often enough is interpreted, many times
- * slower. A restarted daemon that gets its share of callers at once serves them late for
- * some eight seconds. Where others carry the load meanwhile, it can run itself warm
- * first. Where all daemons started together nobody else is there, and whoever held back
- * would leave all callers to the few that did not.
+ * Code that the virtual machine has not yet compiled runs many times slower, so a
+ * restarted daemon that receives its share of callers at once serves them late for about
+ * eight seconds. If other daemons can carry the load, it warms up first. If all daemons
+ * started together, no warm daemon is available, and daemons that held back would leave
+ * all callers to the few that did not.
  */
 public final class WarmUpPolicy {
 
 	/**
-	 * By then a daemon is at its full speed, on a machine with less than one core too.
+	 * Time after which a daemon runs at full speed, also on a machine with less than one
+	 * core.
 	 */
 	private static final long WARM_UP_MILLIS = 8_000;
 
@@ -25,11 +26,11 @@
 	}
 
 	/**
-	 * Decides for one daemon.
+	 * Returns whether a daemon should warm up before it serves callers.
 	 * @param self the daemon
 	 * @param others the other live daemons
-	 * @return whether at least as many others as there are cold daemons can serve its
-	 * callers meanwhile
+	 * @return true if there are at least as many warm daemons as cold ones, which can
+	 * serve its callers meanwhile
 	 */
 	public static boolean shouldWarmUp(PeerStatus self, List<PeerStatus> others) {
 		final long warm = others.stream()
--- a/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Which of the system's addresses a caller is told to use.
+ * Selects the daemon addresses that are given to callers.
  */
 package org.pistachioline.core.endpoints;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/endpoints/WarmUpPolicyTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/endpoints/WarmUpPolicyTests.java
@@ -20,8 +20,8 @@
 	}
 
 	/**
-	 * All processes are killed at once and start again together. Were the first to come
-	 * held for warm by the rest, it would get every caller and serve none in time.
+	 * Guards against a fleet-wide restart in which the first daemons to start are taken
+	 * for warm by the rest. They would receive all callers and serve none in time.
 	 */
 	@Test
 	void noDaemonWarmsUpWhenAllRestartedTogether() {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/endpoints/package-info.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/endpoints/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the choice of endpoints.
+ * Tests of endpoint selection.
  */
 package org.pistachioline.core.endpoints;
