--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitRegistry.java
@@ -20,8 +20,8 @@
 public final class LimitRegistry {
 
 	/**
-	 * How long a limit is retained after its instance is no longer a target; the head of
-	 * a dissolved group usually soon heads another.
+	 * How long the limit of an instance that is no longer a target is retained after it
+	 * was last received; the head of a dissolved group usually soon heads another.
 	 */
 	private static final long RETENTION_NANOS = 60_000_000_000L;
 
