--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/CoverTracker.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/CoverTracker.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 import org.pistachioline.core.record.CheckpointPart;
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 
 /**
  * Tracks which entries the newest whole checkpoint covers, and since when the oldest
@@ -88,17 +88,17 @@
 	// A state from a peer is no checkpoint on the log, so only what the peer knew of
 	// those
 	// on the log counts; otherwise nobody would write the next one in time.
-	void restore(CheckpointCover cover) {
+	void restore(CheckpointCoverage cover) {
 		this.throughOffset = cover.throughOffset();
 		this.unfinished.clear();
 		this.times.clear();
-		if (cover.neededSinceMillis() > 0) {
-			this.times.addLast(new EntryTime(cover.throughOffset() + 1, cover.neededSinceMillis()));
+		if (cover.oldestUncoveredMillis() > 0) {
+			this.times.addLast(new EntryTime(cover.throughOffset() + 1, cover.oldestUncoveredMillis()));
 		}
 	}
 
-	CheckpointCover cover() {
-		return new CheckpointCover(this.throughOffset,
+	CheckpointCoverage cover() {
+		return new CheckpointCoverage(this.throughOffset,
 				this.times.isEmpty() ? 0 : this.times.getFirst().appendedAtMillis());
 	}
 
--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/StreamFollower.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/StreamFollower.java
@@ -14,7 +14,7 @@
 import org.pistachioline.core.state.Applied;
 import org.pistachioline.core.state.Reducer;
 import org.pistachioline.core.state.RejectReason;
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 import org.pistachioline.core.stream.StreamCondition;
 
 /**
@@ -151,7 +151,7 @@
 	 * @param cover what the peer knew of the checkpoints on the stream
 	 * @return whether it was taken over
 	 */
-	public boolean restore(long throughOffset, byte[] stateBytes, CheckpointCover cover) {
+	public boolean restore(long throughOffset, byte[] stateBytes, CheckpointCoverage cover) {
 		final boolean taken = takeOver(throughOffset, stateBytes);
 		if (taken) {
 			// The peer stood at the end of the stream as far as anybody here can know.
@@ -283,7 +283,7 @@
 	 * Returns what the newest whole checkpoint covers.
 	 * @return the cover
 	 */
-	public CheckpointCover cover() {
+	public CheckpointCoverage cover() {
 		return this.tracker.cover();
 	}
 
--- a/pistachioline-adapters/src/test/java/org/pistachioline/adapters/stream/StreamFollowerTests.java
+++ b/pistachioline-adapters/src/test/java/org/pistachioline/adapters/stream/StreamFollowerTests.java
@@ -24,7 +24,7 @@
 import org.pistachioline.core.state.FleetReducer;
 import org.pistachioline.core.state.FleetState;
 import org.pistachioline.core.state.Reducer;
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 import org.pistachioline.core.stream.StreamCondition;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -212,7 +212,8 @@
 		assertThat(this.follower.condition()).isEqualTo(StreamCondition.HALTED);
 		assertThat(this.follower.nextOffset()).isEqualTo(1);
 		assertThat(this.follower.state().version()).isEqualTo(1);
-		assertThat(this.follower.restore(9, new ConfigSnapshotCodec().encode(ConfigState.EMPTY), CheckpointCover.NONE))
+		assertThat(
+				this.follower.restore(9, new ConfigSnapshotCodec().encode(ConfigState.EMPTY), CheckpointCoverage.NONE))
 			.isFalse();
 	}
 
@@ -245,9 +246,9 @@
 	void aPeersOlderCheckpointIsNotTaken() {
 		publishTwice();
 		final byte[] empty = new ConfigSnapshotCodec().encode(ConfigState.EMPTY);
-		assertThat(this.follower.restore(0, empty, CheckpointCover.NONE)).isFalse();
-		assertThat(this.follower.restore(1, empty, CheckpointCover.NONE)).isFalse();
-		assertThat(this.follower.restore(5, new byte[] { (byte) 0xff }, CheckpointCover.NONE)).isFalse();
+		assertThat(this.follower.restore(0, empty, CheckpointCoverage.NONE)).isFalse();
+		assertThat(this.follower.restore(1, empty, CheckpointCoverage.NONE)).isFalse();
+		assertThat(this.follower.restore(5, new byte[] { (byte) 0xff }, CheckpointCoverage.NONE)).isFalse();
 		assertThat(this.follower.state().version()).isEqualTo(2);
 	}
 
@@ -274,7 +275,7 @@
 		publishTwice();
 		final StreamFollower<ConfigState> replaced = newcomer();
 		replaced.restore(1, new ConfigSnapshotCodec().encode(this.follower.state()), this.follower.cover());
-		assertThat(replaced.cover()).isEqualTo(new CheckpointCover(-1, StreamPages.ENTRY_INTERVAL_MILLIS));
+		assertThat(replaced.cover()).isEqualTo(new CheckpointCoverage(-1, StreamPages.ENTRY_INTERVAL_MILLIS));
 		checkpoint(this.follower, "daemon");
 		this.stream.readAll(replaced);
 		assertThat(replaced.cover().throughOffset()).isEqualTo(1);
@@ -319,14 +320,14 @@
 			this.stream.append("operator", i, proposal(-1));
 		}
 		this.stream.readAll(this.follower);
-		assertThat(this.follower.cover()).isEqualTo(new CheckpointCover(-1, StreamPages.ENTRY_INTERVAL_MILLIS));
+		assertThat(this.follower.cover()).isEqualTo(new CheckpointCoverage(-1, StreamPages.ENTRY_INTERVAL_MILLIS));
 		final long throughOffset = 399;
 		this.stream.append("daemon", 1, new CheckpointPart(throughOffset, 0, 1, new byte[0]));
 		this.stream.readAll(this.follower);
-		final CheckpointCover cover = this.follower.cover();
+		final CheckpointCoverage cover = this.follower.cover();
 		final long oldestMillis = (throughOffset + 2) * StreamPages.ENTRY_INTERVAL_MILLIS;
 		assertThat(cover.throughOffset()).isEqualTo(throughOffset);
-		assertThat(cover.neededSinceMillis()).isBetween(oldestMillis - 20 * StreamPages.ENTRY_INTERVAL_MILLIS,
+		assertThat(cover.oldestUncoveredMillis()).isBetween(oldestMillis - 20 * StreamPages.ENTRY_INTERVAL_MILLIS,
 				oldestMillis);
 	}
 
--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/DecisionsBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/DecisionsBenchmark.java
@@ -13,9 +13,9 @@
 import org.pistachioline.core.manifest.WeightSpec;
 import org.pistachioline.core.manifest.WorkspaceSpec;
 import org.pistachioline.core.placement.LiveDaemons;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.StandardPolicies;
 import org.pistachioline.core.traffic.TargetKind;
@@ -76,7 +76,7 @@
 			if (i >= inFlight) {
 				final AttemptId attempt = new AttemptId(i - inFlight, 1);
 				core.onProgress(nowNanos, attempt, 1);
-				core.onAttemptEnd(nowNanos, attempt, AttemptEnd.COMPLETE, 100);
+				core.onAttemptEnd(nowNanos, attempt, AttemptOutcome.COMPLETE, 100);
 			}
 			whole.recordValue(Math.min(HIGHEST_NANOS, System.nanoTime() - begunNanos));
 		}
@@ -110,7 +110,7 @@
 			hashes.add((id % 50) * 1_000_003L + block);
 		}
 		return new RequestInfo(id, "w", TargetKind.MODEL, "m", 1_024, 200, 0, nowNanos + 10_000_000_000L,
-				nowNanos + 600_000_000_000L, true, ClaimNeed.NONE, "f" + id, hashes);
+				nowNanos + 600_000_000_000L, true, ClaimRequirement.NONE, "f" + id, hashes);
 	}
 
 }
--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/OnceBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/OnceBenchmark.java
@@ -17,8 +17,8 @@
 import org.pistachioline.core.record.KeyOutcome;
 import org.pistachioline.core.record.LogRecord;
 import org.pistachioline.core.retry.BudgetedRetry;
-import org.pistachioline.core.traffic.AttemptEnd;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
@@ -84,7 +84,7 @@
 					final TrafficAction.Start start = started.get();
 					lost++;
 					groups.removeIf((group) -> group.targetId().equals(start.target().targetId()));
-					started = startOf(core.onAttemptEnd(nowNanos, start.attempt(), AttemptEnd.BROKEN, 0));
+					started = startOf(core.onAttemptEnd(nowNanos, start.attempt(), AttemptOutcome.BROKEN, 0));
 					core.onTargets(nowNanos, groups);
 				}
 				nowNanos += TICK_NANOS;
@@ -103,7 +103,7 @@
 
 	private static RequestInfo killer(long requestId, long nowNanos) {
 		return new RequestInfo(requestId, "w", TargetKind.MODEL, "m", 1, 1, 0, nowNanos + DEADLINE_NANOS,
-				nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, "killer", List.of());
+				nowNanos + DEADLINE_NANOS, true, ClaimRequirement.NONE, "killer", List.of());
 	}
 
 	private static void claims(Figures figures) {
--- a/pistachioline-bench/src/test/java/org/pistachioline/bench/RecordedTraceTests.java
+++ b/pistachioline-bench/src/test/java/org/pistachioline/bench/RecordedTraceTests.java
@@ -10,7 +10,7 @@
 import org.pistachioline.core.manifest.ModelSpec;
 import org.pistachioline.core.manifest.WeightSpec;
 import org.pistachioline.core.manifest.WorkspaceSpec;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.traffic.TraceRecorder;
@@ -59,7 +59,7 @@
 
 	private static RequestInfo info(int id) {
 		return new RequestInfo(id, "shops", TargetKind.MODEL, "sign-copy", 100, 200, 0, 10_000_000_000L,
-				600_000_000_000L, true, ClaimNeed.NONE, "fingerprint-of-a-prompt", List.of(7L, 8L));
+				600_000_000_000L, true, ClaimRequirement.NONE, "fingerprint-of-a-prompt", List.of(7L, 8L));
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/BudgetedRetry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/BudgetedRetry.java
@@ -1,6 +1,6 @@
 package org.pistachioline.core.retry;
 
-import org.pistachioline.core.traffic.AttemptEnd;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
@@ -16,26 +16,26 @@
  */
 public final class BudgetedRetry implements RetryPolicy {
 
-	private static final double EARNED_PER_SUCCESS = 0.1;
+	private static final double EARNED_RETRIES_PER_SUCCESS = 0.1;
 
-	private static final double MOST_SAVED = 32;
+	private static final double MAX_SAVED_RETRIES = 32;
 
 	private static final int MAX_ATTEMPTS = 3;
 
-	private double budget = MOST_SAVED;
+	private double availableRetries = MAX_SAVED_RETRIES;
 
 	@Override
-	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptEnd how) {
-		if (attempts >= MAX_ATTEMPTS || nowNanos >= info.totalDeadlineNanos() || this.budget < 1) {
+	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how) {
+		if (attempts >= MAX_ATTEMPTS || nowNanos >= info.totalDeadlineNanos() || this.availableRetries < 1) {
 			return RetryDecision.GIVE_UP;
 		}
-		this.budget -= 1;
+		this.availableRetries -= 1;
 		return RetryDecision.RETRY;
 	}
 
 	@Override
 	public void onSuccess(long nowNanos) {
-		this.budget = Math.min(MOST_SAVED, this.budget + EARNED_PER_SUCCESS);
+		this.availableRetries = Math.min(MAX_SAVED_RETRIES, this.availableRetries + EARNED_RETRIES_PER_SUCCESS);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/RetryPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/RetryPolicy.java
@@ -1,6 +1,6 @@
 package org.pistachioline.core.retry;
 
-import org.pistachioline.core.traffic.AttemptEnd;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
@@ -16,7 +16,7 @@
 	 * @param how how the last one ended
 	 * @return the decision
 	 */
-	RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptEnd how);
+	RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how);
 
 	/**
 	 * Decides whether a running stream may be moved to another target.
@@ -24,7 +24,7 @@
 	 * @param info the request
 	 * @return whether the budget has room for another attempt; it is taken where it has
 	 */
-	default boolean mayShift(long nowNanos, RequestInfo info) {
+	default boolean tryAcquireForMigration(long nowNanos, RequestInfo info) {
 		return true;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/retry/SharedBudgetRetry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/retry/SharedBudgetRetry.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.IntSupplier;
 
-import org.pistachioline.core.traffic.AttemptEnd;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
@@ -14,20 +14,20 @@
  * traffic twice. The daemons do not tell each other in time what they spend, so each
  * keeps to its own share: an equal part of the allowed burst, and the allowed ratio of
  * the requests that came to itself. The sum of the shares stays under the bound whatever
- * each does, since a little of both is left unused ({@value #USED_RATIO} is spent): a
- * daemon that has just started does not know yet how many others there are. Every attempt
- * beyond the first counts, also one that the target declines.
+ * each does, since a little of both is left unused ({@value #SPENDABLE_RATIO} is spent):
+ * a daemon that has just started does not know yet how many others there are. Every
+ * attempt beyond the first counts, also one that the target declines.
  */
 public final class SharedBudgetRetry implements RetryPolicy {
 
 	/** The part of a daemon's share that it spends. */
-	private static final double USED_RATIO = 0.75;
+	private static final double SPENDABLE_RATIO = 0.75;
 
-	private final RetryBudget bound;
+	private final RetryBudget fleetBudget;
 
-	private final IntSupplier daemons;
+	private final IntSupplier daemonCount;
 
-	private final Map<String, Account> accounts = new HashMap<>();
+	private final Map<String, ServiceBudget> budgetsByService = new HashMap<>();
 
 	/**
 	 * Creates the policy.
@@ -35,26 +35,26 @@
 	 * @param daemons tells how many daemons share it
 	 */
 	public SharedBudgetRetry(RetryBudget bound, IntSupplier daemons) {
-		this.bound = bound;
-		this.daemons = daemons;
+		this.fleetBudget = bound;
+		this.daemonCount = daemons;
 	}
 
 	@Override
-	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptEnd how) {
+	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how) {
 		if (attempts >= info.maxAttempts() || nowNanos >= info.totalDeadlineNanos()) {
 			return RetryDecision.GIVE_UP;
 		}
-		return account(nowNanos, info).spend() ? RetryDecision.RETRY : RetryDecision.GIVE_UP;
+		return budgetOf(nowNanos, info).tryAcquire() ? RetryDecision.RETRY : RetryDecision.GIVE_UP;
 	}
 
 	@Override
-	public boolean mayShift(long nowNanos, RequestInfo info) {
-		return account(nowNanos, info).spend();
+	public boolean tryAcquireForMigration(long nowNanos, RequestInfo info) {
+		return budgetOf(nowNanos, info).tryAcquire();
 	}
 
 	@Override
 	public void onArrival(long nowNanos, RequestInfo info) {
-		account(nowNanos, info).earn(USED_RATIO * this.bound.ratio());
+		budgetOf(nowNanos, info).add(SPENDABLE_RATIO * this.fleetBudget.ratio());
 	}
 
 	@Override
@@ -62,10 +62,12 @@
 		// The budget follows arrivals; what came of them does not matter.
 	}
 
-	private Account account(long nowNanos, RequestInfo info) {
-		final double most = USED_RATIO * this.bound.burstRequests() / Math.max(1, this.daemons.getAsInt());
-		final Account account = this.accounts.computeIfAbsent(serviceOf(info), (name) -> new Account(most, nowNanos));
-		account.passTime(nowNanos, most);
+	private ServiceBudget budgetOf(long nowNanos, RequestInfo info) {
+		final double most = SPENDABLE_RATIO * this.fleetBudget.burstAttempts()
+				/ Math.max(1, this.daemonCount.getAsInt());
+		final ServiceBudget account = this.budgetsByService.computeIfAbsent(serviceOf(info),
+				(name) -> new ServiceBudget(most, nowNanos));
+		account.refill(nowNanos, most);
 		return account;
 	}
 
@@ -79,33 +81,33 @@
 	 * One service's budget. The burst comes back over two windows: a whole burst in one
 	 * window and another in the next would be twice the bound in a window between them.
 	 */
-	private final class Account {
+	private final class ServiceBudget {
 
-		private double left;
+		private double availableAttempts;
 
 		private long refilledAtNanos;
 
-		Account(double left, long nowNanos) {
-			this.left = left;
+		ServiceBudget(double left, long nowNanos) {
+			this.availableAttempts = left;
 			this.refilledAtNanos = nowNanos;
 		}
 
-		void passTime(long nowNanos, double most) {
+		void refill(long nowNanos, double most) {
 			final double windows = (double) (nowNanos - this.refilledAtNanos)
-					/ SharedBudgetRetry.this.bound.windowNanos();
+					/ SharedBudgetRetry.this.fleetBudget.windowNanos();
 			this.refilledAtNanos = nowNanos;
-			this.left = Math.min(most, this.left + windows * most / 4);
+			this.availableAttempts = Math.min(most, this.availableAttempts + windows * most / 4);
 		}
 
-		void earn(double amount) {
-			this.left += amount;
+		void add(double amount) {
+			this.availableAttempts += amount;
 		}
 
-		boolean spend() {
-			if (this.left < 1) {
+		boolean tryAcquire() {
+			if (this.availableAttempts < 1) {
 				return false;
 			}
-			this.left -= 1;
+			this.availableAttempts -= 1;
 			return true;
 		}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/AppendBudget.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/AppendBudget.java
@@ -14,13 +14,13 @@
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
-	private final double allPerSecond;
+	private final double fleetAppendsPerSecond;
 
-	private final double burst;
+	private final double burstAppends;
 
-	private double credit;
+	private double availableAppends;
 
-	private long creditedAtNanos;
+	private long refilledAtNanos;
 
 	/**
 	 * Creates a full budget.
@@ -29,10 +29,10 @@
 	 * @param nowNanos the monotonic time
 	 */
 	public AppendBudget(double allPerSecond, double burst, long nowNanos) {
-		this.allPerSecond = allPerSecond;
-		this.burst = burst;
-		this.credit = burst;
-		this.creditedAtNanos = nowNanos;
+		this.fleetAppendsPerSecond = allPerSecond;
+		this.burstAppends = burst;
+		this.availableAppends = burst;
+		this.refilledAtNanos = nowNanos;
 	}
 
 	/**
@@ -41,15 +41,15 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it may go now
 	 */
-	public boolean take(int daemons, long nowNanos) {
-		final double share = this.allPerSecond / Math.max(1, daemons);
-		final double earned = (nowNanos - this.creditedAtNanos) / NANOS_PER_SECOND * share;
-		this.credit = Math.min(this.burst, this.credit + earned);
-		this.creditedAtNanos = nowNanos;
-		if (this.credit < 1) {
+	public boolean tryAcquire(int daemons, long nowNanos) {
+		final double share = this.fleetAppendsPerSecond / Math.max(1, daemons);
+		final double earned = (nowNanos - this.refilledAtNanos) / NANOS_PER_SECOND * share;
+		this.availableAppends = Math.min(this.burstAppends, this.availableAppends + earned);
+		this.refilledAtNanos = nowNanos;
+		if (this.availableAppends < 1) {
 			return false;
 		}
-		this.credit--;
+		this.availableAppends--;
 		return true;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/Backoff.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/Backoff.java
@@ -11,11 +11,11 @@
  */
 public final class Backoff {
 
-	private final long firstMillis;
+	private final long initialDelayMillis;
 
-	private final long longestMillis;
+	private final long maxDelayMillis;
 
-	private long stepMillis;
+	private long baseDelayMillis;
 
 	/**
 	 * Creates a back-off with no failure yet.
@@ -23,8 +23,8 @@
 	 * @param longestMillis the longest step
 	 */
 	public Backoff(long firstMillis, long longestMillis) {
-		this.firstMillis = firstMillis;
-		this.longestMillis = longestMillis;
+		this.initialDelayMillis = firstMillis;
+		this.maxDelayMillis = longestMillis;
 	}
 
 	/**
@@ -32,16 +32,17 @@
 	 * @param jitterRatio a random number from 0 to 1
 	 * @return the wait
 	 */
-	public long nextMillis(double jitterRatio) {
-		this.stepMillis = Math.min(this.longestMillis, Math.max(this.firstMillis, this.stepMillis * 2));
-		return this.stepMillis / 2 + (long) (this.stepMillis * jitterRatio);
+	public long nextDelayMillis(double jitterRatio) {
+		this.baseDelayMillis = Math.min(this.maxDelayMillis,
+				Math.max(this.initialDelayMillis, this.baseDelayMillis * 2));
+		return this.baseDelayMillis / 2 + (long) (this.baseDelayMillis * jitterRatio);
 	}
 
 	/**
 	 * Notes a success.
 	 */
 	public void reset() {
-		this.stepMillis = 0;
+		this.baseDelayMillis = 0;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/CheckpointPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/CheckpointPolicy.java
@@ -17,11 +17,11 @@
  */
 public final class CheckpointPolicy {
 
-	private static final int FIRST_PART_OF_LIFE = 4;
+	private static final int FIRST_WRITE_DIVISOR = 4;
 
-	private static final int RANK_PART_OF_LIFE = 32;
+	private static final int RANK_DELAY_DIVISOR = 32;
 
-	private static final int LAST_RANK = 16;
+	private static final int MAX_DELAYED_RANK = 16;
 
 	private final long retentionMillis;
 
@@ -45,18 +45,18 @@
 	 * @param nowMillis the wall-clock time
 	 * @return whether to write
 	 */
-	public boolean isDue(CheckpointCover cover, long nextOffset, int rank, long nowMillis) {
+	public boolean isDue(CheckpointCoverage cover, long nextOffset, int rank, long nowMillis) {
 		final long uncovered = nextOffset - (cover.throughOffset() + 1);
-		if (uncovered <= 0 || cover.neededSinceMillis() == 0) {
+		if (uncovered <= 0 || cover.oldestUncoveredMillis() == 0) {
 			return false;
 		}
-		final int waits = Math.min(rank, LAST_RANK);
+		final int waits = Math.min(rank, MAX_DELAYED_RANK);
 		if (uncovered >= this.maxEntries * (waits + 1L)) {
 			return true;
 		}
-		final long dueAgeMillis = this.retentionMillis / FIRST_PART_OF_LIFE
-				+ waits * (this.retentionMillis / RANK_PART_OF_LIFE);
-		return nowMillis - cover.neededSinceMillis() >= dueAgeMillis;
+		final long dueAgeMillis = this.retentionMillis / FIRST_WRITE_DIVISOR
+				+ waits * (this.retentionMillis / RANK_DELAY_DIVISOR);
+		return nowMillis - cover.oldestUncoveredMillis() >= dueAgeMillis;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamKeepers.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamAssignment.java
@@ -15,16 +15,16 @@
  * state is there at once when the first one dies. The same order says who writes
  * checkpoints, so that those who follow a stream also carry it over its retention.
  */
-public final class StreamKeepers {
+public final class StreamAssignment {
 
 	/**
 	 * The largest fleet in which all follow all: today's customers have 6 to 8 daemons.
 	 */
-	public static final int SMALL_FLEET = 8;
+	public static final int MAX_DAEMONS_ALL_FOLLOW = 8;
 
-	private static final int FOLLOWERS = 2;
+	private static final int FOLLOWERS_PER_STREAM = 2;
 
-	private StreamKeepers() {
+	private StreamAssignment() {
 	}
 
 	/**
@@ -33,7 +33,7 @@
 	 * @param daemonIds the live daemons
 	 * @return the daemons, the first choice first
 	 */
-	public static List<String> order(String stream, Collection<String> daemonIds) {
+	public static List<String> rankedDaemons(String stream, Collection<String> daemonIds) {
 		return Rendezvous.first("checkpoint/" + stream, daemonIds, daemonIds.size());
 	}
 
@@ -44,8 +44,8 @@
 	 * @return the daemons that follow it, the first choice first
 	 */
 	public static List<String> followers(String stream, Collection<String> daemonIds) {
-		final List<String> order = order(stream, daemonIds);
-		return (order.size() <= SMALL_FLEET) ? order : order.subList(0, FOLLOWERS);
+		final List<String> order = rankedDaemons(stream, daemonIds);
+		return (order.size() <= MAX_DAEMONS_ALL_FOLLOW) ? order : order.subList(0, FOLLOWERS_PER_STREAM);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Flight.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ActiveRequest.java
@@ -9,7 +9,7 @@
 /**
  * The mutable record of one request while the traffic core holds it.
  */
-final class Flight {
+final class ActiveRequest {
 
 	final RequestInfo info;
 
@@ -17,7 +17,7 @@
 
 	final Set<String> triedTargetIds = new HashSet<>();
 
-	int attempts;
+	int startedAttempts;
 
 	AttemptId liveAttempt;
 
@@ -29,21 +29,21 @@
 
 	int sentAttempts;
 
-	boolean ran;
+	boolean hasRun;
 
 	boolean queued;
 
-	boolean claiming;
+	boolean claimPending;
 
-	boolean resuming;
+	boolean awaitingRedispatch;
 
-	boolean shifting;
+	boolean migrating;
 
-	boolean stalled;
+	boolean targetStalled;
 
-	boolean stallTold;
+	boolean stallReported;
 
-	boolean apart;
+	boolean isolated;
 
 	int tokensDelivered;
 
@@ -51,17 +51,17 @@
 
 	long progressAtNanos;
 
-	long notBeforeNanos = Long.MIN_VALUE / 2;
+	long earliestStartNanos = Long.MIN_VALUE / 2;
 
-	long startedAtNanos;
+	long attemptStartedAtNanos;
 
-	boolean attemptRan;
+	boolean attemptHasOutput;
 
-	boolean complete;
+	boolean completed;
 
 	long claimOffset = -1;
 
-	Flight(RequestInfo info, long arrivedAtNanos) {
+	ActiveRequest(RequestInfo info, long arrivedAtNanos) {
 		this.info = info;
 		this.arrivedAtNanos = arrivedAtNanos;
 	}
@@ -71,18 +71,18 @@
 	 * @return the number of attempts that were begun and not withheld
 	 */
 	int usedAttempts() {
-		return this.attempts - this.withheldAttempts;
+		return this.startedAttempts - this.withheldAttempts;
 	}
 
-	boolean bytesSent() {
+	boolean mayHaveSentBytes() {
 		return this.sentAttempts > 0;
 	}
 
 	RunState runState() {
-		if (!bytesSent()) {
+		if (!mayHaveSentBytes()) {
 			return RunState.NOT_RUN;
 		}
-		return this.ran ? RunState.RAN : RunState.UNKNOWN;
+		return this.hasRun ? RunState.RAN : RunState.UNKNOWN;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/FlightBook.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ActiveRequests.java
@@ -13,56 +13,57 @@
  * The requests that have not ended, and how each of them ends: once, with a truthful run
  * state, with its target, its limits and its claim given back.
  */
-final class FlightBook {
+final class ActiveRequests {
 
 	/** Whoever may come back is told when: one who is told nothing comes at once. */
-	static final long LEAST_RETRY_MILLIS = 500;
+	static final long MIN_RETRY_AFTER_MILLIS = 500;
 
-	private static final long RETRY_UNKNOWN_MILLIS = 1_000;
+	private static final long LIMBO_RETRY_AFTER_MILLIS = 1_000;
 
 	private final TrafficPolicies policies;
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final Isolation isolation;
+	private final SuspectIsolation isolation;
 
-	private final Resumptions resumptions;
+	private final RedispatchQueue redispatchQueue;
 
-	private final Map<Long, Flight> flights = new LinkedHashMap<>();
+	private final Map<Long, ActiveRequest> requestsById = new LinkedHashMap<>();
 
 	private final Map<Long, RequestInfo> abandonedClaims = new HashMap<>();
 
 	private final List<TrafficAction> actions = new ArrayList<>();
 
-	FlightBook(TrafficPolicies policies, TargetBook targets, Isolation isolation, Resumptions resumptions) {
+	ActiveRequests(TrafficPolicies policies, TargetRegistry targets, SuspectIsolation isolation,
+			RedispatchQueue resumptions) {
 		this.policies = policies;
 		this.targets = targets;
 		this.isolation = isolation;
-		this.resumptions = resumptions;
+		this.redispatchQueue = resumptions;
 	}
 
-	void add(Flight flight) {
-		this.flights.put(flight.info.requestId(), flight);
+	void add(ActiveRequest flight) {
+		this.requestsById.put(flight.info.requestId(), flight);
 	}
 
-	Flight get(long requestId) {
-		return this.flights.get(requestId);
+	ActiveRequest get(long requestId) {
+		return this.requestsById.get(requestId);
 	}
 
-	Flight live(AttemptId attempt) {
-		final Flight flight = this.flights.get(attempt.requestId());
+	ActiveRequest findLive(AttemptId attempt) {
+		final ActiveRequest flight = this.requestsById.get(attempt.requestId());
 		return (flight != null && attempt.equals(flight.liveAttempt)) ? flight : null;
 	}
 
-	List<Flight> all() {
-		return List.copyOf(this.flights.values());
+	List<ActiveRequest> all() {
+		return List.copyOf(this.requestsById.values());
 	}
 
 	int size() {
-		return this.flights.size();
+		return this.requestsById.size();
 	}
 
-	void act(TrafficAction action) {
+	void addAction(TrafficAction action) {
 		this.actions.add(action);
 	}
 
@@ -72,7 +73,7 @@
 		return drained;
 	}
 
-	void giveBack(long requestId, ClaimVerdict verdict, long claimOffset) {
+	void releaseAbandonedClaim(long requestId, ClaimVerdict verdict, long claimOffset) {
 		final RequestInfo info = this.abandonedClaims.remove(requestId);
 		// The request ended as not run while its claim was on the way. Kept, the claim
 		// would bar the caller's repeats of something that never ran.
@@ -81,51 +82,53 @@
 		}
 	}
 
-	void leaveTarget(long nowNanos, Flight flight, AttemptEnd how) {
+	void detachFromTarget(long nowNanos, ActiveRequest flight, AttemptOutcome how) {
 		flight.liveAttempt = null;
-		flight.shifting = false;
+		flight.migrating = false;
 		flight.load.onEnd(nowNanos, flight.info.costTokens(), how);
 		this.targets.refresh(nowNanos, flight.info, flight.load);
-		this.isolation.onLeave(flight);
+		this.isolation.release(flight);
 	}
 
-	void end(long nowNanos, Flight flight, ErrorKind kind, long retryAfterMillis) {
+	void fail(long nowNanos, ActiveRequest flight, ErrorKind kind, long retryAfterMillis) {
 		if (flight.liveAttempt != null) {
 			this.actions.add(new TrafficAction.Cancel(flight.liveAttempt));
-			leaveTarget(nowNanos, flight, AttemptEnd.CANCELLED);
+			detachFromTarget(nowNanos, flight, AttemptOutcome.CANCELLED);
 		}
-		if (flight.claimOffset >= 0 && !flight.bytesSent()) {
+		if (flight.claimOffset >= 0 && !flight.mayHaveSentBytes()) {
 			this.actions.add(new TrafficAction.Release(flight.info.requestId(), flight.info, flight.claimOffset));
 		}
-		forget(nowNanos, flight);
-		final long afterMillis = kind.retryable() ? Math.max(retryAfterMillis, LEAST_RETRY_MILLIS) : retryAfterMillis;
+		remove(nowNanos, flight);
+		final long afterMillis = kind.retryable() ? Math.max(retryAfterMillis, MIN_RETRY_AFTER_MILLIS)
+				: retryAfterMillis;
 		this.actions.add(new TrafficAction.Fail(flight.info.requestId(), kind, runStateOf(kind, flight), afterMillis));
 	}
 
-	void endUnknown(long nowNanos, Flight flight) {
-		forget(nowNanos, flight);
+	void failInLimbo(long nowNanos, ActiveRequest flight) {
+		remove(nowNanos, flight);
 		this.actions.add(new TrafficAction.Fail(flight.info.requestId(), ErrorKind.CLAIM_UNAVAILABLE, RunState.UNKNOWN,
-				RETRY_UNKNOWN_MILLIS));
+				LIMBO_RETRY_AFTER_MILLIS));
 	}
 
 	// A kind that says "not run" by itself must not be used once bytes have left, and
 	// what
 	// another request with the same key did is not known here.
-	private static RunState runStateOf(ErrorKind kind, Flight flight) {
+	private static RunState runStateOf(ErrorKind kind, ActiveRequest flight) {
 		final boolean keyed = kind == ErrorKind.KEY_IN_PROGRESS || kind == ErrorKind.OUTCOME_UNKNOWN
 				|| kind == ErrorKind.KEY_EXPIRED;
 		return keyed ? RunState.UNKNOWN : flight.runState();
 	}
 
-	void forget(long nowNanos, Flight flight) {
-		this.flights.remove(flight.info.requestId());
+	void remove(long nowNanos, ActiveRequest flight) {
+		this.requestsById.remove(flight.info.requestId());
 		if (flight.queued) {
 			this.policies.queue().remove(flight.info.requestId());
 		}
 		this.policies.queue()
-			.onEnded(nowNanos, flight.info, flight.complete, flight.tokensDelivered, nowNanos - flight.startedAtNanos);
-		this.resumptions.remove(flight);
-		if (flight.claiming) {
+			.onEnded(nowNanos, flight.info, flight.completed, flight.tokensDelivered,
+					nowNanos - flight.attemptStartedAtNanos);
+		this.redispatchQueue.remove(flight);
+		if (flight.claimPending) {
 			this.abandonedClaims.put(flight.info.requestId(), flight.info);
 		}
 		this.policies.admission().release(nowNanos, flight.info);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptEnd.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcome.java
@@ -3,7 +3,7 @@
 /**
  * How an attempt ended.
  */
-public enum AttemptEnd {
+public enum AttemptOutcome {
 
 	/** The answer came in full. */
 	COMPLETE,
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ClaimNeed.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ClaimRequirement.java
@@ -9,12 +9,12 @@
  * @param runBoundMillis after how long a claim without an outcome counts as unknown; past
  * the time that the service may take, so that its claimer must have gone
  */
-public record ClaimNeed(String keyHash, String requestDigest, long lifetimeMillis, long runBoundMillis) {
+public record ClaimRequirement(String keyHash, String requestDigest, long lifetimeMillis, long runBoundMillis) {
 
 	private static final long DEFAULT_RUN_BOUND_MILLIS = 60_000;
 
 	/** No claim is needed. */
-	public static final ClaimNeed NONE = new ClaimNeed("", "", 0);
+	public static final ClaimRequirement NONE = new ClaimRequirement("", "", 0);
 
 	/**
 	 * Creates a need with a bound for services of unknown duration.
@@ -22,7 +22,7 @@
 	 * @param requestDigest the digest of the request
 	 * @param lifetimeMillis how long the key is remembered
 	 */
-	public ClaimNeed(String keyHash, String requestDigest, long lifetimeMillis) {
+	public ClaimRequirement(String keyHash, String requestDigest, long lifetimeMillis) {
 		this(keyHash, requestDigest, lifetimeMillis, DEFAULT_RUN_BOUND_MILLIS);
 	}
 
@@ -30,7 +30,7 @@
 	 * Returns whether a claim is needed.
 	 * @return whether there is a key
 	 */
-	public boolean isNeeded() {
+	public boolean isRequired() {
 		return !this.keyHash.isEmpty();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Dispatcher.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Dispatcher.java
@@ -10,46 +10,46 @@
  */
 final class Dispatcher {
 
-	private static final long RETRY_MILLIS = 1_000;
+	private static final long RETRY_AFTER_MILLIS = 1_000;
 
 	private final TrafficPolicies policies;
 
-	private final FlightBook flights;
+	private final ActiveRequests activeRequests;
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final TargetChooser chooser;
+	private final TargetSelector selector;
 
-	private final Isolation isolation;
+	private final SuspectIsolation isolation;
 
-	private final Resumptions resumptions;
+	private final RedispatchQueue redispatchQueue;
 
-	Dispatcher(TrafficPolicies policies, FlightBook flights, TargetBook targets, TargetChooser chooser,
-			Isolation isolation, Resumptions resumptions) {
+	Dispatcher(TrafficPolicies policies, ActiveRequests flights, TargetRegistry targets, TargetSelector chooser,
+			SuspectIsolation isolation, RedispatchQueue resumptions) {
 		this.policies = policies;
-		this.flights = flights;
+		this.activeRequests = flights;
 		this.targets = targets;
-		this.chooser = chooser;
+		this.selector = chooser;
 		this.isolation = isolation;
-		this.resumptions = resumptions;
+		this.redispatchQueue = resumptions;
 	}
 
 	/**
 	 * Starts what can start, after whatever may have made room.
 	 * @param nowNanos the monotonic time
 	 */
-	void pump(long nowNanos) {
+	void dispatchReady(long nowNanos) {
 		for (final RequestInfo expired : this.policies.queue().expire(nowNanos)) {
-			final Flight flight = this.flights.get(expired.requestId());
+			final ActiveRequest flight = this.activeRequests.get(expired.requestId());
 			if (flight != null) {
 				flight.queued = false;
-				this.flights.end(nowNanos, flight, ErrorKind.DEADLINE_UNREACHABLE, RETRY_MILLIS);
+				this.activeRequests.fail(nowNanos, flight, ErrorKind.DEADLINE_UNREACHABLE, RETRY_AFTER_MILLIS);
 			}
 		}
-		this.resumptions.poll(nowNanos, this.chooser::hasChoice, (flight) -> dispatch(nowNanos, flight));
+		this.redispatchQueue.poll(nowNanos, this.selector::hasCandidate, (flight) -> dispatch(nowNanos, flight));
 		Optional<RequestInfo> next = this.policies.queue().poll(nowNanos, this.targets::freeSlots);
 		while (next.isPresent()) {
-			final Flight flight = this.flights.get(next.get().requestId());
+			final ActiveRequest flight = this.activeRequests.get(next.get().requestId());
 			if (flight != null) {
 				flight.queued = false;
 				dispatch(nowNanos, flight);
@@ -58,22 +58,22 @@
 		}
 	}
 
-	private void dispatch(long nowNanos, Flight flight) {
-		if (endIfQuarantined(nowNanos, flight)) {
+	private void dispatch(long nowNanos, ActiveRequest flight) {
+		if (failIfQuarantined(nowNanos, flight)) {
 			return;
 		}
-		if (flight.info.claim().isNeeded() && flight.claimOffset < 0) {
-			flight.claiming = true;
-			this.flights.act(new TrafficAction.Claim(flight.info.requestId(), flight.info));
+		if (flight.info.claim().isRequired() && flight.claimOffset < 0) {
+			flight.claimPending = true;
+			this.activeRequests.addAction(new TrafficAction.Claim(flight.info.requestId(), flight.info));
 			return;
 		}
-		startOrWait(nowNanos, flight);
+		startOrEnqueue(nowNanos, flight);
 	}
 
-	private boolean endIfQuarantined(long nowNanos, Flight flight) {
-		final boolean quarantined = this.policies.killer().isQuarantined(flight.info.fingerprint());
+	private boolean failIfQuarantined(long nowNanos, ActiveRequest flight) {
+		final boolean quarantined = this.policies.quarantine().isQuarantined(flight.info.fingerprint());
 		if (quarantined) {
-			this.flights.end(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+			this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
 		}
 		return quarantined;
 	}
@@ -83,38 +83,38 @@
 	 * @param nowNanos the monotonic time
 	 * @param flight the request
 	 */
-	void startOrWait(long nowNanos, Flight flight) {
-		if (endIfQuarantined(nowNanos, flight)) {
+	void startOrEnqueue(long nowNanos, ActiveRequest flight) {
+		if (failIfQuarantined(nowNanos, flight)) {
 			return;
 		}
-		final boolean mayStart = nowNanos - flight.notBeforeNanos >= 0;
-		final Optional<TargetLoad> chosen = mayStart ? this.chooser.choose(nowNanos, flight) : Optional.empty();
+		final boolean mayStart = nowNanos - flight.earliestStartNanos >= 0;
+		final Optional<TargetLoad> chosen = mayStart ? this.selector.select(nowNanos, flight) : Optional.empty();
 		if (chosen.isPresent()) {
 			start(nowNanos, flight, chosen.get());
 		}
 		else {
-			this.resumptions.add(flight);
+			this.redispatchQueue.add(flight);
 		}
 	}
 
-	private void start(long nowNanos, Flight flight, TargetLoad load) {
-		flight.attempts++;
+	private void start(long nowNanos, ActiveRequest flight, TargetLoad load) {
+		flight.startedAttempts++;
 		// Counted as sent before a byte can leave: a crash in between must not read as
 		// "not run".
 		flight.sentAttempts++;
-		flight.liveAttempt = new AttemptId(flight.info.requestId(), flight.attempts);
+		flight.liveAttempt = new AttemptId(flight.info.requestId(), flight.startedAttempts);
 		flight.target = load.view();
 		flight.load = load;
 		flight.resumedFromTokens = flight.tokensDelivered;
 		flight.triedTargetIds.add(load.view().targetId());
-		flight.startedAtNanos = nowNanos;
-		flight.attemptRan = false;
+		flight.attemptStartedAtNanos = nowNanos;
+		flight.attemptHasOutput = false;
 		flight.progressAtNanos = nowNanos;
 		load.onStart(nowNanos, flight.info.costTokens());
 		this.isolation.onStart(flight);
 		this.targets.refresh(nowNanos, flight.info, load);
 		this.policies.placement().onPlaced(nowNanos, flight.info, load);
-		this.flights.act(new TrafficAction.Start(flight.liveAttempt, load.view(), flight.tokensDelivered));
+		this.activeRequests.addAction(new TrafficAction.Start(flight.liveAttempt, load.view(), flight.tokensDelivered));
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Resumptions.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RedispatchQueue.java
@@ -15,18 +15,18 @@
  * of room. They go before the queue; there are never more than were started, and each
  * leaves by its deadline.
  */
-final class Resumptions {
+final class RedispatchQueue {
 
-	private final Deque<Flight> waiting = new ArrayDeque<>();
+	private final Deque<ActiveRequest> waiting = new ArrayDeque<>();
 
-	void add(Flight flight) {
-		flight.resuming = true;
+	void add(ActiveRequest flight) {
+		flight.awaitingRedispatch = true;
 		this.waiting.addLast(flight);
 	}
 
-	void remove(Flight flight) {
-		if (flight.resuming) {
-			flight.resuming = false;
+	void remove(ActiveRequest flight) {
+		if (flight.awaitingRedispatch) {
+			flight.awaitingRedispatch = false;
 			this.waiting.remove(flight);
 		}
 	}
@@ -35,12 +35,12 @@
 		return this.waiting.size();
 	}
 
-	void poll(long nowNanos, Predicate<Flight> placeable, Consumer<Flight> starter) {
+	void poll(long nowNanos, Predicate<ActiveRequest> placeable, Consumer<ActiveRequest> starter) {
 		if (this.waiting.isEmpty()) {
 			return;
 		}
-		for (final Flight flight : List.copyOf(this.waiting)) {
-			if (flight.resuming && nowNanos - flight.notBeforeNanos >= 0 && placeable.test(flight)) {
+		for (final ActiveRequest flight : List.copyOf(this.waiting)) {
+			if (flight.awaitingRedispatch && nowNanos - flight.earliestStartNanos >= 0 && placeable.test(flight)) {
 				remove(flight);
 				starter.accept(flight);
 			}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RequestInfo.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RequestInfo.java
@@ -15,22 +15,23 @@
  * @param firstTokenDeadlineNanos when its first token is due, by the monotonic clock
  * @param totalDeadlineNanos when it must have ended, by the monotonic clock
  * @param idempotent whether it may be sent again
- * @param claim the claim that it needs; {@link ClaimNeed#NONE} where it is idempotent
+ * @param claim the claim that it needs; {@link ClaimRequirement#NONE} where it is
+ * idempotent
  * @param fingerprint the request's fingerprint
  * @param prefixHashes hashes of the prompt's growing prefixes, the shortest first
  * @param maxAttempts how many targets it may be sent to in all
- * @param onTimeNanos until when its first token is on time for its caller, by the
+ * @param softDeadlineNanos until when its first token is on time for its caller, by the
  * monotonic clock; after that it is still of some use up to its deadline
  */
 public record RequestInfo(long requestId, String workspace, TargetKind targetKind, String name, int promptTokens,
 		int maxOutputTokens, int priority, long firstTokenDeadlineNanos, long totalDeadlineNanos, boolean idempotent,
-		ClaimNeed claim, String fingerprint, List<Long> prefixHashes, int maxAttempts, long onTimeNanos) {
+		ClaimRequirement claim, String fingerprint, List<Long> prefixHashes, int maxAttempts, long softDeadlineNanos) {
 
 	/**
 	 * Bounds the prefill that is paid again when group after group drains or dies, where
 	 * the operator states no bound.
 	 */
-	public static final int USUAL_MAX_ATTEMPTS = 6;
+	public static final int DEFAULT_MAX_ATTEMPTS = 6;
 
 	public RequestInfo {
 		prefixHashes = List.copyOf(prefixHashes);
@@ -55,9 +56,9 @@
 	 */
 	public RequestInfo(long requestId, String workspace, TargetKind targetKind, String name, int promptTokens,
 			int maxOutputTokens, int priority, long firstTokenDeadlineNanos, long totalDeadlineNanos,
-			boolean idempotent, ClaimNeed claim, String fingerprint, List<Long> prefixHashes) {
+			boolean idempotent, ClaimRequirement claim, String fingerprint, List<Long> prefixHashes) {
 		this(requestId, workspace, targetKind, name, promptTokens, maxOutputTokens, priority, firstTokenDeadlineNanos,
-				totalDeadlineNanos, idempotent, claim, fingerprint, prefixHashes, USUAL_MAX_ATTEMPTS,
+				totalDeadlineNanos, idempotent, claim, fingerprint, prefixHashes, DEFAULT_MAX_ATTEMPTS,
 				firstTokenDeadlineNanos);
 	}
 
@@ -67,7 +68,7 @@
 	 * @param claim the claim
 	 * @return the request, as far as a claim needs it
 	 */
-	public static RequestInfo ofClaim(String workspace, ClaimNeed claim) {
+	public static RequestInfo forClaim(String workspace, ClaimRequirement claim) {
 		return new RequestInfo(0, workspace, TargetKind.SERVICE, "", 0, 0, 0, 0, 0, false, claim, "", List.of());
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RoutingPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RoutingPolicies.java
@@ -17,7 +17,7 @@
 public final class RoutingPolicies {
 
 	/** Each waiting request holds its body; at a few KB each this is a few MB. */
-	private static final int MOST_QUEUED = 2_000;
+	private static final int MAX_QUEUED_REQUESTS = 2_000;
 
 	private RoutingPolicies() {
 	}
@@ -33,9 +33,9 @@
 	 */
 	public static TrafficPolicies create(String availabilityZone, long seed, RetryBudget retryBudget,
 			IntSupplier daemons, QuarantinePolicy killer) {
-		return new TrafficPolicies(new AdmitAll(), new FairQueue(MOST_QUEUED, new OnTimeFirstOrder()),
+		return new TrafficPolicies(new AdmitAll(), new FairQueue(MAX_QUEUED_REQUESTS, new OnTimeFirstOrder()),
 				new ExpectedWaitPlacement(availabilityZone, seed, true), new SharedBudgetRetry(retryBudget, daemons),
-				killer, new PromptShift());
+				killer, new FastMigrationPolicy());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardPolicies.java
@@ -13,7 +13,7 @@
 public final class StandardPolicies {
 
 	/** How many requests may wait on one daemon: at 16 KB each, 160 MB of bodies. */
-	private static final int MAX_QUEUED = 10_000;
+	private static final int MAX_QUEUED_REQUESTS = 10_000;
 
 	private StandardPolicies() {
 	}
@@ -25,7 +25,7 @@
 	 * @return the policies
 	 */
 	public static TrafficPolicies create(String availabilityZone, long seed) {
-		return new TrafficPolicies(new WorkspaceLimits(), new FairQueue(MAX_QUEUED),
+		return new TrafficPolicies(new WorkspaceLimits(), new FairQueue(MAX_QUEUED_REQUESTS),
 				new ExpectedWaitPlacement(availabilityZone, seed), new BudgetedRetry(), new LogBasedQuarantine());
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/ShiftPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StreamMigrationPolicy.java
@@ -3,7 +3,7 @@
 /**
  * Decides when a running stream is taken off its target and resumed at another.
  */
-public interface ShiftPolicy {
+public interface StreamMigrationPolicy {
 
 	/**
 	 * Decides for a stream that may be resumed elsewhere.
@@ -13,7 +13,7 @@
 	 * does
 	 * @return whether the stream is moved
 	 */
-	boolean isDue(long nowNanos, StreamProgress stream, Long notServingSinceNanos);
+	boolean shouldMigrate(long nowNanos, StreamProgress stream, Long notServingSinceNanos);
 
 	/**
 	 * Returns whether targets that stand still are reported, so that whoever keeps the
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/Isolation.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectIsolation.java
@@ -19,34 +19,35 @@
  * runs the first one until that gives a token, so that a caller's hasty repeats cost one
  * group and not one each.
  */
-final class Isolation {
+final class SuspectIsolation {
 
-	private final QuarantinePolicy killer;
+	private final QuarantinePolicy quarantine;
 
-	private final Map<String, Long> suspectsByTargetId = new HashMap<>();
+	private final Map<String, Long> suspectRequestIdsByTargetId = new HashMap<>();
 
-	private final Map<String, Flight> unproven = new HashMap<>();
+	private final Map<String, ActiveRequest> firstRunsByFingerprint = new HashMap<>();
 
-	Isolation(QuarantinePolicy killer) {
-		this.killer = killer;
+	SuspectIsolation(QuarantinePolicy killer) {
+		this.quarantine = killer;
 	}
 
 	boolean restricts(RequestInfo info) {
 		// Nearly always false, so that the usual request costs no look at every target.
-		return !info.fingerprint().isEmpty() && (!this.suspectsByTargetId.isEmpty()
-				|| this.unproven.containsKey(info.fingerprint()) || this.killer.isSuspect(info.fingerprint()));
+		return !info.fingerprint().isEmpty() && (!this.suspectRequestIdsByTargetId.isEmpty()
+				|| this.firstRunsByFingerprint.containsKey(info.fingerprint())
+				|| this.quarantine.isSuspect(info.fingerprint()));
 	}
 
-	List<TargetLoad> allowed(RequestInfo info, List<TargetLoad> open) {
+	List<TargetLoad> filterAllowed(RequestInfo info, List<TargetLoad> open) {
 		if (info.fingerprint().isEmpty() || open.isEmpty()) {
 			return open;
 		}
-		final Flight first = this.unproven.get(info.fingerprint());
-		final boolean suspect = this.killer.isSuspect(info.fingerprint());
+		final ActiveRequest first = this.firstRunsByFingerprint.get(info.fingerprint());
+		final boolean suspect = this.quarantine.isSuspect(info.fingerprint());
 		if (first != null) {
 			return suspect ? List.of() : open.stream().filter((load) -> load == first.load).toList();
 		}
-		final List<TargetLoad> free = open.stream().filter((load) -> !isTaken(load)).toList();
+		final List<TargetLoad> free = open.stream().filter((load) -> !runsSuspect(load)).toList();
 		if (suspect) {
 			final List<TargetLoad> idle = free.stream().filter((load) -> load.inFlight() == 0).toList();
 			return idle.isEmpty() ? free : idle;
@@ -54,33 +55,33 @@
 		return free.isEmpty() ? open : free;
 	}
 
-	private boolean isTaken(TargetLoad load) {
-		return this.suspectsByTargetId.containsKey(load.view().targetId());
+	private boolean runsSuspect(TargetLoad load) {
+		return this.suspectRequestIdsByTargetId.containsKey(load.view().targetId());
 	}
 
-	void onStart(Flight flight) {
+	void onStart(ActiveRequest flight) {
 		final String fingerprint = flight.info.fingerprint();
 		if (fingerprint.isEmpty()) {
 			return;
 		}
-		if (this.killer.isSuspect(fingerprint)) {
-			flight.apart = true;
-			this.suspectsByTargetId.put(flight.target.targetId(), flight.info.requestId());
+		if (this.quarantine.isSuspect(fingerprint)) {
+			flight.isolated = true;
+			this.suspectRequestIdsByTargetId.put(flight.target.targetId(), flight.info.requestId());
 		}
-		if (!this.killer.isTrusted(fingerprint)) {
-			this.unproven.putIfAbsent(fingerprint, flight);
+		if (!this.quarantine.isTrusted(fingerprint)) {
+			this.firstRunsByFingerprint.putIfAbsent(fingerprint, flight);
 		}
 	}
 
-	void onToken(Flight flight) {
-		this.unproven.remove(flight.info.fingerprint(), flight);
+	void onOutput(ActiveRequest flight) {
+		this.firstRunsByFingerprint.remove(flight.info.fingerprint(), flight);
 	}
 
-	void onLeave(Flight flight) {
-		onToken(flight);
-		if (flight.apart) {
-			flight.apart = false;
-			this.suspectsByTargetId.remove(flight.target.targetId(), flight.info.requestId());
+	void release(ActiveRequest flight) {
+		onOutput(flight);
+		if (flight.isolated) {
+			flight.isolated = false;
+			this.suspectRequestIdsByTargetId.remove(flight.target.targetId(), flight.info.requestId());
 		}
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectWatch.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectTracker.java
@@ -6,12 +6,12 @@
 /**
  * Tells which requests a group died under, and when one of them may run again.
  */
-final class SuspectWatch {
+final class SuspectTracker {
 
 	/**
 	 * More than the tokens that were generated, but lost on the way, when a group died.
 	 */
-	private static final int TOKENS_PAST_DEATH = 16;
+	private static final int TOKENS_TO_CLEAR_SUSPECT = 16;
 
 	/**
 	 * How long a suspect waits before its second run. A copy may have killed another
@@ -25,41 +25,41 @@
 	 */
 	private static final long UNLIKELY_SUSPECT_WAIT_NANOS = 1_000_000_000L;
 
-	private final QuarantinePolicy killer;
+	private final QuarantinePolicy quarantine;
 
-	private final Isolation isolation;
+	private final SuspectIsolation isolation;
 
-	private final FlightBook flights;
+	private final ActiveRequests activeRequests;
 
-	SuspectWatch(QuarantinePolicy killer, Isolation isolation, FlightBook flights) {
-		this.killer = killer;
+	SuspectTracker(QuarantinePolicy killer, SuspectIsolation isolation, ActiveRequests flights) {
+		this.quarantine = killer;
 		this.isolation = isolation;
-		this.flights = flights;
+		this.activeRequests = flights;
 	}
 
-	void onTokens(Flight flight) {
+	void onTokens(ActiveRequest flight) {
 		if (flight.tokensDelivered > flight.resumedFromTokens) {
-			this.isolation.onToken(flight);
+			this.isolation.onOutput(flight);
 		}
-		if (flight.apart && flight.tokensDelivered >= flight.resumedFromTokens + TOKENS_PAST_DEATH) {
-			this.killer.onRunPastCrash(flight.info.fingerprint(), false);
-			this.isolation.onLeave(flight);
+		if (flight.isolated && flight.tokensDelivered >= flight.resumedFromTokens + TOKENS_TO_CLEAR_SUSPECT) {
+			this.quarantine.onRunPastCrash(flight.info.fingerprint(), false);
+			this.isolation.release(flight);
 		}
 	}
 
-	void onDeath(long nowNanos, Flight flight) {
+	void onBrokenAttempt(long nowNanos, ActiveRequest flight) {
 		if (flight.info.targetKind() != TargetKind.MODEL) {
 			return;
 		}
-		final CrashVerdict verdict = this.killer.onBrokenAttempt(nowNanos, flight.info.fingerprint(),
+		final CrashVerdict verdict = this.quarantine.onBrokenAttempt(nowNanos, flight.info.fingerprint(),
 				flight.target.targetId());
 		if (verdict != CrashVerdict.EXCUSED) {
-			this.flights.act(new TrafficAction.Suspect(flight.info.requestId(), flight.info.fingerprint(),
-					flight.target, verdict == CrashVerdict.QUARANTINED));
+			this.activeRequests.addAction(new TrafficAction.ReportSuspect(flight.info.requestId(),
+					flight.info.fingerprint(), flight.target, verdict == CrashVerdict.QUARANTINED));
 		}
 		if (verdict == CrashVerdict.SUSPECTED) {
 			final boolean likely = flight.tokensDelivered == flight.resumedFromTokens;
-			flight.notBeforeNanos = nowNanos + (likely ? SUSPECT_WAIT_NANOS : UNLIKELY_SUSPECT_WAIT_NANOS);
+			flight.earliestStartNanos = nowNanos + (likely ? SUSPECT_WAIT_NANOS : UNLIKELY_SUSPECT_WAIT_NANOS);
 		}
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AvoidedTargets.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetBackoffs.java
@@ -7,15 +7,15 @@
 /**
  * Keeps away from the instances that want no requests of this daemon.
  */
-public final class AvoidedTargets {
+public final class TargetBackoffs {
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final SupplyGuard guard;
+	private final DeadlineAdmission deadlineAdmission;
 
-	AvoidedTargets(TargetBook targets, SupplyGuard guard) {
+	TargetBackoffs(TargetRegistry targets, DeadlineAdmission guard) {
 		this.targets = targets;
-		this.guard = guard;
+		this.deadlineAdmission = guard;
 	}
 
 	/**
@@ -25,8 +25,8 @@
 	 * @param forNanos for how long
 	 * @return whether it wanted requests before
 	 */
-	public boolean hearBackoff(long nowNanos, String instanceId, long forNanos) {
-		return tellWaiting(nowNanos, this.targets.hearBackoff(nowNanos, instanceId, forNanos));
+	public boolean onBackoff(long nowNanos, String instanceId, long forNanos) {
+		return recheckQueued(nowNanos, this.targets.onBackoff(nowNanos, instanceId, forNanos));
 	}
 
 	/**
@@ -35,14 +35,14 @@
 	 * @param instanceId the instance
 	 * @return whether that is news
 	 */
-	public boolean hearLeaving(long nowNanos, String instanceId) {
-		return tellWaiting(nowNanos, this.targets.hearLeaving(nowNanos, instanceId));
+	public boolean onLeaving(long nowNanos, String instanceId) {
+		return recheckQueued(nowNanos, this.targets.onLeaving(nowNanos, instanceId));
 	}
 
 	// Where many requests are turned away at once, one look at those who wait is enough.
-	private boolean tellWaiting(long nowNanos, boolean news) {
+	private boolean recheckQueued(long nowNanos, boolean news) {
 		if (news) {
-			this.guard.refuseWaiting(nowNanos);
+			this.deadlineAdmission.recheckQueued(nowNanos);
 		}
 		return news;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/CrashedTargets.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetCrashes.java
@@ -14,15 +14,15 @@
  * Keeps requests that crash targets away from them, as far as this daemon has seen and
  * others have told.
  */
-public final class CrashedTargets {
+public final class TargetCrashes {
 
-	private final QuarantinePolicy killer;
+	private final QuarantinePolicy quarantine;
 
-	private final FlightBook flights;
+	private final ActiveRequests activeRequests;
 
-	CrashedTargets(QuarantinePolicy killer, FlightBook flights) {
-		this.killer = killer;
-		this.flights = flights;
+	TargetCrashes(QuarantinePolicy killer, ActiveRequests flights) {
+		this.quarantine = killer;
+		this.activeRequests = flights;
 	}
 
 	/**
@@ -31,10 +31,10 @@
 	 * @param crash the target, and what it was running for this daemon
 	 * @return the requests that are quarantined since
 	 */
-	public Set<String> hear(long nowNanos, TargetCrash crash) {
-		final Set<String> before = this.killer.quarantined();
-		this.killer.onCrash(nowNanos, crash);
-		return endQuarantined(nowNanos, before);
+	public Set<String> onCrash(long nowNanos, TargetCrash crash) {
+		final Set<String> before = this.quarantine.quarantined();
+		this.quarantine.onCrash(nowNanos, crash);
+		return failNewlyQuarantined(nowNanos, before);
 	}
 
 	/**
@@ -43,22 +43,22 @@
 	 * @param told the requests
 	 * @return the requests that are quarantined since
 	 */
-	public Set<String> hearFromPeer(long nowNanos, List<SuspectedRequest> told) {
-		final Set<String> before = this.killer.quarantined();
-		this.killer.onPeerReports(nowNanos, told);
-		return endQuarantined(nowNanos, before);
+	public Set<String> onPeerReports(long nowNanos, List<SuspectedRequest> told) {
+		final Set<String> before = this.quarantine.quarantined();
+		this.quarantine.onPeerReports(nowNanos, told);
+		return failNewlyQuarantined(nowNanos, before);
 	}
 
 	// A copy whose target has given nothing yet may still be on its way there, or wait in
 	// its queue: cut off, it does not crash it. One that is being answered may end well.
-	private Set<String> endQuarantined(long nowNanos, Set<String> before) {
-		final Set<String> added = new HashSet<>(this.killer.quarantined());
+	private Set<String> failNewlyQuarantined(long nowNanos, Set<String> before) {
+		final Set<String> added = new HashSet<>(this.quarantine.quarantined());
 		added.removeAll(before);
 		if (!added.isEmpty()) {
-			for (final Flight flight : this.flights.all()) {
-				final boolean answering = flight.liveAttempt != null && flight.attemptRan;
+			for (final ActiveRequest flight : this.activeRequests.all()) {
+				final boolean answering = flight.liveAttempt != null && flight.attemptHasOutput;
 				if (added.contains(flight.info.fingerprint()) && !answering) {
-					this.flights.end(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+					this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
 				}
 			}
 		}
@@ -70,7 +70,7 @@
 	 * @return their fingerprints
 	 */
 	public Set<String> quarantined() {
-		return this.killer.quarantined();
+		return this.quarantine.quarantined();
 	}
 
 	/**
@@ -78,8 +78,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
-	public List<SuspectedRequest> takeNews(long nowNanos) {
-		return this.killer.drainBroadcast(nowNanos);
+	public List<SuspectedRequest> drainBroadcast(long nowNanos) {
+		return this.quarantine.drainBroadcast(nowNanos);
 	}
 
 	/**
@@ -87,16 +87,16 @@
 	 * @param nowNanos the monotonic time
 	 * @return some requests
 	 */
-	public List<SuspectedRequest> sample(long nowNanos) {
-		return this.killer.gossipSample(nowNanos);
+	public List<SuspectedRequest> gossipSample(long nowNanos) {
+		return this.quarantine.gossipSample(nowNanos);
 	}
 
 	/**
 	 * Returns what a daemon is told that has just started.
 	 * @return the requests
 	 */
-	public List<SuspectedRequest> known() {
-		return this.killer.knownSuspects();
+	public List<SuspectedRequest> knownSuspects() {
+		return this.quarantine.knownSuspects();
 	}
 
 	/**
@@ -105,7 +105,7 @@
 	 * @return the requests
 	 */
 	public List<CrashReport> reports(long nowNanos) {
-		return this.killer.reports(nowNanos);
+		return this.quarantine.reports(nowNanos);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/LimitedTargets.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetLimits.java
@@ -9,15 +9,15 @@
 /**
  * Keeps to the limits that targets name.
  */
-public final class LimitedTargets {
+public final class TargetLimits {
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final SupplyGuard guard;
+	private final DeadlineAdmission deadlineAdmission;
 
-	LimitedTargets(TargetBook targets, SupplyGuard guard) {
+	TargetLimits(TargetRegistry targets, DeadlineAdmission guard) {
 		this.targets = targets;
-		this.guard = guard;
+		this.deadlineAdmission = guard;
 	}
 
 	/**
@@ -29,10 +29,10 @@
 	 * @param requestsPerSecond the limit that it names; empty where it names none
 	 * @return whether that changes anything
 	 */
-	public boolean hear(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
-		final boolean changed = this.targets.hearLimit(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
+	public boolean onResponse(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
+		final boolean changed = this.targets.onLimit(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
 		if (changed) {
-			this.guard.refuseWaiting(nowNanos);
+			this.deadlineAdmission.recheckQueued(nowNanos);
 		}
 		return changed;
 	}
@@ -43,10 +43,10 @@
 	 * @param stated what instances said
 	 * @return those that change anything
 	 */
-	public List<AdvertisedLimit> hearFromPeer(long nowNanos, List<AdvertisedLimit> stated) {
-		final List<AdvertisedLimit> changed = this.targets.hearLimitsOfPeer(nowNanos, stated);
+	public List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> stated) {
+		final List<AdvertisedLimit> changed = this.targets.onPeerLimits(nowNanos, stated);
 		if (!changed.isEmpty()) {
-			this.guard.refuseWaiting(nowNanos);
+			this.deadlineAdmission.recheckQueued(nowNanos);
 		}
 		return changed;
 	}
@@ -56,7 +56,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return what instances said last, the newest first
 	 */
-	public List<AdvertisedLimit> stated(long nowNanos) {
+	public List<AdvertisedLimit> latestLimits(long nowNanos) {
 		return this.targets.limits().latestLimits(nowNanos);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetBook.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
@@ -20,7 +20,7 @@
 /**
  * All targets that this daemon knows, with what it has in flight at each.
  */
-final class TargetBook {
+final class TargetRegistry {
 
 	private static final String SERVICE_PREFIX = "service:";
 
@@ -36,17 +36,17 @@
 
 	private final BackoffRegistry backoffs = new BackoffRegistry();
 
-	private DaemonRank daemons = DaemonRank.ALONE;
+	private DaemonRank daemonRank = DaemonRank.ALONE;
 
-	private List<TargetView> listed = List.of();
+	private List<TargetView> lastViews = List.of();
 
-	TargetBook(PlacementPolicy placement) {
+	TargetRegistry(PlacementPolicy placement) {
 		this.placement = placement;
 	}
 
 	void update(long nowNanos, List<TargetView> newViews) {
-		this.listed = newViews;
-		final List<TargetView> views = newViews.stream().map(this::asHeard).toList();
+		this.lastViews = newViews;
+		final List<TargetView> views = newViews.stream().map(this::withLeavingState).toList();
 		final Map<String, TargetLoad> next = new HashMap<>();
 		final Map<String, List<TargetLoad>> byName = new HashMap<>();
 		for (final TargetView view : views) {
@@ -54,11 +54,11 @@
 			next.put(view.targetId(), load);
 			byName.computeIfAbsent(nameKey(view.kind(), view.name()), (key) -> new ArrayList<>()).add(load);
 		}
-		keepBusy(next);
+		retainBusyTargets(next);
 		this.loads.clear();
 		this.loads.putAll(next);
 		replaceSets(nowNanos, byName);
-		noteServing(nowNanos, views);
+		updateNotServingSince(nowNanos, views);
 		final Set<String> instanceIds = next.values()
 			.stream()
 			.map((load) -> load.view().instanceId())
@@ -68,8 +68,8 @@
 	}
 
 	// A target that has said that it leaves takes no new work, whatever the list says.
-	private TargetView asHeard(TargetView view) {
-		return this.backoffs.isLeaving(view.instanceId()) ? view.notServing() : view;
+	private TargetView withLeavingState(TargetView view) {
+		return this.backoffs.isLeaving(view.instanceId()) ? view.asNotServing() : view;
 	}
 
 	private TargetLoad loadOf(long nowNanos, TargetView view) {
@@ -77,8 +77,8 @@
 		if (known == null) {
 			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.getOrCreate(view.instanceId()),
 					this.backoffs.getOrCreate(view.instanceId()));
-			if (view.kind() == TargetKind.MODEL && this.placement.groupsStartWarm()) {
-				added.warm();
+			if (view.kind() == TargetKind.MODEL && this.placement.newGroupsSkipSlowStart()) {
+				added.skipSlowStart();
 			}
 			return added;
 		}
@@ -88,13 +88,13 @@
 
 	// A target may vanish and come back under attempts that are still in flight; with a
 	// new count it would be given more work than it has slots for.
-	private void keepBusy(Map<String, TargetLoad> next) {
+	private void retainBusyTargets(Map<String, TargetLoad> next) {
 		this.loads.forEach((targetId, load) -> {
 			if (load.inFlight() > 0) {
 				next.putIfAbsent(targetId, load);
 			}
 			else if (!next.containsKey(targetId)) {
-				this.placement.forget(targetId);
+				this.placement.removeTarget(targetId);
 			}
 		});
 	}
@@ -103,28 +103,28 @@
 		this.setsByName.entrySet().removeIf((entry) -> {
 			final boolean gone = !byName.containsKey(entry.getKey());
 			if (gone) {
-				entry.getValue().replace(nowNanos, List.of(), this.daemons);
+				entry.getValue().replace(nowNanos, List.of(), this.daemonRank);
 			}
 			return gone;
 		});
 		byName.forEach((name, members) -> this.setsByName
-			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.guardsTargets()))
-			.replace(nowNanos, members, this.daemons));
+			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.protectsTargets()))
+			.replace(nowNanos, members, this.daemonRank));
 	}
 
-	private void noteServing(long nowNanos, List<TargetView> views) {
+	private void updateNotServingSince(long nowNanos, List<TargetView> views) {
 		this.notServingSinceNanos.keySet().retainAll(this.loads.keySet());
 		this.loads.keySet().forEach((targetId) -> this.notServingSinceNanos.putIfAbsent(targetId, nowNanos));
 		views.stream().filter(TargetView::serving).forEach((view) -> this.notServingSinceNanos.remove(view.targetId()));
 	}
 
-	void share(long nowNanos, LiveDaemons live) {
+	void onLiveDaemons(long nowNanos, LiveDaemons live) {
 		this.limits.onLiveDaemons(nowNanos, live);
-		this.daemons = live.rank();
+		this.daemonRank = live.rank();
 		refresh(nowNanos);
 	}
 
-	boolean hearLimit(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
+	boolean onLimit(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
 		final boolean changed = this.limits.onResponse(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
 		if (changed) {
 			refresh(nowNanos);
@@ -132,7 +132,7 @@
 		return changed;
 	}
 
-	List<AdvertisedLimit> hearLimitsOfPeer(long nowNanos, List<AdvertisedLimit> stated) {
+	List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> stated) {
 		final List<AdvertisedLimit> changed = this.limits.onPeerLimits(nowNanos, stated);
 		if (!changed.isEmpty()) {
 			refresh(nowNanos);
@@ -140,7 +140,7 @@
 		return changed;
 	}
 
-	boolean hearBackoff(long nowNanos, String instanceId, long forNanos) {
+	boolean onBackoff(long nowNanos, String instanceId, long forNanos) {
 		final boolean news = this.backoffs.onBackoff(nowNanos, instanceId, forNanos);
 		if (news) {
 			refresh(nowNanos);
@@ -148,26 +148,26 @@
 		return news;
 	}
 
-	boolean hearLeaving(long nowNanos, String instanceId) {
+	boolean onLeaving(long nowNanos, String instanceId) {
 		final boolean news = this.backoffs.onLeaving(instanceId);
 		if (news) {
-			update(nowNanos, this.listed);
+			update(nowNanos, this.lastViews);
 		}
 		return news;
 	}
 
 	private void refresh(long nowNanos) {
-		this.setsByName.values().forEach((set) -> set.refresh(nowNanos, this.daemons));
+		this.setsByName.values().forEach((set) -> set.refresh(nowNanos, this.daemonRank));
 	}
 
 	void onTick(long nowNanos) {
-		this.setsByName.values().forEach((set) -> set.onTick(nowNanos, this.daemons));
+		this.setsByName.values().forEach((set) -> set.onTick(nowNanos, this.daemonRank));
 	}
 
 	void refresh(long nowNanos, RequestInfo info, TargetLoad load) {
-		final TargetSet set = set(info);
+		final TargetSet set = targetSet(info);
 		if (set != null) {
-			set.refresh(nowNanos, this.daemons, load);
+			set.refresh(nowNanos, this.daemonRank, load);
 		}
 	}
 
@@ -183,8 +183,8 @@
 		return this.loads.containsKey(targetId);
 	}
 
-	boolean isDeclared(RequestInfo info) {
-		return set(info) != null;
+	boolean hasTargetSet(RequestInfo info) {
+		return targetSet(info) != null;
 	}
 
 	Long notServingSinceNanos(String targetId) {
@@ -196,28 +196,28 @@
 	 * @param info the request
 	 * @return the set; null where there is none
 	 */
-	TargetSet set(RequestInfo info) {
+	TargetSet targetSet(RequestInfo info) {
 		return this.setsByName.get(nameKey(info.targetKind(), info.name()));
 	}
 
-	boolean anyPacedSupply(long nowNanos) {
-		return this.setsByName.values().stream().anyMatch((set) -> set.pacedSupply(nowNanos).isPresent());
+	boolean hasPacedTargets(long nowNanos) {
+		return this.setsByName.values().stream().anyMatch((set) -> set.throttledCapacity(nowNanos).isPresent());
 	}
 
 	int freeSlots(RequestInfo info) {
-		final TargetSet set = set(info);
+		final TargetSet set = targetSet(info);
 		// A suspect that may run nowhere yet counts too: taken out of the queue it waits
 		// apart, while at the head of the queue it would hold up everyone behind it.
 		return (set != null) ? set.freeSlots() : 0;
 	}
 
-	List<TargetLoad> open(RequestInfo info) {
-		final TargetSet set = set(info);
-		return (set != null) ? set.open() : List.of();
+	List<TargetLoad> availableTargets(RequestInfo info) {
+		final TargetSet set = targetSet(info);
+		return (set != null) ? set.available() : List.of();
 	}
 
-	List<TargetLoad> members(RequestInfo info) {
-		final TargetSet set = set(info);
+	List<TargetLoad> allTargets(RequestInfo info) {
+		final TargetSet set = targetSet(info);
 		return (set != null) ? set.members() : List.of();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetChooser.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetSelector.java
@@ -13,34 +13,35 @@
  * Chooses a target for a request: by the placement policy, unless the request may crash
  * targets or runs beside one that may.
  */
-final class TargetChooser {
+final class TargetSelector {
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final Isolation isolation;
+	private final SuspectIsolation isolation;
 
 	private final PlacementPolicy placement;
 
-	TargetChooser(TargetBook targets, Isolation isolation, PlacementPolicy placement) {
+	TargetSelector(TargetRegistry targets, SuspectIsolation isolation, PlacementPolicy placement) {
 		this.targets = targets;
 		this.isolation = isolation;
 		this.placement = placement;
 	}
 
-	Optional<TargetLoad> choose(long nowNanos, Flight flight) {
+	Optional<TargetLoad> select(long nowNanos, ActiveRequest flight) {
 		if (this.isolation.restricts(flight.info)) {
-			return choices(flight).stream().min(Comparator.comparingInt(TargetLoad::inFlight));
+			return candidates(flight).stream().min(Comparator.comparingInt(TargetLoad::inFlight));
 		}
-		final TargetSet set = this.targets.set(flight.info);
-		return (set != null) ? this.placement.choose(nowNanos, flight.info, set, avoided(flight)) : Optional.empty();
+		final TargetSet set = this.targets.targetSet(flight.info);
+		return (set != null) ? this.placement.choose(nowNanos, flight.info, set, excludedTargetIds(flight))
+				: Optional.empty();
 	}
 
-	boolean hasChoice(Flight flight) {
-		return !choices(flight).isEmpty();
+	boolean hasCandidate(ActiveRequest flight) {
+		return !candidates(flight).isEmpty();
 	}
 
-	boolean hasUntried(Flight flight) {
-		return this.targets.open(flight.info)
+	boolean hasUntriedTarget(ActiveRequest flight) {
+		return this.targets.availableTargets(flight.info)
 			.stream()
 			.anyMatch((load) -> !flight.triedTargetIds.contains(load.view().targetId()));
 	}
@@ -52,25 +53,25 @@
 	 * @param flight the request
 	 * @return whether there is one
 	 */
-	boolean isPlaceable(Flight flight) {
-		return this.targets.members(flight.info)
+	boolean canBePlaced(ActiveRequest flight) {
+		return this.targets.allTargets(flight.info)
 			.stream()
 			.anyMatch((load) -> load.view().serving() && load.mayStart(flight.info.totalDeadlineNanos())
 					&& (flight.claimOffset >= 0 || !flight.triedTargetIds.contains(load.view().targetId())));
 	}
 
-	private List<TargetLoad> choices(Flight flight) {
-		final Set<String> avoided = avoided(flight);
-		return this.isolation.allowed(flight.info, this.targets.open(flight.info))
+	private List<TargetLoad> candidates(ActiveRequest flight) {
+		final Set<String> avoided = excludedTargetIds(flight);
+		return this.isolation.filterAllowed(flight.info, this.targets.availableTargets(flight.info))
 			.stream()
 			.filter((load) -> !avoided.contains(load.view().targetId()))
 			.toList();
 	}
 
-	private Set<String> avoided(Flight flight) {
+	private Set<String> excludedTargetIds(ActiveRequest flight) {
 		// The holder of a claim is only tried again after a connection that was not made,
 		// which may succeed at the same instance when there is no other.
-		final boolean mayReturn = flight.claimOffset >= 0 && !hasUntried(flight);
+		final boolean mayReturn = flight.claimOffset >= 0 && !hasUntriedTarget(flight);
 		return mayReturn ? Set.of() : flight.triedTargetIds;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetView.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetView.java
@@ -25,7 +25,7 @@
 	 * Returns the same target as one that takes no new work.
 	 * @return the view
 	 */
-	TargetView notServing() {
+	TargetView asNotServing() {
 		return new TargetView(this.targetId, this.kind, this.name, this.address, this.epoch, this.availabilityZone,
 				false, this.slots, this.reportedRunning, this.reportedWaiting, this.reportedAtNanos);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficAction.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficAction.java
@@ -36,7 +36,7 @@
 	 * @param requestId the request
 	 * @param targetId the target
 	 */
-	record Stalled(long requestId, String targetId) implements TrafficAction {
+	record ReportStall(long requestId, String targetId) implements TrafficAction {
 
 	}
 
@@ -109,7 +109,8 @@
 	 * @param target the target that died
 	 * @param quarantine whether the request is to be barred
 	 */
-	record Suspect(long requestId, String fingerprint, TargetView target, boolean quarantine) implements TrafficAction {
+	record ReportSuspect(long requestId, String fingerprint, TargetView target,
+			boolean quarantine) implements TrafficAction {
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -21,35 +21,35 @@
  */
 public final class TrafficCore {
 
-	private static final long RETRY_WITHOUT_CAPACITY_MILLIS = 1_000;
+	private static final long RETRY_AFTER_MILLIS = 1_000;
 
 	private final TrafficPolicies policies;
 
-	private final FlightBook flights;
+	private final ActiveRequests activeRequests;
 
-	private final TargetBook targets;
+	private final TargetRegistry targets;
 
-	private final TargetChooser chooser;
+	private final TargetSelector selector;
 
-	private final Resumptions resumptions = new Resumptions();
+	private final RedispatchQueue redispatchQueue = new RedispatchQueue();
 
 	private final Dispatcher dispatcher;
 
-	private final Isolation isolation;
+	private final SuspectIsolation isolation;
 
-	private final SuspectWatch suspects;
+	private final SuspectTracker suspectTracker;
 
-	private final FlightClock clock;
+	private final RequestMonitor monitor;
 
-	private final SupplyGuard guard;
+	private final DeadlineAdmission deadlineAdmission;
 
-	private final AttemptOutcomes outcomes;
+	private final AttemptOutcomeHandler outcomes;
 
-	private final LimitedTargets limited;
+	private final TargetLimits targetLimits;
 
-	private final AvoidedTargets avoided;
+	private final TargetBackoffs targetBackoffs;
 
-	private final CrashedTargets crashed;
+	private final TargetCrashes targetCrashes;
 
 	private Manifest manifest = Manifest.EMPTY;
 
@@ -61,20 +61,20 @@
 	 */
 	public TrafficCore(TrafficPolicies policies) {
 		this.policies = policies;
-		this.isolation = new Isolation(policies.killer());
-		this.targets = new TargetBook(policies.placement());
-		this.flights = new FlightBook(policies, this.targets, this.isolation, this.resumptions);
-		this.suspects = new SuspectWatch(policies.killer(), this.isolation, this.flights);
-		this.chooser = new TargetChooser(this.targets, this.isolation, policies.placement());
-		this.dispatcher = new Dispatcher(policies, this.flights, this.targets, this.chooser, this.isolation,
-				this.resumptions);
-		this.guard = new SupplyGuard(this.targets, this.flights);
-		this.outcomes = new AttemptOutcomes(policies, this.flights, this.chooser, this.suspects, this.dispatcher,
-				this.guard);
-		this.limited = new LimitedTargets(this.targets, this.guard);
-		this.avoided = new AvoidedTargets(this.targets, this.guard);
-		this.crashed = new CrashedTargets(policies.killer(), this.flights);
-		this.clock = new FlightClock(this.flights, this.targets, this.chooser, policies);
+		this.isolation = new SuspectIsolation(policies.quarantine());
+		this.targets = new TargetRegistry(policies.placement());
+		this.activeRequests = new ActiveRequests(policies, this.targets, this.isolation, this.redispatchQueue);
+		this.suspectTracker = new SuspectTracker(policies.quarantine(), this.isolation, this.activeRequests);
+		this.selector = new TargetSelector(this.targets, this.isolation, policies.placement());
+		this.dispatcher = new Dispatcher(policies, this.activeRequests, this.targets, this.selector, this.isolation,
+				this.redispatchQueue);
+		this.deadlineAdmission = new DeadlineAdmission(this.targets, this.activeRequests);
+		this.outcomes = new AttemptOutcomeHandler(policies, this.activeRequests, this.selector, this.suspectTracker,
+				this.dispatcher, this.deadlineAdmission);
+		this.targetLimits = new TargetLimits(this.targets, this.deadlineAdmission);
+		this.targetBackoffs = new TargetBackoffs(this.targets, this.deadlineAdmission);
+		this.targetCrashes = new TargetCrashes(policies.quarantine(), this.activeRequests);
+		this.monitor = new RequestMonitor(this.activeRequests, this.targets, this.selector, policies);
 	}
 
 	/**
@@ -87,7 +87,7 @@
 		this.manifest = newManifest;
 		this.policies.admission().configure(nowNanos, newManifest);
 		this.policies.queue().configure(newManifest);
-		return pump(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -98,8 +98,8 @@
 	 */
 	public List<TrafficAction> onTargets(long nowNanos, List<TargetView> views) {
 		this.targets.update(nowNanos, views);
-		this.outcomes.endStranded(nowNanos);
-		return pump(nowNanos);
+		this.outcomes.failUnplaceable(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -110,9 +110,9 @@
 	 * @return what must be done next
 	 */
 	public List<TrafficAction> onShares(long nowNanos, LiveDaemons daemons, Map<String, Double> shareRatios) {
-		this.policies.admission().share(nowNanos, shareRatios);
-		this.targets.share(nowNanos, daemons);
-		return pump(nowNanos);
+		this.policies.admission().updateShares(nowNanos, shareRatios);
+		this.targets.onLiveDaemons(nowNanos, daemons);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -122,14 +122,15 @@
 	 * @param suspectTargetIds for each suspected fingerprint the target that died
 	 * @return what must be done next
 	 */
-	public List<TrafficAction> onKillers(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
-		this.policies.killer().onLogState(nowNanos, quarantined, suspectTargetIds);
-		for (final Flight flight : this.flights.all()) {
+	public List<TrafficAction> onQuarantines(long nowNanos, Set<String> quarantined,
+			Map<String, String> suspectTargetIds) {
+		this.policies.quarantine().onLogState(nowNanos, quarantined, suspectTargetIds);
+		for (final ActiveRequest flight : this.activeRequests.all()) {
 			if (flight.liveAttempt == null && quarantined.contains(flight.info.fingerprint())) {
-				this.flights.end(nowNanos, flight, ErrorKind.QUARANTINED, 0);
+				this.activeRequests.fail(nowNanos, flight, ErrorKind.QUARANTINED, 0);
 			}
 		}
-		return pump(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -150,35 +151,35 @@
 	 * @return what must be done next
 	 */
 	public List<TrafficAction> onRequest(long nowNanos, RequestInfo info) {
-		final Flight flight = new Flight(info, nowNanos);
-		final Optional<Refusal> refusal = refuse(nowNanos, info);
+		final ActiveRequest flight = new ActiveRequest(info, nowNanos);
+		final Optional<Refusal> refusal = checkAdmission(nowNanos, info);
 		if (refusal.isPresent()) {
-			this.flights.act(new TrafficAction.Fail(info.requestId(), refusal.get().kind(), RunState.NOT_RUN,
-					refusal.get().retryAfterMillis()));
-			return this.flights.drainActions();
+			this.activeRequests.addAction(new TrafficAction.Fail(info.requestId(), refusal.get().kind(),
+					RunState.NOT_RUN, refusal.get().retryAfterMillis()));
+			return this.activeRequests.drainActions();
 		}
-		this.flights.add(flight);
+		this.activeRequests.add(flight);
 		this.policies.retry().onArrival(nowNanos, info);
 		final Optional<Refusal> full = this.policies.queue().offer(nowNanos, info);
 		if (full.isPresent()) {
-			this.flights.end(nowNanos, flight, full.get().kind(), full.get().retryAfterMillis());
-			return pump(nowNanos);
+			this.activeRequests.fail(nowNanos, flight, full.get().kind(), full.get().retryAfterMillis());
+			return dispatchReady(nowNanos);
 		}
 		flight.queued = true;
-		return pump(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
-	private Optional<Refusal> refuse(long nowNanos, RequestInfo info) {
+	private Optional<Refusal> checkAdmission(long nowNanos, RequestInfo info) {
 		if (this.leaving) {
-			return Optional.of(new Refusal(ErrorKind.LEAVING, FlightBook.LEAST_RETRY_MILLIS));
+			return Optional.of(new Refusal(ErrorKind.LEAVING, ActiveRequests.MIN_RETRY_AFTER_MILLIS));
 		}
-		if (this.policies.killer().isQuarantined(info.fingerprint())) {
+		if (this.policies.quarantine().isQuarantined(info.fingerprint())) {
 			return Optional.of(new Refusal(ErrorKind.QUARANTINED, 0));
 		}
-		if (!this.targets.isDeclared(info)) {
-			return Optional.of(new Refusal(ErrorKind.NO_CAPACITY, RETRY_WITHOUT_CAPACITY_MILLIS));
+		if (!this.targets.hasTargetSet(info)) {
+			return Optional.of(new Refusal(ErrorKind.NO_CAPACITY, RETRY_AFTER_MILLIS));
 		}
-		return this.guard.refuse(nowNanos, info).or(() -> this.policies.admission().admit(nowNanos, info));
+		return this.deadlineAdmission.check(nowNanos, info).or(() -> this.policies.admission().admit(nowNanos, info));
 	}
 
 	/**
@@ -190,31 +191,31 @@
 	 * @return what must be done next
 	 */
 	public List<TrafficAction> onClaim(long nowNanos, long requestId, ClaimVerdict verdict, long claimOffset) {
-		final Flight flight = this.flights.get(requestId);
-		if (flight == null || !flight.claiming) {
-			this.flights.giveBack(requestId, verdict, claimOffset);
-			return this.flights.drainActions();
+		final ActiveRequest flight = this.activeRequests.get(requestId);
+		if (flight == null || !flight.claimPending) {
+			this.activeRequests.releaseAbandonedClaim(requestId, verdict, claimOffset);
+			return this.activeRequests.drainActions();
 		}
-		flight.claiming = false;
+		flight.claimPending = false;
 		switch (verdict) {
 			case GRANTED -> {
 				flight.claimOffset = claimOffset;
-				this.dispatcher.startOrWait(nowNanos, flight);
+				this.dispatcher.startOrEnqueue(nowNanos, flight);
 			}
 			case SETTLED -> {
-				this.flights.forget(nowNanos, flight);
-				this.flights.act(new TrafficAction.Replay(requestId, flight.info));
+				this.activeRequests.remove(nowNanos, flight);
+				this.activeRequests.addAction(new TrafficAction.Replay(requestId, flight.info));
 			}
 			case IN_PROGRESS ->
-				this.flights.end(nowNanos, flight, ErrorKind.KEY_IN_PROGRESS, RETRY_WITHOUT_CAPACITY_MILLIS);
-			case UNKNOWN -> this.flights.end(nowNanos, flight, ErrorKind.OUTCOME_UNKNOWN, 0);
-			case REUSED -> this.flights.end(nowNanos, flight, ErrorKind.KEY_REUSED, 0);
-			case EXPIRED -> this.flights.end(nowNanos, flight, ErrorKind.KEY_EXPIRED, 0);
+				this.activeRequests.fail(nowNanos, flight, ErrorKind.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS);
+			case UNKNOWN -> this.activeRequests.fail(nowNanos, flight, ErrorKind.OUTCOME_UNKNOWN, 0);
+			case REUSED -> this.activeRequests.fail(nowNanos, flight, ErrorKind.KEY_REUSED, 0);
+			case EXPIRED -> this.activeRequests.fail(nowNanos, flight, ErrorKind.KEY_EXPIRED, 0);
 			case UNAVAILABLE ->
-				this.flights.end(nowNanos, flight, ErrorKind.CLAIM_UNAVAILABLE, RETRY_WITHOUT_CAPACITY_MILLIS);
-			case LIMBO -> this.flights.endUnknown(nowNanos, flight);
+				this.activeRequests.fail(nowNanos, flight, ErrorKind.CLAIM_UNAVAILABLE, RETRY_AFTER_MILLIS);
+			case LIMBO -> this.activeRequests.failInLimbo(nowNanos, flight);
 		}
-		return pump(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -224,44 +225,44 @@
 	 * @param tokensDelivered the tokens delivered in all
 	 */
 	public void onProgress(long nowNanos, AttemptId attempt, int tokensDelivered) {
-		final Flight flight = this.flights.live(attempt);
+		final ActiveRequest flight = this.activeRequests.findLive(attempt);
 		if (flight == null) {
 			return;
 		}
-		final boolean first = !flight.attemptRan;
+		final boolean first = !flight.attemptHasOutput;
 		if (first) {
-			this.policies.queue().onFirstToken(nowNanos, flight.info, nowNanos - flight.startedAtNanos);
+			this.policies.queue().onFirstToken(nowNanos, flight.info, nowNanos - flight.attemptStartedAtNanos);
 		}
-		flight.ran = true;
-		flight.attemptRan = true;
+		flight.hasRun = true;
+		flight.attemptHasOutput = true;
 		flight.load.onTokens(nowNanos, flight.progressAtNanos, tokensDelivered - flight.tokensDelivered, first);
 		flight.progressAtNanos = nowNanos;
 		flight.tokensDelivered = Math.max(flight.tokensDelivered, tokensDelivered);
-		this.suspects.onTokens(flight);
+		this.suspectTracker.onTokens(flight);
 	}
 
 	/**
 	 * Returns the limits that instances name, to which this core keeps.
 	 * @return the limits
 	 */
-	public LimitedTargets limits() {
-		return this.limited;
+	public TargetLimits targetLimits() {
+		return this.targetLimits;
 	}
 
 	/**
 	 * Returns the instances that want no requests, from which this core keeps away.
 	 * @return the instances
 	 */
-	public AvoidedTargets avoided() {
-		return this.avoided;
+	public TargetBackoffs targetBackoffs() {
+		return this.targetBackoffs;
 	}
 
 	/**
 	 * Returns what is known of requests that crash targets.
 	 * @return the targets that crashed, and under what
 	 */
-	public CrashedTargets crashed() {
-		return this.crashed;
+	public TargetCrashes targetCrashes() {
+		return this.targetCrashes;
 	}
 
 	/**
@@ -272,12 +273,12 @@
 	 * @param tokensDelivered the tokens that the caller has in all
 	 * @return what must be done next
 	 */
-	public List<TrafficAction> onAttemptEnd(long nowNanos, AttemptId attempt, AttemptEnd how, int tokensDelivered) {
-		final Flight flight = this.flights.live(attempt);
+	public List<TrafficAction> onAttemptEnd(long nowNanos, AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
+		final ActiveRequest flight = this.activeRequests.findLive(attempt);
 		if (flight != null) {
-			this.outcomes.onEnd(nowNanos, flight, how, tokensDelivered);
+			this.outcomes.onAttemptEnd(nowNanos, flight, how, tokensDelivered);
 		}
-		return pump(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -286,12 +287,12 @@
 	 * @param requestId the request
 	 * @return what must be done next
 	 */
-	public List<TrafficAction> onCallerGone(long nowNanos, long requestId) {
-		final Flight flight = this.flights.get(requestId);
+	public List<TrafficAction> onCallerDisconnected(long nowNanos, long requestId) {
+		final ActiveRequest flight = this.activeRequests.get(requestId);
 		if (flight != null) {
-			this.flights.end(nowNanos, flight, ErrorKind.CALLER_GONE, 0);
+			this.activeRequests.fail(nowNanos, flight, ErrorKind.CALLER_GONE, 0);
 		}
-		return pump(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
@@ -301,17 +302,17 @@
 	 */
 	public List<TrafficAction> onTick(long nowNanos) {
 		this.targets.onTick(nowNanos);
-		this.policies.killer().onTick(nowNanos);
-		this.clock.onTick(nowNanos);
-		this.guard.onTick(nowNanos);
-		this.outcomes.endStranded(nowNanos);
-		return pump(nowNanos);
+		this.policies.quarantine().onTick(nowNanos);
+		this.monitor.onTick(nowNanos);
+		this.deadlineAdmission.onTick(nowNanos);
+		this.outcomes.failUnplaceable(nowNanos);
+		return dispatchReady(nowNanos);
 	}
 
 	/**
 	 * Stops taking new requests; those held are finished.
 	 */
-	public void leave() {
+	public void stopAdmission() {
 		this.leaving = true;
 	}
 
@@ -328,16 +329,16 @@
 	 * Returns how many requests are held.
 	 * @return the number of requests that have not ended
 	 */
-	public int held() {
-		return this.flights.size();
+	public int activeRequestCount() {
+		return this.activeRequests.size();
 	}
 
 	/**
 	 * Returns how many requests wait in the queue.
 	 * @return the number of queued requests
 	 */
-	public int queued() {
-		return this.policies.queue().size() + this.resumptions.size();
+	public int queuedRequestCount() {
+		return this.policies.queue().size() + this.redispatchQueue.size();
 	}
 
 	/**
@@ -348,9 +349,9 @@
 		return this.manifest;
 	}
 
-	private List<TrafficAction> pump(long nowNanos) {
-		this.dispatcher.pump(nowNanos);
-		return this.flights.drainActions();
+	private List<TrafficAction> dispatchReady(long nowNanos) {
+		this.dispatcher.dispatchReady(nowNanos);
+		return this.activeRequests.drainActions();
 	}
 
 	/**
@@ -359,7 +360,7 @@
 	 * @return whether its answer counts
 	 */
 	public boolean isLive(AttemptId attempt) {
-		return this.flights.live(attempt) != null;
+		return this.activeRequests.findLive(attempt) != null;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
@@ -13,11 +13,11 @@
  * @param queue who waits and who goes next
  * @param placement which target a request goes to
  * @param retry whether a failed attempt is followed by another
- * @param killer which requests are suspected of crashing targets
- * @param shift when a running stream is moved to another target
+ * @param quarantine which requests are suspected of crashing targets
+ * @param migration when a running stream is moved to another target
  */
 public record TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement,
-		RetryPolicy retry, QuarantinePolicy killer, ShiftPolicy shift) {
+		RetryPolicy retry, QuarantinePolicy quarantine, StreamMigrationPolicy migration) {
 
 	/**
 	 * Puts together policies with the usual rules for moving streams.
@@ -25,11 +25,11 @@
 	 * @param queue who waits and who goes next
 	 * @param placement which target a request goes to
 	 * @param retry whether a failed attempt is followed by another
-	 * @param killer which requests are suspected of crashing targets
+	 * @param quarantine which requests are suspected of crashing targets
 	 */
 	public TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement, RetryPolicy retry,
-			QuarantinePolicy killer) {
-		this(admission, queue, placement, retry, killer, new ShiftRules());
+			QuarantinePolicy quarantine) {
+		this(admission, queue, placement, retry, quarantine, new StandardMigrationPolicy());
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationDaemon.java
@@ -9,9 +9,9 @@
 import org.pistachioline.core.placement.LiveDaemons;
 import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.retry.RetryBudget;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.RoutingPolicies;
 import org.pistachioline.core.traffic.TrafficAction;
@@ -114,7 +114,7 @@
 	}
 
 	List<AdvertisedLimit> latestLimits() {
-		return this.core.limits().stated(this.simulation.nowNanos());
+		return this.core.targetLimits().latestLimits(this.simulation.nowNanos());
 	}
 
 	/**
@@ -125,8 +125,8 @@
 	 */
 	void receive(List<AdvertisedLimit> limits, long delayNanos) {
 		if (this.running) {
-			this.core.limits()
-				.hearFromPeer(this.simulation.nowNanos(),
+			this.core.targetLimits()
+				.onPeerLimits(this.simulation.nowNanos(),
 						limits.stream()
 							.map((limit) -> new AdvertisedLimit(limit.instanceId(), limit.requestsPerSecond(),
 									limit.receivedAtNanos() + delayNanos))
@@ -140,8 +140,8 @@
 		this.arrivedAtNanos.put(requestId, nowNanos);
 		apply(this.core.onRequest(nowNanos,
 				new RequestInfo(requestId, "shop", this.simulation.kind(), "pool/m", 100, 60, 0,
-						nowNanos + DEADLINE_NANOS, nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, "", List.of(), 2,
-						nowNanos + SOFT_DEADLINE_NANOS)));
+						nowNanos + DEADLINE_NANOS, nowNanos + DEADLINE_NANOS, true, ClaimRequirement.NONE, "",
+						List.of(), 2, nowNanos + SOFT_DEADLINE_NANOS)));
 	}
 
 	private void apply(List<TrafficAction> actions) {
@@ -153,7 +153,7 @@
 			send(start);
 		}
 		else if (action instanceof TrafficAction.Cancel cancel) {
-			apply(this.core.onAttemptEnd(this.simulation.nowNanos(), cancel.attempt(), AttemptEnd.CANCELLED, 0));
+			apply(this.core.onAttemptEnd(this.simulation.nowNanos(), cancel.attempt(), AttemptOutcome.CANCELLED, 0));
 		}
 		else if (action instanceof TrafficAction.Finish finish) {
 			this.arrivedAtNanos.remove(finish.requestId());
@@ -180,7 +180,7 @@
 			afterUnlessRestarted(ONE_WAY_NANOS, () -> onResponseHead(start.attempt(), instance, sentAtNanos, limit));
 		});
 		afterUnlessRestarted(RUN_DURATION_NANOS, () -> apply(
-				this.core.onAttemptEnd(this.simulation.nowNanos(), start.attempt(), AttemptEnd.COMPLETE, 10)));
+				this.core.onAttemptEnd(this.simulation.nowNanos(), start.attempt(), AttemptOutcome.COMPLETE, 10)));
 	}
 
 	private void decline(TrafficAction.Start start, LimitSimulationInstance instance) {
@@ -188,8 +188,8 @@
 		afterUnlessRestarted(ONE_WAY_NANOS, () -> {
 			this.simulation.recordBackoff(this, instance);
 			afterUnlessRestarted(ONE_WAY_NANOS, () -> {
-				this.core.avoided().hearBackoff(this.simulation.nowNanos(), instance.id, backoffNanos);
-				apply(this.core.onAttemptEnd(this.simulation.nowNanos(), start.attempt(), AttemptEnd.DECLINED, 0));
+				this.core.targetBackoffs().onBackoff(this.simulation.nowNanos(), instance.id, backoffNanos);
+				apply(this.core.onAttemptEnd(this.simulation.nowNanos(), start.attempt(), AttemptOutcome.DECLINED, 0));
 			});
 		});
 	}
@@ -199,10 +199,10 @@
 		if (limit.isPresent()) {
 			this.limitReceivedAtNanos.putIfAbsent(instance.id, this.simulation.nowNanos());
 		}
-		this.core.limits().hear(this.simulation.nowNanos(), sentAtNanos, instance.id, limit);
+		this.core.targetLimits().onResponse(this.simulation.nowNanos(), sentAtNanos, instance.id, limit);
 		if (instance.leaving) {
 			instance.leavingReceivedNanos.putIfAbsent(this.id, this.simulation.nowNanos());
-			this.core.avoided().hearLeaving(this.simulation.nowNanos(), instance.id);
+			this.core.targetBackoffs().onLeaving(this.simulation.nowNanos(), instance.id);
 		}
 		this.core.onProgress(this.simulation.nowNanos(), attempt, 1);
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/SharedLimitTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/SharedLimitTests.java
@@ -69,7 +69,7 @@
 			simulation.run(10);
 			assertThat(simulation.instance(0).receivedRequests - before).as("seed " + seed).isGreaterThan(40);
 			assertThat(simulation.daemons()).as("seed " + seed)
-				.allMatch((daemon) -> daemon.core().limits().reports(simulation.nowNanos()).isEmpty());
+				.allMatch((daemon) -> daemon.core().targetLimits().reports(simulation.nowNanos()).isEmpty());
 		}
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/LargeFleetPlacementTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/LargeFleetPlacementTests.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import org.pistachioline.core.traffic.AttemptEnd;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
@@ -78,7 +78,7 @@
 			.findFirst()
 			.orElseThrow();
 		final TargetLoad refusing = daemon.start().orElseThrow();
-		refusing.onEnd(NOW_NANOS, 100, AttemptEnd.DECLINED);
+		refusing.onEnd(NOW_NANOS, 100, AttemptOutcome.DECLINED);
 		daemon.set.refresh(NOW_NANOS, daemon.rank, refusing);
 		for (int i = 0; i < 20; i++) {
 			assertThat(daemon.choose()).isPresent().get().isNotSameAs(refusing);
@@ -114,14 +114,14 @@
 		int partsUsed() {
 			return this.set.members()
 				.stream()
-				.mapToInt((load) -> this.rank.equalPart(load.view().slots(), load.view().targetId()))
+				.mapToInt((load) -> this.rank.equalShare(load.view().slots(), load.view().targetId()))
 				.sum();
 		}
 
 		Optional<TargetLoad> choose() {
 			final RequestInfo info = new RequestInfo(1, "shop", TargetKind.SERVICE, "desk", 0, 0, 0,
-					NOW_NANOS + 1_000_000_000L, NOW_NANOS + 1_000_000_000L, false, ClaimNeed.NONE, "", List.of(), 1,
-					NOW_NANOS + 1_000_000_000L);
+					NOW_NANOS + 1_000_000_000L, NOW_NANOS + 1_000_000_000L, false, ClaimRequirement.NONE, "", List.of(),
+					1, NOW_NANOS + 1_000_000_000L);
 			return this.placement.choose(NOW_NANOS, info, this.set, Set.of());
 		}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/SilentTargetPlacementTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/SilentTargetPlacementTests.java
@@ -6,8 +6,8 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.traffic.AttemptEnd;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
@@ -71,7 +71,7 @@
 		fill(4);
 		streamAtAllButTheFirst(120);
 		this.loads.get(0).onStart(START_NANOS, 100);
-		this.loads.get(0).onEnd(START_NANOS + 120 * MILLI, 100, AttemptEnd.DECLINED);
+		this.loads.get(0).onEnd(START_NANOS + 120 * MILLI, 100, AttemptOutcome.DECLINED);
 		int toClosed = 0;
 		for (int i = 0; i < REQUESTS; i++) {
 			toClosed += (choose(START_NANOS + 130 * MILLI) == this.loads.get(0)) ? 1 : 0;
@@ -110,7 +110,7 @@
 
 	private static RequestInfo request() {
 		return new RequestInfo(1, "workspace", TargetKind.MODEL, "pool/large", 1_000, 100, 0,
-				START_NANOS + 2_000 * MILLI, START_NANOS + 8_000 * MILLI, true, ClaimNeed.NONE, "", List.of(), 2,
+				START_NANOS + 2_000 * MILLI, START_NANOS + 8_000 * MILLI, true, ClaimRequirement.NONE, "", List.of(), 2,
 				START_NANOS + 2_000 * MILLI);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulation.java
@@ -101,7 +101,7 @@
 				final CrashSimulationDaemon receiver = this.daemons.get(this.random.nextInt(this.daemons.size()));
 				sendFrame(sender, receiver, suspects);
 				if (receiver.running() && receiver.isNewIncarnation(sender)) {
-					sendFrame(receiver, sender, receiver.core().crashed().known());
+					sendFrame(receiver, sender, receiver.core().targetCrashes().knownSuspects());
 				}
 			}
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulationDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashSimulationDaemon.java
@@ -8,9 +8,9 @@
 
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.retry.RetryBudget;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.RoutingPolicies;
 import org.pistachioline.core.traffic.TargetKind;
@@ -108,7 +108,8 @@
 	void tick() {
 		if (this.running) {
 			apply(this.core.onTick(this.simulation.nowNanos()));
-			final List<SuspectedRequest> broadcast = this.core.crashed().takeNews(this.simulation.nowNanos());
+			final List<SuspectedRequest> broadcast = this.core.targetCrashes()
+				.drainBroadcast(this.simulation.nowNanos());
 			if (!broadcast.isEmpty()) {
 				this.simulation.broadcast(this, broadcast);
 			}
@@ -125,7 +126,7 @@
 	}
 
 	List<SuspectedRequest> gossipSample() {
-		return this.core.crashed().sample(this.simulation.nowNanos());
+		return this.core.targetCrashes().gossipSample(this.simulation.nowNanos());
 	}
 
 	/**
@@ -136,8 +137,8 @@
 	 */
 	void receive(List<SuspectedRequest> suspects, long delayNanos) {
 		if (this.running) {
-			this.core.crashed()
-				.hearFromPeer(this.simulation.nowNanos(), suspects.stream()
+			this.core.targetCrashes()
+				.onPeerReports(this.simulation.nowNanos(), suspects.stream()
 					.map((request) -> new SuspectedRequest(request.fingerprint(),
 							request.evidence().stream().map((evidence) -> delayed(evidence, delayNanos)).toList()))
 					.toList());
@@ -156,7 +157,7 @@
 		this.callers.put(requestId, new Caller(fingerprint, resubmissions));
 		apply(this.core.onRequest(nowNanos,
 				new RequestInfo(requestId, "shop", TargetKind.MODEL, "pool/m", 100, 60, 0, nowNanos + DEADLINE_NANOS,
-						nowNanos + DEADLINE_NANOS, true, ClaimNeed.NONE, fingerprint, List.of(), 2,
+						nowNanos + DEADLINE_NANOS, true, ClaimRequirement.NONE, fingerprint, List.of(), 2,
 						nowNanos + SOFT_DEADLINE_NANOS)));
 	}
 
@@ -173,7 +174,8 @@
 			.forEach((run) -> ((run.events <= MAX_STARTING_EVENTS) ? starting : inProgress).add(run.fingerprint));
 		if (!starting.isEmpty() || !inProgress.isEmpty()) {
 			afterUnlessRestarted(CRASH_DETECTION_NANOS, () -> {
-				this.core.crashed().hear(this.simulation.nowNanos(), new TargetCrash(targetId, starting, inProgress));
+				this.core.targetCrashes()
+					.onCrash(this.simulation.nowNanos(), new TargetCrash(targetId, starting, inProgress));
 				apply(this.core.onTick(this.simulation.nowNanos()));
 			});
 		}
@@ -191,7 +193,7 @@
 		else if (action instanceof TrafficAction.Cancel cancel) {
 			final SentAttempt sent = this.liveAttempts.get(cancel.attempt());
 			this.simulation.after(ONE_WAY_NANOS, () -> sent.target.cancel(sent));
-			sent.end(AttemptEnd.CANCELLED, 0);
+			sent.end(AttemptOutcome.CANCELLED, 0);
 		}
 		else if (action instanceof TrafficAction.Finish) {
 			final Caller caller = this.callers.remove(requestId);
@@ -218,7 +220,7 @@
 		this.liveAttempts.put(start.attempt(), sent);
 		afterUnlessRestarted(ONE_WAY_NANOS, () -> {
 			if (target == null || !target.up() || !target.hasId(start.target().targetId())) {
-				afterUnlessRestarted(ONE_WAY_NANOS, () -> sent.end(AttemptEnd.NOT_CONNECTED, 0));
+				afterUnlessRestarted(ONE_WAY_NANOS, () -> sent.end(AttemptOutcome.NOT_CONNECTED, 0));
 			}
 			else if (!sent.ended) {
 				target.run(sent, fingerprint);
@@ -274,14 +276,14 @@
 		}
 
 		void complete() {
-			afterUnlessRestarted(ONE_WAY_NANOS, () -> end(AttemptEnd.COMPLETE, 0));
+			afterUnlessRestarted(ONE_WAY_NANOS, () -> end(AttemptOutcome.COMPLETE, 0));
 		}
 
 		void broken(int events) {
-			afterUnlessRestarted(ONE_WAY_NANOS, () -> end(AttemptEnd.BROKEN, events));
+			afterUnlessRestarted(ONE_WAY_NANOS, () -> end(AttemptOutcome.BROKEN, events));
 		}
 
-		private void end(AttemptEnd end, int events) {
+		private void end(AttemptOutcome end, int events) {
 			if (!this.ended) {
 				this.ended = true;
 				CrashSimulationDaemon.this.liveAttempts.remove(this.attempt);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/GossipQuarantineTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/GossipQuarantineTests.java
@@ -127,7 +127,7 @@
 		simulation.sendPopularRequest("popular", 10);
 		for (int second = 0; second < 30; second++) {
 			simulation.run(1);
-			assertThat(simulation.daemon(0).core().crashed().quarantined()).isEmpty();
+			assertThat(simulation.daemon(0).core().targetCrashes().quarantined()).isEmpty();
 		}
 	}
 
@@ -179,7 +179,7 @@
 			simulation.run(3);
 			assertThat(simulation.daemons()).as("seed " + seed)
 				.allMatch((daemon) -> daemon.core()
-					.crashed()
+					.targetCrashes()
 					.quarantined()
 					.equals(Set.of(CrashSimulation.CRASHING_PREFIX + "a")));
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/queueing/FairQueueTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/queueing/FairQueueTests.java
@@ -14,7 +14,7 @@
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.manifest.WeightSpec;
 import org.pistachioline.core.manifest.WorkspaceSpec;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 
@@ -157,7 +157,7 @@
 
 	private static RequestInfo info(long id, String workspace, int maxTokens, int priority, long deadlineSeconds) {
 		return new RequestInfo(id, workspace, TargetKind.MODEL, "sign-copy", 1, maxTokens, priority,
-				deadlineSeconds * SECOND_NANOS, 600 * SECOND_NANOS, true, ClaimNeed.NONE, "", List.of());
+				deadlineSeconds * SECOND_NANOS, 600 * SECOND_NANOS, true, ClaimRequirement.NONE, "", List.of());
 	}
 
 	private static WorkspaceSpec workspace(String name, double weight, int queued) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/queueing/OnTimeFirstOrderTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/queueing/OnTimeFirstOrderTests.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 
@@ -34,11 +34,11 @@
 
 	private RequestInfo request(long nowNanos) {
 		return new RequestInfo(this.nextId++, "shop", TargetKind.MODEL, "pool/small", 100, 50, 0,
-				nowNanos + DEADLINE_NANOS, nowNanos + 2 * DEADLINE_NANOS, true, ClaimNeed.NONE, "", List.of(), 2,
+				nowNanos + DEADLINE_NANOS, nowNanos + 2 * DEADLINE_NANOS, true, ClaimRequirement.NONE, "", List.of(), 2,
 				nowNanos + ON_TIME_NANOS);
 	}
 
-	private int servedOnTime(WaitingOrder order) {
+	private int servedOnTime(QueueOrder order) {
 		final FairQueue queue = new FairQueue(1_000, order);
 		int onTime = 0;
 		for (int milli = 0; milli < SECONDS * 1_000; milli++) {
@@ -48,7 +48,7 @@
 			}
 			if (milli % (1_000 / SERVED_A_SECOND) == 0) {
 				final Optional<RequestInfo> next = queue.poll(nowNanos, (info) -> 1);
-				onTime += next.filter((info) -> nowNanos <= info.onTimeNanos()).isPresent() ? 1 : 0;
+				onTime += next.filter((info) -> nowNanos <= info.softDeadlineNanos()).isPresent() ? 1 : 0;
 			}
 		}
 		return onTime;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/retry/SharedBudgetRetryTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/retry/SharedBudgetRetryTests.java
@@ -5,8 +5,8 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.traffic.AttemptEnd;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 
@@ -37,7 +37,8 @@
 				final RequestInfo info = info(second * SECOND, 9);
 				daemon.onArrival(second * SECOND, info);
 				int attempts = 1;
-				while (daemon.afterFailure(second * SECOND, info, attempts, AttemptEnd.BROKEN) == RetryDecision.RETRY) {
+				while (daemon.afterFailure(second * SECOND, info, attempts,
+						AttemptOutcome.BROKEN) == RetryDecision.RETRY) {
 					attempts++;
 					retriesAt[second]++;
 				}
@@ -55,19 +56,20 @@
 	@Test
 	void oneRequestIsSentToNoMoreTargetsThanItsRouteAllows() {
 		final SharedBudgetRetry retry = new SharedBudgetRetry(BOUND, () -> 1);
-		assertThat(retry.afterFailure(0, info(0, 2), 1, AttemptEnd.BROKEN)).isEqualTo(RetryDecision.RETRY);
-		assertThat(retry.afterFailure(0, info(0, 2), 2, AttemptEnd.BROKEN)).isEqualTo(RetryDecision.GIVE_UP);
+		assertThat(retry.afterFailure(0, info(0, 2), 1, AttemptOutcome.BROKEN)).isEqualTo(RetryDecision.RETRY);
+		assertThat(retry.afterFailure(0, info(0, 2), 2, AttemptOutcome.BROKEN)).isEqualTo(RetryDecision.GIVE_UP);
 	}
 
 	@Test
 	void nothingIsSentAgainAfterTheDeadline() {
 		final SharedBudgetRetry retry = new SharedBudgetRetry(BOUND, () -> 1);
-		assertThat(retry.afterFailure(100 * SECOND, info(0, 2), 1, AttemptEnd.BROKEN)).isEqualTo(RetryDecision.GIVE_UP);
+		assertThat(retry.afterFailure(100 * SECOND, info(0, 2), 1, AttemptOutcome.BROKEN))
+			.isEqualTo(RetryDecision.GIVE_UP);
 	}
 
 	private static RequestInfo info(long nowNanos, int maxAttempts) {
 		return new RequestInfo(1, "shop", TargetKind.MODEL, "pool/small", 100, 50, 0, nowNanos + SECOND,
-				nowNanos + 6 * SECOND, true, ClaimNeed.NONE, "", List.of(), maxAttempts, nowNanos + SECOND);
+				nowNanos + 6 * SECOND, true, ClaimRequirement.NONE, "", List.of(), maxAttempts, nowNanos + SECOND);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/stream/AppendBudgetTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/stream/AppendBudgetTests.java
@@ -17,7 +17,7 @@
 		int taken = 0;
 		final int ticks = 50 * 60;
 		for (int tick = 0; tick < ticks; tick++) {
-			taken += budget.take(daemons, tick * TICK_NANOS) ? 1 : 0;
+			taken += budget.tryAcquire(daemons, tick * TICK_NANOS) ? 1 : 0;
 		}
 		final int shareOfAMinute = 300 * 60 / daemons;
 		assertThat(taken).isBetween(shareOfAMinute, shareOfAMinute + 8);
@@ -27,9 +27,9 @@
 	void aQuietDaemonsFirstRecordsGoAtOnce() {
 		final AppendBudget budget = new AppendBudget(300, 8, 0);
 		for (int i = 0; i < 8; i++) {
-			assertThat(budget.take(370, 0)).isTrue();
+			assertThat(budget.tryAcquire(370, 0)).isTrue();
 		}
-		assertThat(budget.take(370, 0)).isFalse();
+		assertThat(budget.tryAcquire(370, 0)).isFalse();
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/stream/BackoffTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/stream/BackoffTests.java
@@ -11,15 +11,15 @@
 	@Test
 	void waitsGrowToALimitAreSpreadByJitterAndStartAfreshAfterASuccess() {
 		final Backoff backoff = new Backoff(50, 2_000);
-		assertThat(backoff.nextMillis(0)).isEqualTo(25);
-		assertThat(backoff.nextMillis(1)).isEqualTo(150);
+		assertThat(backoff.nextDelayMillis(0)).isEqualTo(25);
+		assertThat(backoff.nextDelayMillis(1)).isEqualTo(150);
 		for (int i = 0; i < 100; i++) {
-			backoff.nextMillis(0.5);
+			backoff.nextDelayMillis(0.5);
 		}
-		assertThat(backoff.nextMillis(0)).isEqualTo(1_000);
-		assertThat(backoff.nextMillis(1)).isEqualTo(3_000);
+		assertThat(backoff.nextDelayMillis(0)).isEqualTo(1_000);
+		assertThat(backoff.nextDelayMillis(1)).isEqualTo(3_000);
 		backoff.reset();
-		assertThat(backoff.nextMillis(0)).isEqualTo(25);
+		assertThat(backoff.nextDelayMillis(0)).isEqualTo(25);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/stream/CheckpointPolicyTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/stream/CheckpointPolicyTests.java
@@ -13,7 +13,7 @@
 	private final CheckpointPolicy policy = new CheckpointPolicy(DAY_MILLIS, 10_000);
 
 	private boolean dueAtAge(long ageMillis, int rank) {
-		return this.policy.isDue(new CheckpointCover(-1, SINCE_MILLIS), 5, rank, SINCE_MILLIS + ageMillis);
+		return this.policy.isDue(new CheckpointCoverage(-1, SINCE_MILLIS), 5, rank, SINCE_MILLIS + ageMillis);
 	}
 
 	// A stream lies quiet after its last manifest while the log's retention runs. Without
@@ -37,7 +37,7 @@
 
 	@Test
 	void aBusyStreamIsCheckpointedByItsNumberOfEntries() {
-		final CheckpointCover cover = new CheckpointCover(99, SINCE_MILLIS);
+		final CheckpointCoverage cover = new CheckpointCoverage(99, SINCE_MILLIS);
 		assertThat(this.policy.isDue(cover, 10_099, 0, SINCE_MILLIS)).isFalse();
 		assertThat(this.policy.isDue(cover, 10_100, 0, SINCE_MILLIS)).isTrue();
 		assertThat(this.policy.isDue(cover, 10_100, 1, SINCE_MILLIS)).isFalse();
@@ -45,7 +45,7 @@
 
 	@Test
 	void aStreamWithoutEntriesNeedsNone() {
-		assertThat(this.policy.isDue(CheckpointCover.NONE, 0, 0, Long.MAX_VALUE)).isFalse();
+		assertThat(this.policy.isDue(CheckpointCoverage.NONE, 0, 0, Long.MAX_VALUE)).isFalse();
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/PromptShiftTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/FastMigrationPolicyTests.java
@@ -4,11 +4,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class PromptShiftTests {
+class FastMigrationPolicyTests {
 
 	private static final long MILLI = 1_000_000L;
 
-	private final PromptShift shift = new PromptShift();
+	private final FastMigrationPolicy policy = new FastMigrationPolicy();
 
 	/**
 	 * A group loses a member; its head keeps all connections open and sends nothing for
@@ -17,9 +17,9 @@
 	 */
 	@Test
 	void aStreamLeavesATargetThatIsSilentAsAWhole() {
-		assertThat(due(599, 599, true)).isFalse();
-		assertThat(due(600, 600, true)).isTrue();
-		assertThat(due(700, 700, false)).isTrue();
+		assertThat(shouldMigrate(599, 599, true)).isFalse();
+		assertThat(shouldMigrate(600, 600, true)).isTrue();
+		assertThat(shouldMigrate(700, 700, false)).isTrue();
 	}
 
 	/**
@@ -28,19 +28,19 @@
 	 */
 	@Test
 	void aRequestThatHasNotBegunWaitsWhileItsTargetWorks() {
-		assertThat(due(1_400, 50, false)).isFalse();
-		assertThat(due(5_000, 50, false)).isFalse();
+		assertThat(shouldMigrate(1_400, 50, false)).isFalse();
+		assertThat(shouldMigrate(5_000, 50, false)).isFalse();
 	}
 
 	@Test
 	void aStreamThatAloneStandsStillIsMovedLater() {
-		assertThat(due(1_400, 50, true)).isFalse();
-		assertThat(due(1_500, 50, true)).isTrue();
+		assertThat(shouldMigrate(1_400, 50, true)).isFalse();
+		assertThat(shouldMigrate(1_500, 50, true)).isTrue();
 	}
 
-	private boolean due(long silentMillis, long targetSilentMillis, boolean ran) {
+	private boolean shouldMigrate(long silentMillis, long targetSilentMillis, boolean ran) {
 		final long nowNanos = 10_000 * MILLI;
-		return this.shift.isDue(nowNanos,
+		return this.policy.shouldMigrate(nowNanos,
 				new StreamProgress(ran, nowNanos - silentMillis * MILLI, nowNanos - targetSilentMillis * MILLI), null);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/KillerRequestTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/RequestQuarantineTests.java
@@ -22,36 +22,36 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class KillerRequestTests {
+class RequestQuarantineTests {
 
-	private static final int REPEATS = 12;
+	private static final int SUBMISSIONS = 12;
 
-	private static final String KILLER = "killer";
+	private static final String CRASHING_REQUEST = "killer";
 
 	// One request crashes each group that runs it, and its caller sends it again, each
 	// time to another daemon. Users of all other requests would see group after group go.
 	@Test
 	void aKillerRepeatedAtEveryDaemonCostsTwoGroups() {
 		final Fleet fleet = new Fleet(4, 6, LogBasedQuarantine::new);
-		fleet.startInnocents(3);
-		for (int i = 0; i < REPEATS; i++) {
-			fleet.repeatKiller(i % 4);
+		fleet.startBystanders(3);
+		for (int i = 0; i < SUBMISSIONS; i++) {
+			fleet.submitCrashingRequest(i % 4);
 		}
 		assertThat(fleet.groupsLost).isEqualTo(2);
-		assertThat(fleet.failures(KILLER)).contains(ErrorKind.QUARANTINED);
-		fleet.finishInnocents();
-		assertThat(fleet.quarantinedInnocents()).isEmpty();
-		assertThat(fleet.innocentsNotFinished()).isZero();
+		assertThat(fleet.failures(CRASHING_REQUEST)).contains(ErrorKind.QUARANTINED);
+		fleet.completeBystanders();
+		assertThat(fleet.quarantinedBystanders()).isEmpty();
+		assertThat(fleet.incompleteBystanders()).isZero();
 	}
 
 	// The same caller against the baseline without quarantine shows what is at stake.
 	@Test
 	void withoutQuarantineEachRepeatCostsAGroup() {
 		final Fleet fleet = new Fleet(4, 6, NoQuarantine::new);
-		for (int i = 0; i < REPEATS; i++) {
-			fleet.repeatKiller(i % 4);
+		for (int i = 0; i < SUBMISSIONS; i++) {
+			fleet.submitCrashingRequest(i % 4);
 		}
-		assertThat(fleet.groupsLost).isGreaterThanOrEqualTo(REPEATS);
+		assertThat(fleet.groupsLost).isGreaterThanOrEqualTo(SUBMISSIONS);
 	}
 
 	// A hasty caller sends three copies to one daemon before the first group has died.
@@ -60,10 +60,10 @@
 	void copiesSentAtOnceToOneDaemonRunOnOneGroup() {
 		final Fleet fleet = new Fleet(1, 4, LogBasedQuarantine::new);
 		for (int i = 0; i < 3; i++) {
-			fleet.arrive(0, KILLER);
+			fleet.arrive(0, CRASHING_REQUEST);
 		}
-		final TrafficHistory daemon = fleet.daemons.get(0);
-		assertThat(daemon.live.values().stream().map((attempt) -> attempt.targetId).distinct()).hasSize(1);
+		final TrafficSimulation daemon = fleet.daemons.get(0);
+		assertThat(daemon.liveAttempts.values().stream().map((attempt) -> attempt.targetId).distinct()).hasSize(1);
 		fleet.settle();
 		assertThat(fleet.groupsLost).isEqualTo(2);
 	}
@@ -74,11 +74,11 @@
 	void copiesSentAtOnceToTwoDaemonsCostTwoGroups() {
 		final Fleet fleet = new Fleet(2, 6, LogBasedQuarantine::new);
 		fleet.arrive(0, "filler");
-		fleet.arrive(0, KILLER);
-		fleet.arrive(1, KILLER);
+		fleet.arrive(0, CRASHING_REQUEST);
+		fleet.arrive(1, CRASHING_REQUEST);
 		fleet.settle();
-		for (int i = 0; i < REPEATS; i++) {
-			fleet.repeatKiller(i % 2);
+		for (int i = 0; i < SUBMISSIONS; i++) {
+			fleet.submitCrashingRequest(i % 2);
 		}
 		assertThat(fleet.groupsLost).isEqualTo(2);
 	}
@@ -88,19 +88,19 @@
 	@Test
 	void suspectsOfOneBatchAreNotCondemnedTogether() {
 		final Fleet fleet = new Fleet(1, 2, LogBasedQuarantine::new);
-		for (int i = 0; i < 2 * TrafficHistory.SLOTS - 1; i++) {
+		for (int i = 0; i < 2 * TrafficSimulation.SLOTS - 1; i++) {
 			fleet.arrive(0, "innocent-" + i);
 		}
-		fleet.arrive(0, KILLER);
-		for (int i = 0; i < REPEATS; i++) {
+		fleet.arrive(0, CRASHING_REQUEST);
+		for (int i = 0; i < SUBMISSIONS; i++) {
 			fleet.settle();
 			fleet.progressAll(20);
 		}
 		assertThat(fleet.groupsLost).isEqualTo(2);
-		assertThat(fleet.failures(KILLER)).containsExactly(ErrorKind.QUARANTINED);
-		fleet.finishInnocents();
-		assertThat(fleet.quarantinedInnocents()).isEmpty();
-		assertThat(fleet.innocentsNotFinished()).isZero();
+		assertThat(fleet.failures(CRASHING_REQUEST)).containsExactly(ErrorKind.QUARANTINED);
+		fleet.completeBystanders();
+		assertThat(fleet.quarantinedBystanders()).isEmpty();
+		assertThat(fleet.incompleteBystanders()).isZero();
 	}
 
 	// A rack goes dark and takes group after group from under the same callers. They must
@@ -108,26 +108,26 @@
 	@Test
 	void aRollingOutageQuarantinesNobodyWhoRunsOn() {
 		final Fleet fleet = new Fleet(2, 8, LogBasedQuarantine::new);
-		fleet.startInnocents(8);
+		fleet.startBystanders(8);
 		for (int group = 0; group < 5; group++) {
-			fleet.kill("g" + group + "@1");
+			fleet.crashTarget("g" + group + "@1");
 			fleet.settle();
 			fleet.progressAll(20);
 			fleet.settle();
 		}
-		fleet.finishInnocents();
-		assertThat(fleet.quarantinedInnocents()).isEmpty();
-		assertThat(fleet.innocentsNotFinished()).isZero();
+		fleet.completeBystanders();
+		assertThat(fleet.quarantinedBystanders()).isEmpty();
+		assertThat(fleet.incompleteBystanders()).isZero();
 	}
 
 	/** Daemons that share groups and the agreed table, without sockets. */
 	private static final class Fleet {
 
-		private final List<TrafficHistory> daemons = new ArrayList<>();
+		private final List<TrafficSimulation> daemons = new ArrayList<>();
 
-		private final Map<String, Integer> epochs = new HashMap<>();
+		private final Map<String, Integer> groupEpochs = new HashMap<>();
 
-		private FleetState agreed = FleetState.EMPTY;
+		private FleetState logState = FleetState.EMPTY;
 
 		private long offset;
 
@@ -137,15 +137,15 @@
 
 		Fleet(int daemonCount, int groupCount, Supplier<QuarantinePolicy> killer) {
 			for (int i = 0; i < daemonCount; i++) {
-				this.daemons.add(new TrafficHistory(killer.get()));
+				this.daemons.add(new TrafficSimulation(killer.get()));
 			}
 			for (int i = 0; i < groupCount; i++) {
-				this.epochs.put("g" + i, 1);
+				this.groupEpochs.put("g" + i, 1);
 			}
 			publish();
 		}
 
-		void startInnocents(int perDaemon) {
+		void startBystanders(int perDaemon) {
 			for (int daemon = 0; daemon < this.daemons.size(); daemon++) {
 				for (int i = 0; i < perDaemon; i++) {
 					arrive(daemon, "innocent-" + daemon + "-" + i);
@@ -158,84 +158,85 @@
 			this.daemons.get(daemon).arrive(this.nextRequestId++, TargetKind.MODEL, fingerprint, false);
 		}
 
-		void repeatKiller(int daemon) {
-			arrive(daemon, KILLER);
+		void submitCrashingRequest(int daemon) {
+			arrive(daemon, CRASHING_REQUEST);
 			settle();
 			progressAll(1);
 		}
 
 		void settle() {
 			for (int round = 0; round < 40; round++) {
-				runKillers();
-				agree();
-				this.daemons.forEach((daemon) -> daemon.pass(100));
+				crashTargetsOfCrashingRequest();
+				exchangeThroughLog();
+				this.daemons.forEach((daemon) -> daemon.advance(100));
 			}
 		}
 
-		private void runKillers() {
+		private void crashTargetsOfCrashingRequest() {
 			final List<String> doomed = new ArrayList<>();
-			for (final TrafficHistory daemon : this.daemons) {
-				daemon.live.values()
+			for (final TrafficSimulation daemon : this.daemons) {
+				daemon.liveAttempts.values()
 					.stream()
-					.filter((attempt) -> attempt.request.info.fingerprint().equals(KILLER))
+					.filter((attempt) -> attempt.request.info.fingerprint().equals(CRASHING_REQUEST))
 					.forEach((attempt) -> doomed.add(attempt.targetId));
 			}
-			doomed.stream().distinct().forEach(this::kill);
+			doomed.stream().distinct().forEach(this::crashTarget);
 		}
 
-		void kill(String targetId) {
+		void crashTarget(String targetId) {
 			this.groupsLost++;
-			this.epochs.merge(targetId.substring(0, targetId.indexOf('@')), 1, Integer::sum);
-			this.daemons.forEach((daemon) -> daemon.dies(targetId));
+			this.groupEpochs.merge(targetId.substring(0, targetId.indexOf('@')), 1, Integer::sum);
+			this.daemons.forEach((daemon) -> daemon.crashTarget(targetId));
 			publish();
 		}
 
 		private void publish() {
-			final TargetView[] views = this.epochs.entrySet()
+			final TargetView[] views = this.groupEpochs.entrySet()
 				.stream()
-				.map((entry) -> TrafficHistory.model(entry.getKey() + "@" + entry.getValue(), true))
+				.map((entry) -> TrafficSimulation.model(entry.getKey() + "@" + entry.getValue(), true))
 				.toArray(TargetView[]::new);
 			this.daemons.forEach((daemon) -> daemon.targets(views));
 		}
 
-		private void agree() {
-			for (final TrafficHistory daemon : this.daemons) {
-				daemon.reports.forEach(this::append);
-				daemon.reports.clear();
+		private void exchangeThroughLog() {
+			for (final TrafficSimulation daemon : this.daemons) {
+				daemon.suspectReports.forEach(this::append);
+				daemon.suspectReports.clear();
 			}
 			final Map<String, String> suspects = new HashMap<>();
-			this.agreed.suspicions()
+			this.logState.suspicions()
 				.forEach((fingerprint, suspicion) -> suspects.put(fingerprint,
 						suspicion.groupId() + "@" + suspicion.groupEpoch()));
-			final Set<String> quarantined = Set.copyOf(this.agreed.quarantines().keySet());
+			final Set<String> quarantined = Set.copyOf(this.logState.quarantines().keySet());
 			this.daemons
-				.forEach((daemon) -> daemon.carryOut(daemon.core.onKillers(daemon.nowNanos, quarantined, suspects)));
+				.forEach((daemon) -> daemon.apply(daemon.core.onQuarantines(daemon.nowNanos, quarantined, suspects)));
 		}
 
-		private void append(TrafficAction.Suspect report) {
+		private void append(TrafficAction.ReportSuspect report) {
 			final String[] target = report.target().targetId().split("@");
 			final long untilMillis = 600_000 + this.daemons.get(0).nowNanos / 1_000_000;
 			final RecordBody body = report.quarantine() ? new RequestQuarantine(report.fingerprint(), untilMillis, "")
 					: new RequestSuspicion(report.fingerprint(), target[0], Long.parseLong(target[1]), untilMillis);
 			this.offset++;
-			this.agreed = new FleetReducer().apply(this.agreed, this.offset, new LogRecord("d", this.offset, 1, body))
+			this.logState = new FleetReducer()
+				.apply(this.logState, this.offset, new LogRecord("d", this.offset, 1, body))
 				.state();
 		}
 
 		void progressAll(int tokens) {
-			for (final TrafficHistory daemon : this.daemons) {
-				List.copyOf(daemon.live.keySet()).forEach((id) -> daemon.progress(id, tokens));
+			for (final TrafficSimulation daemon : this.daemons) {
+				List.copyOf(daemon.liveAttempts.keySet()).forEach((id) -> daemon.progress(id, tokens));
 			}
 		}
 
-		void finishInnocents() {
+		void completeBystanders() {
 			for (int round = 0; round < 30; round++) {
-				for (final TrafficHistory daemon : this.daemons) {
-					for (final AttemptId id : List.copyOf(daemon.live.keySet())) {
+				for (final TrafficSimulation daemon : this.daemons) {
+					for (final AttemptId id : List.copyOf(daemon.liveAttempts.keySet())) {
 						daemon.progress(id, 20);
-						daemon.end(id, AttemptEnd.COMPLETE);
+						daemon.end(id, AttemptOutcome.COMPLETE);
 					}
-					daemon.pass(1_000);
+					daemon.advance(1_000);
 				}
 			}
 		}
@@ -243,26 +244,27 @@
 		List<ErrorKind> failures(String fingerprint) {
 			final List<ErrorKind> kinds = new ArrayList<>();
 			this.daemons.forEach((daemon) -> daemon.requests.values().forEach((request) -> {
-				if (request.info.fingerprint().equals(fingerprint) && request.end instanceof TrafficAction.Fail fail) {
+				if (request.info.fingerprint().equals(fingerprint)
+						&& request.finalAction instanceof TrafficAction.Fail fail) {
 					kinds.add(fail.kind());
 				}
 			}));
 			return kinds;
 		}
 
-		List<String> quarantinedInnocents() {
-			return this.agreed.quarantines()
+		List<String> quarantinedBystanders() {
+			return this.logState.quarantines()
 				.keySet()
 				.stream()
-				.filter((fingerprint) -> !fingerprint.equals(KILLER))
+				.filter((fingerprint) -> !fingerprint.equals(CRASHING_REQUEST))
 				.toList();
 		}
 
-		long innocentsNotFinished() {
+		long incompleteBystanders() {
 			return this.daemons.stream()
 				.flatMap((daemon) -> daemon.requests.values().stream())
-				.filter((request) -> !request.info.fingerprint().equals(KILLER))
-				.filter((request) -> !(request.end instanceof TrafficAction.Finish))
+				.filter((request) -> !request.info.fingerprint().equals(CRASHING_REQUEST))
+				.filter((request) -> !(request.finalAction instanceof TrafficAction.Finish))
 				.count();
 		}
 
--- /dev/null
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/StreamMigrationTests.java
@@ -0,0 +1,82 @@
+package org.pistachioline.core.traffic;
+
+import org.junit.jupiter.api.Test;
+
+import org.pistachioline.core.error.ErrorKind;
+import org.pistachioline.core.error.RunState;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class StreamMigrationTests {
+
+	private static final int DELIVERED_TOKENS = 10;
+
+	private final TrafficSimulation simulation = new TrafficSimulation(new LogBasedQuarantine());
+
+	private TrafficSimulation.Attempt onlyAttempt() {
+		assertThat(this.simulation.liveAttempts).hasSize(1);
+		return this.simulation.liveAttempts.values().iterator().next();
+	}
+
+	private TrafficSimulation.Attempt startStream(TargetView... views) {
+		this.simulation.targets(views);
+		this.simulation.arrive(1, TargetKind.MODEL, "f", false);
+		this.simulation.progress(onlyAttempt().id, DELIVERED_TOKENS);
+		return onlyAttempt();
+	}
+
+	// A group stands still without closing its connections: a member was paused. The
+	// caller would wait for its deadline. The stream is resumed elsewhere, but only once
+	// the old attempt is known to have ended, with the tokens that still came.
+	@Test
+	void aStreamOnAGroupThatStandsStillIsResumedElsewhere() {
+		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true),
+				TrafficSimulation.model("g1@1", true));
+		this.simulation.advance(5_000);
+		assertThat(old.cancelled).isTrue();
+		this.simulation.advance(5_000);
+		assertThat(onlyAttempt()).isSameAs(old);
+		old.request.deliveredTokens++;
+		this.simulation.end(old.id, AttemptOutcome.CANCELLED);
+		assertThat(onlyAttempt().targetId).isNotEqualTo(old.targetId);
+		this.simulation.end(onlyAttempt().id, AttemptOutcome.COMPLETE);
+		assertThat(old.request.finalAction).isInstanceOf(TrafficAction.Finish.class);
+	}
+
+	// A drained group goes on with what it has. Only answers that are still running after
+	// half a minute move, so that a planned stop neither cuts nor waits for the longest.
+	@Test
+	void aStreamOnADrainingGroupMovesOnlyAfterTheBound() {
+		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true));
+		this.simulation.targets(TrafficSimulation.model("g0@1", false), TrafficSimulation.model("g1@1", true));
+		for (int second = 1; second < 30; second++) {
+			this.simulation.advance(1_000);
+			this.simulation.progress(old.id, 1);
+			assertThat(old.cancelled).isFalse();
+		}
+		this.simulation.advance(1_000);
+		assertThat(old.cancelled).isTrue();
+	}
+
+	// The last group of a model drains. There is nowhere to go, so nothing is cut.
+	@Test
+	void aStreamWithNowhereToGoIsLeftAlone() {
+		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true));
+		this.simulation.targets(TrafficSimulation.model("g0@1", false));
+		this.simulation.advance(60_000);
+		assertThat(old.cancelled).isFalse();
+	}
+
+	// The only group dies and no other serves. The caller is told at once that the
+	// request
+	// may have run and when to come back, and is not held until its deadline.
+	@Test
+	void aStreamThatNoGroupCanResumeEndsAtOnce() {
+		final TrafficSimulation.Attempt old = startStream(TrafficSimulation.model("g0@1", true));
+		this.simulation.end(old.id, AttemptOutcome.BROKEN);
+		assertThat(old.request.finalAction)
+			.isEqualTo(new TrafficAction.Fail(1, ErrorKind.TARGET_FAILED, RunState.RAN, 1_000));
+	}
+
+}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/GroupStartTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TargetSlowStartTests.java
@@ -9,12 +9,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class GroupStartTests {
+class TargetSlowStartTests {
 
 	private static final long SECOND = 1_000_000_000L;
 
 	private static final RequestInfo REQUEST = new RequestInfo(1, "workspace", TargetKind.MODEL, "pool/large", 100, 100,
-			0, 100 * SECOND, 100 * SECOND, true, ClaimNeed.NONE, "", List.of(), 2, 100 * SECOND);
+			0, 100 * SECOND, 100 * SECOND, true, ClaimRequirement.NONE, "", List.of(), 2, 100 * SECOND);
 
 	/**
 	 * A group breaks and its survivors form another within a second. Its engines ran all
@@ -33,8 +33,8 @@
 
 	// A group that served before, and one that was formed anew this moment.
 	private static int freeSlots(ExpectedWaitPlacement placement) {
-		final TargetBook book = new TargetBook(placement);
-		book.share(0, LiveDaemons.ALONE);
+		final TargetRegistry book = new TargetRegistry(placement);
+		book.onLiveDaemons(0, LiveDaemons.ALONE);
 		book.update(SECOND, List.of(view("a@1", SECOND)));
 		book.update(10 * SECOND, List.of(view("a@1", 10 * SECOND), view("b@2", 10 * SECOND)));
 		return book.freeSlots(REQUEST);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficHistoryTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficInvariantTests.java
@@ -20,7 +20,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class TrafficHistoryTests {
+class TrafficInvariantTests {
 
 	private static final int STEPS = 400;
 
@@ -37,20 +37,21 @@
 	@Property(seed = "7201", tries = 400, shrinking = ShrinkingMode.OFF)
 	void whateverHappensEachRequestEndsOnceAndTruthfully(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final TrafficHistory history = new TrafficHistory(new LogBasedQuarantine());
+		final TrafficSimulation history = new TrafficSimulation(new LogBasedQuarantine());
 		views(history, random);
 		for (int step = 0; step < STEPS; step++) {
 			step(history, random);
 		}
 		history.nowNanos += 500_000_000_000L;
-		history.pass(1);
-		for (final long requestId : List.copyOf(history.claiming.keySet())) {
+		history.advance(1);
+		for (final long requestId : List.copyOf(history.pendingClaims.keySet())) {
 			history.claim(requestId, ClaimVerdict.GRANTED, this.nextOffset++);
 		}
 		assertThat(history.requests.values()).allMatch((request) -> request.ended);
-		assertThat(history.core.held()).isZero();
-		assertThat(history.core.queued()).isZero();
-		assertThat(history.heldClaims.keySet()).allMatch((requestId) -> history.requests.get(requestId).mayHaveRun > 0);
+		assertThat(history.core.activeRequestCount()).isZero();
+		assertThat(history.core.queuedRequestCount()).isZero();
+		assertThat(history.heldClaims.keySet())
+			.allMatch((requestId) -> history.requests.get(requestId).possibleRuns > 0);
 	}
 
 	/**
@@ -61,20 +62,20 @@
 	@Property(seed = "7202", tries = 400, shrinking = ShrinkingMode.OFF)
 	void whateverHappensEachRelayedRequestEndsOnceAndTruthfully(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final TrafficHistory history = new TrafficHistory(RoutingPolicies.create("a", seed,
+		final TrafficSimulation history = new TrafficSimulation(RoutingPolicies.create("a", seed,
 				new RetryBudget(0.2, 100, 10_000_000_000L), () -> 2, new GossipQuarantine()));
 		views(history, random);
 		for (int step = 0; step < STEPS; step++) {
 			relayedStep(history, random);
 		}
 		history.nowNanos += 500_000_000_000L;
-		history.pass(1);
+		history.advance(1);
 		assertThat(history.requests.values()).allMatch((request) -> request.ended);
-		assertThat(history.core.held()).isZero();
-		assertThat(history.core.queued()).isZero();
+		assertThat(history.core.activeRequestCount()).isZero();
+		assertThat(history.core.queuedRequestCount()).isZero();
 	}
 
-	private void relayedStep(TrafficHistory history, Random random) {
+	private void relayedStep(TrafficSimulation history, Random random) {
 		switch (random.nextInt(12)) {
 			case 0, 1,
 					2 ->
@@ -82,96 +83,96 @@
 						random.nextBoolean() ? TargetKind.MODEL : TargetKind.SERVICE, "f" + random.nextInt(12),
 						random.nextInt(3) > 0);
 			case 3, 4 -> answer(history, random);
-			case 5 -> history.pass(random.nextInt(4_000));
+			case 5 -> history.advance(random.nextInt(4_000));
 			case 6 -> views(history, random);
 			case 7 -> told(history, random);
-			case 8 -> history.carryOut(history.core.onCallerGone(history.nowNanos, 1 + random.nextLong(10)));
+			case 8 -> history.apply(history.core.onCallerDisconnected(history.nowNanos, 1 + random.nextLong(10)));
 			case 9 -> late(history, random);
 			case 10 -> crash(history, random);
 			default -> ended(history, random);
 		}
 	}
 
-	private static void crash(TrafficHistory history, Random random) {
+	private static void crash(TrafficSimulation history, Random random) {
 		final String targetId = random.nextBoolean() ? "g" + random.nextInt(3) + "@1" : "s" + random.nextInt(3);
-		final Set<String> ran = history.live.values()
+		final Set<String> ran = history.liveAttempts.values()
 			.stream()
 			.filter((attempt) -> attempt.targetId.equals(targetId))
 			.map((attempt) -> attempt.request.info.fingerprint())
 			.collect(Collectors.toSet());
-		history.dies(targetId);
-		history.core.crashed()
-			.hear(history.nowNanos, new TargetCrash(targetId + "-" + history.nowNanos, ran, Set.of()));
-		history.pass(1);
+		history.crashTarget(targetId);
+		history.core.targetCrashes()
+			.onCrash(history.nowNanos, new TargetCrash(targetId + "-" + history.nowNanos, ran, Set.of()));
+		history.advance(1);
 	}
 
-	private static void told(TrafficHistory history, Random random) {
+	private static void told(TrafficSimulation history, Random random) {
 		final CrashEvidence death = new CrashEvidence("elsewhere-" + random.nextInt(20), history.nowNanos,
 				random.nextBoolean() ? CrashPhase.STARTING : CrashPhase.IN_PROGRESS, random.nextInt(4) == 0);
-		history.core.crashed()
-			.hearFromPeer(history.nowNanos, List.of(new SuspectedRequest("f" + random.nextInt(12), List.of(death))));
-		history.pass(1);
+		history.core.targetCrashes()
+			.onPeerReports(history.nowNanos, List.of(new SuspectedRequest("f" + random.nextInt(12), List.of(death))));
+		history.advance(1);
 	}
 
-	private void step(TrafficHistory history, Random random) {
+	private void step(TrafficSimulation history, Random random) {
 		switch (random.nextInt(12)) {
 			case 0, 1, 2 -> arrive(history, random);
 			case 3, 4 -> answer(history, random);
-			case 5 -> history.pass(random.nextInt(4_000));
+			case 5 -> history.advance(random.nextInt(4_000));
 			case 6 -> views(history, random);
 			case 7 -> claim(history, random);
-			case 8 -> history.carryOut(history.core.onCallerGone(history.nowNanos, 1 + random.nextLong(10)));
+			case 8 -> history.apply(history.core.onCallerDisconnected(history.nowNanos, 1 + random.nextLong(10)));
 			case 9 -> late(history, random);
-			case 10 -> history.dies("g" + random.nextInt(3) + "@1");
+			case 10 -> history.crashTarget("g" + random.nextInt(3) + "@1");
 			default -> ended(history, random);
 		}
 	}
 
-	private void arrive(TrafficHistory history, Random random) {
+	private void arrive(TrafficSimulation history, Random random) {
 		final boolean keyed = random.nextInt(3) == 0;
 		final TargetKind kind = (keyed || random.nextInt(4) == 0) ? TargetKind.SERVICE : TargetKind.MODEL;
 		final String fingerprint = (kind == TargetKind.MODEL) ? "f" + random.nextInt(8) : "";
 		history.arrive(this.nextRequestId++, kind, fingerprint, keyed);
 	}
 
-	private void answer(TrafficHistory history, Random random) {
-		final List<AttemptId> ids = new ArrayList<>(history.live.keySet());
+	private void answer(TrafficSimulation history, Random random) {
+		final List<AttemptId> ids = new ArrayList<>(history.liveAttempts.keySet());
 		if (!ids.isEmpty()) {
 			history.progress(ids.get(random.nextInt(ids.size())), 1 + random.nextInt(20));
 		}
 	}
 
-	private void ended(TrafficHistory history, Random random) {
-		final List<AttemptId> ids = new ArrayList<>(history.live.keySet());
+	private void ended(TrafficSimulation history, Random random) {
+		final List<AttemptId> ids = new ArrayList<>(history.liveAttempts.keySet());
 		if (ids.isEmpty()) {
 			return;
 		}
 		final AttemptId id = ids.get(random.nextInt(ids.size()));
-		final AttemptEnd[] ends = AttemptEnd.values();
-		final TrafficHistory.Attempt attempt = history.live.get(id);
-		AttemptEnd how = ends[random.nextInt(ends.length)];
-		if (attempt.cancelled && how != AttemptEnd.COMPLETE) {
-			how = AttemptEnd.CANCELLED;
+		final AttemptOutcome[] ends = AttemptOutcome.values();
+		final TrafficSimulation.Attempt attempt = history.liveAttempts.get(id);
+		AttemptOutcome how = ends[random.nextInt(ends.length)];
+		if (attempt.cancelled && how != AttemptOutcome.COMPLETE) {
+			how = AttemptOutcome.CANCELLED;
 		}
-		else if (how == AttemptEnd.NOT_CONNECTED && attempt.request.delivered > 0) {
-			how = AttemptEnd.BROKEN;
+		else if (how == AttemptOutcome.NOT_CONNECTED && attempt.request.deliveredTokens > 0) {
+			how = AttemptOutcome.BROKEN;
 		}
-		else if (how == AttemptEnd.WITHHELD && attempt.request.delivered > attempt.deliveredBefore) {
-			how = AttemptEnd.BROKEN;
+		else if (how == AttemptOutcome.WITHHELD && attempt.request.deliveredTokens > attempt.deliveredTokensAtStart) {
+			how = AttemptOutcome.BROKEN;
 		}
 		history.end(id, how);
 	}
 
-	private void late(TrafficHistory history, Random random) {
-		final AttemptId stranger = history.over.isEmpty() ? new AttemptId(99_999, 1)
-				: history.over.get(random.nextInt(history.over.size()));
+	private void late(TrafficSimulation history, Random random) {
+		final AttemptId stranger = history.endedAttempts.isEmpty() ? new AttemptId(99_999, 1)
+				: history.endedAttempts.get(random.nextInt(history.endedAttempts.size()));
 		history.core.onProgress(history.nowNanos, stranger, 1_000);
-		history.carryOut(history.core.onAttemptEnd(history.nowNanos, stranger, AttemptEnd.COMPLETE, 1_000));
-		history.carryOut(history.core.onClaim(history.nowNanos, stranger.requestId(), ClaimVerdict.SETTLED, -1));
+		history.apply(history.core.onAttemptEnd(history.nowNanos, stranger, AttemptOutcome.COMPLETE, 1_000));
+		history.apply(history.core.onClaim(history.nowNanos, stranger.requestId(), ClaimVerdict.SETTLED, -1));
 	}
 
-	private void claim(TrafficHistory history, Random random) {
-		final List<Long> ids = new ArrayList<>(history.claiming.keySet());
+	private void claim(TrafficSimulation history, Random random) {
+		final List<Long> ids = new ArrayList<>(history.pendingClaims.keySet());
 		if (!ids.isEmpty()) {
 			final boolean granted = random.nextBoolean();
 			history.claim(ids.get(random.nextInt(ids.size())),
@@ -179,14 +180,14 @@
 		}
 	}
 
-	private void views(TrafficHistory history, Random random) {
+	private void views(TrafficSimulation history, Random random) {
 		final List<TargetView> views = new ArrayList<>();
 		for (int i = 0; i < 3; i++) {
 			if (random.nextInt(4) > 0) {
-				views.add(TrafficHistory.model("g" + i + "@1", random.nextInt(3) > 0));
+				views.add(TrafficSimulation.model("g" + i + "@1", random.nextInt(3) > 0));
 			}
 			if (random.nextInt(4) > 0) {
-				views.add(TrafficHistory.service("s" + i, random.nextInt(3) > 0));
+				views.add(TrafficSimulation.service("s" + i, random.nextInt(3) > 0));
 			}
 		}
 		history.targets(views.toArray(new TargetView[0]));
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficHistory.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficSimulation.java
@@ -20,31 +20,31 @@
  * Stands between a core and its targets in virtual time, carries out each action and
  * checks every promise at the moment when it could break.
  */
-final class TrafficHistory {
+final class TrafficSimulation {
 
 	static final int SLOTS = 3;
 
 	final TrafficCore core;
 
-	final Map<AttemptId, Attempt> live = new LinkedHashMap<>();
+	final Map<AttemptId, Attempt> liveAttempts = new LinkedHashMap<>();
 
-	final List<AttemptId> over = new ArrayList<>();
+	final List<AttemptId> endedAttempts = new ArrayList<>();
 
 	final Map<Long, Request> requests = new LinkedHashMap<>();
 
-	final Map<Long, Request> claiming = new LinkedHashMap<>();
+	final Map<Long, Request> pendingClaims = new LinkedHashMap<>();
 
 	final Map<Long, Long> heldClaims = new HashMap<>();
 
-	final List<TrafficAction.Suspect> reports = new ArrayList<>();
+	final List<TrafficAction.ReportSuspect> suspectReports = new ArrayList<>();
 
 	long nowNanos;
 
-	TrafficHistory(QuarantinePolicy killer) {
+	TrafficSimulation(QuarantinePolicy killer) {
 		this(new TrafficPolicies(new AdmitAll(), new FifoQueue(100), new LeastInFlight(), new BudgetedRetry(), killer));
 	}
 
-	TrafficHistory(TrafficPolicies policies) {
+	TrafficSimulation(TrafficPolicies policies) {
 		this.core = new TrafficCore(policies);
 	}
 
@@ -57,7 +57,8 @@
 	}
 
 	Request arrive(long requestId, TargetKind kind, String fingerprint, boolean keyed) {
-		final ClaimNeed claim = keyed ? new ClaimNeed("key-" + requestId, "digest", 1_000) : ClaimNeed.NONE;
+		final ClaimRequirement claim = keyed ? new ClaimRequirement("key-" + requestId, "digest", 1_000)
+				: ClaimRequirement.NONE;
 		final RequestInfo info = new RequestInfo(requestId, "w", kind, (kind == TargetKind.MODEL) ? "m" : "s", 1, 100,
 				0, this.nowNanos + 60_000_000_000L, this.nowNanos + 120_000_000_000L, !keyed, claim, fingerprint,
 				List.of());
@@ -74,125 +75,126 @@
 	 */
 	Request arriveUnclaimed(long requestId, TargetKind kind, String fingerprint, boolean idempotent) {
 		return arrive(new RequestInfo(requestId, "w", kind, (kind == TargetKind.MODEL) ? "m" : "s", 1, 100, 0,
-				this.nowNanos + 60_000_000_000L, this.nowNanos + 120_000_000_000L, idempotent, ClaimNeed.NONE,
+				this.nowNanos + 60_000_000_000L, this.nowNanos + 120_000_000_000L, idempotent, ClaimRequirement.NONE,
 				fingerprint, List.of(), 3, this.nowNanos + 1_000_000_000L));
 	}
 
 	private Request arrive(RequestInfo info) {
 		final Request request = new Request(info);
 		this.requests.put(info.requestId(), request);
-		carryOut(this.core.onRequest(this.nowNanos, info));
+		apply(this.core.onRequest(this.nowNanos, info));
 		return request;
 	}
 
 	void targets(TargetView... views) {
-		carryOut(this.core.onTargets(this.nowNanos, List.of(views)));
+		apply(this.core.onTargets(this.nowNanos, List.of(views)));
 	}
 
 	void progress(AttemptId id, int tokens) {
-		final Attempt attempt = this.live.get(id);
-		attempt.request.delivered += tokens;
-		this.core.onProgress(this.nowNanos, id, attempt.request.delivered);
-	}
-
-	void end(AttemptId id, AttemptEnd how) {
-		final Attempt attempt = this.live.remove(id);
-		this.over.add(id);
-		final boolean declined = how == AttemptEnd.DECLINED && attempt.request.delivered == attempt.deliveredBefore;
-		if (how == AttemptEnd.NOT_CONNECTED || how == AttemptEnd.WITHHELD || declined) {
-			attempt.request.mayHaveRun--;
+		final Attempt attempt = this.liveAttempts.get(id);
+		attempt.request.deliveredTokens += tokens;
+		this.core.onProgress(this.nowNanos, id, attempt.request.deliveredTokens);
+	}
+
+	void end(AttemptId id, AttemptOutcome how) {
+		final Attempt attempt = this.liveAttempts.remove(id);
+		this.endedAttempts.add(id);
+		final boolean declined = how == AttemptOutcome.DECLINED
+				&& attempt.request.deliveredTokens == attempt.deliveredTokensAtStart;
+		if (how == AttemptOutcome.NOT_CONNECTED || how == AttemptOutcome.WITHHELD || declined) {
+			attempt.request.possibleRuns--;
 		}
-		attempt.request.live = null;
-		carryOut(this.core.onAttemptEnd(this.nowNanos, id, how, attempt.request.delivered));
+		attempt.request.liveAttempt = null;
+		apply(this.core.onAttemptEnd(this.nowNanos, id, how, attempt.request.deliveredTokens));
 	}
 
-	void dies(String targetId) {
-		this.live.values()
+	void crashTarget(String targetId) {
+		this.liveAttempts.values()
 			.stream()
 			.filter((attempt) -> attempt.targetId.equals(targetId))
 			.map((attempt) -> attempt.id)
 			.toList()
 			.forEach((id) -> {
-				if (this.live.containsKey(id)) {
-					end(id, AttemptEnd.BROKEN);
+				if (this.liveAttempts.containsKey(id)) {
+					end(id, AttemptOutcome.BROKEN);
 				}
 			});
 	}
 
 	void claim(long requestId, ClaimVerdict verdict, long offset) {
-		this.claiming.remove(requestId);
+		this.pendingClaims.remove(requestId);
 		if (verdict == ClaimVerdict.GRANTED) {
 			this.heldClaims.put(requestId, offset);
 		}
-		carryOut(this.core.onClaim(this.nowNanos, requestId, verdict, offset));
+		apply(this.core.onClaim(this.nowNanos, requestId, verdict, offset));
 	}
 
-	void pass(long millis) {
+	void advance(long millis) {
 		this.nowNanos += millis * 1_000_000;
-		carryOut(this.core.onTick(this.nowNanos));
+		apply(this.core.onTick(this.nowNanos));
 	}
 
-	void carryOut(List<TrafficAction> actions) {
-		actions.forEach(this::carryOut);
-		final Map<String, Long> perTarget = this.live.values()
+	void apply(List<TrafficAction> actions) {
+		actions.forEach(this::apply);
+		final Map<String, Long> perTarget = this.liveAttempts.values()
 			.stream()
 			.collect(Collectors.groupingBy((attempt) -> attempt.targetId, Collectors.counting()));
 		assertThat(perTarget.values()).allMatch((count) -> count <= SLOTS);
 	}
 
-	private void carryOut(TrafficAction action) {
+	private void apply(TrafficAction action) {
 		final Request request = this.requests.get(action.requestId());
 		if (action instanceof TrafficAction.Start start) {
 			start(request, start);
 		}
 		else if (action instanceof TrafficAction.Cancel cancel) {
-			this.live.get(cancel.attempt()).cancelled = true;
+			this.liveAttempts.get(cancel.attempt()).cancelled = true;
 		}
 		else if (action instanceof TrafficAction.Claim) {
 			assertThat(request.ended).isFalse();
-			this.claiming.put(action.requestId(), request);
+			this.pendingClaims.put(action.requestId(), request);
 		}
 		else if (action instanceof TrafficAction.Release release) {
-			assertThat(request.mayHaveRun).as("a claim under which bytes left is kept").isZero();
+			assertThat(request.possibleRuns).as("a claim under which bytes left is kept").isZero();
 			assertThat(this.heldClaims.remove(action.requestId())).isEqualTo(release.claimOffset());
 		}
-		else if (action instanceof TrafficAction.Suspect suspect) {
-			this.reports.add(suspect);
+		else if (action instanceof TrafficAction.ReportSuspect suspect) {
+			this.suspectReports.add(suspect);
 		}
-		else if (!(action instanceof TrafficAction.Stalled)) {
+		else if (!(action instanceof TrafficAction.ReportStall)) {
 			finish(request, action);
 		}
 	}
 
 	private void start(Request request, TrafficAction.Start start) {
 		assertThat(request.ended).isFalse();
-		assertThat(request.live).as("never two live attempts").isNull();
-		assertThat(start.resumeFromTokens()).as("no token lost or doubled").isEqualTo(request.delivered);
+		assertThat(request.liveAttempt).as("never two live attempts").isNull();
+		assertThat(start.resumeFromTokens()).as("no token lost or doubled").isEqualTo(request.deliveredTokens);
 		if (!request.info.idempotent()) {
-			assertThat(request.mayHaveRun).as("never sent again").isZero();
+			assertThat(request.possibleRuns).as("never sent again").isZero();
 		}
-		if (request.info.claim().isNeeded()) {
+		if (request.info.claim().isRequired()) {
 			assertThat(this.heldClaims).containsKey(request.info.requestId());
 		}
-		assertThat(this.core.crashed().quarantined()).as("nothing that is barred is sent")
+		assertThat(this.core.targetCrashes().quarantined()).as("nothing that is barred is sent")
 			.doesNotContain(request.info.fingerprint());
-		request.mayHaveRun++;
-		request.live = start.attempt();
-		this.live.put(start.attempt(), new Attempt(start.attempt(), start.target().targetId(), request));
+		request.possibleRuns++;
+		request.liveAttempt = start.attempt();
+		this.liveAttempts.put(start.attempt(), new Attempt(start.attempt(), start.target().targetId(), request));
 	}
 
 	private void finish(Request request, TrafficAction action) {
 		assertThat(request.ended).as("ends once").isFalse();
 		request.ended = true;
-		request.end = action;
+		request.finalAction = action;
 		if (action instanceof TrafficAction.Fail fail && fail.runState() == RunState.NOT_RUN) {
-			assertThat(request.mayHaveRun).as("not-run is true").isZero();
+			assertThat(request.possibleRuns).as("not-run is true").isZero();
 			assertThat(this.heldClaims).doesNotContainKey(request.info.requestId());
 		}
-		if (request.live != null) {
-			final Attempt attempt = this.live.remove(request.live);
+		if (request.liveAttempt != null) {
+			final Attempt attempt = this.liveAttempts.remove(request.liveAttempt);
 			assertThat(attempt.cancelled).as("no work is left behind").isTrue();
-			this.over.add(request.live);
+			this.endedAttempts.add(request.liveAttempt);
 		}
 	}
 
@@ -204,12 +206,12 @@
 
 		final Request request;
 
-		final int deliveredBefore;
+		final int deliveredTokensAtStart;
 
 		boolean cancelled;
 
 		Attempt(AttemptId id, String targetId, Request request) {
-			this.deliveredBefore = request.delivered;
+			this.deliveredTokensAtStart = request.deliveredTokens;
 			this.id = id;
 			this.targetId = targetId;
 			this.request = request;
@@ -221,15 +223,15 @@
 
 		final RequestInfo info;
 
-		AttemptId live;
+		AttemptId liveAttempt;
 
-		int delivered;
+		int deliveredTokens;
 
-		int mayHaveRun;
+		int possibleRuns;
 
 		boolean ended;
 
-		TrafficAction end;
+		TrafficAction finalAction;
 
 		Request(RequestInfo info) {
 			this.info = info;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -129,7 +129,7 @@
 		final InstanceNews news = new InstanceNews(this.traffic, this.replicas);
 		ports.orders().onAnswers(news);
 		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.table, this.traffic,
-				this.replicas::loaded, news, () -> this.leaving);
+				this.replicas::onLoadReport, news, () -> this.leaving);
 		this.parts.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing, ports.lease(),
 				new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
 		connect();
@@ -144,18 +144,18 @@
 	private void connect() {
 		this.ports.routes().onRoutes((next) -> {
 			this.table = next;
-			this.replicas.configured(next);
+			this.replicas.configure(next);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
 		});
 		this.ports.routes().followOthers(() -> this.peers.others().size() + 1, this.peers::newestConfigVersion);
 		this.ports.lease().onlyIf(this::isPlannerCandidate);
 		this.peers.onListingFrame(this.listing::onFrame);
 		this.traffic.onStalled((targetId) -> {
-			this.replicas.stalled(targetId);
+			this.replicas.onTargetStalled(targetId);
 			this.peers.tellStalled(targetId);
 		});
 		this.peers.onLimits(this.traffic::statedLimits, this.traffic::limitsTold);
-		this.peers.onStalled(this.replicas::stalled);
+		this.peers.onStalled(this.replicas::onTargetStalled);
 		final CrashWatch crashes = this.traffic.crashes();
 		this.peers.suspects().bind(crashes::sample, crashes::known, crashes::onTold);
 		crashes.onNews(this.peers::tellSuspects);
@@ -179,7 +179,7 @@
 
 	private void listed(List<ServingInstance> instances) {
 		this.listed = true;
-		this.replicas.listed(instances);
+		this.replicas.updateInstances(instances);
 	}
 
 	// A daemon that has just started counts few others; the most it has ever seen is a
@@ -304,7 +304,7 @@
 	 * @return the number of targets
 	 */
 	public int servingTargets() {
-		return this.replicas.servingCount();
+		return this.replicas.servingTargetCount();
 	}
 
 	/**
@@ -330,7 +330,7 @@
 		if (!this.relay.listening()) {
 			return Optional.of("callers are not served yet");
 		}
-		if (!this.table.known()) {
+		if (!this.table.isKnown()) {
 			return Optional.of("no configuration is known");
 		}
 		if (!this.listed) {
@@ -358,11 +358,11 @@
 		dump.put("requests", Map.of("held", this.traffic.held(), "queued", this.traffic.queued()));
 		dump.put("listing",
 				Map.of("age_millis", this.listing.ageMillis(), "reads_for_others", this.listing.readsForOthers()));
-		dump.put("serving_targets", this.replicas.servingCount());
+		dump.put("serving_targets", this.replicas.servingTargetCount());
 		dump.put("limited_targets", this.traffic.limits());
 		dump.put("backoff_targets", this.traffic.backoffs());
 		dump.put("crash_suspects", this.traffic.crashes().reports());
-		dump.put("planned_groups", this.replicas.groups());
+		dump.put("planned_groups", this.replicas.plannedGroups());
 		dump.put("peers", daemons());
 		return dump;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendDuty.java
@@ -186,7 +186,7 @@
 		if (!outbox.wantsAppend(nowNanos)) {
 			return;
 		}
-		if (!this.budget.take(this.daemons.getAsInt(), nowNanos)) {
+		if (!this.budget.tryAcquire(this.daemons.getAsInt(), nowNanos)) {
 			this.counts.onHeld();
 			return;
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/CheckpointDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/CheckpointDuty.java
@@ -14,7 +14,7 @@
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.record.CheckpointPart;
 import org.pistachioline.core.stream.CheckpointPolicy;
-import org.pistachioline.core.stream.StreamKeepers;
+import org.pistachioline.core.stream.StreamAssignment;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.duty.Duty;
 import org.pistachioline.daemon.duty.DutyHandler;
@@ -93,7 +93,7 @@
 
 	private int rank(String stream) {
 		final Set<String> ids = this.daemonIds.get();
-		return Math.max(0, StreamKeepers.order(stream, ids).indexOf(this.selfId));
+		return Math.max(0, StreamAssignment.rankedDaemons(stream, ids).indexOf(this.selfId));
 	}
 
 	private void write(StreamDuty<?> stream) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/Outbox.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/Outbox.java
@@ -155,7 +155,7 @@
 			shrink();
 			return;
 		}
-		this.retryAtNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(this.backoff.nextMillis(jitterRatio));
+		this.retryAtNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(this.backoff.nextDelayMillis(jitterRatio));
 	}
 
 	// Without this an entry that the log never takes would block all behind it.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamDuty.java
@@ -270,7 +270,7 @@
 	}
 
 	private void waitLonger() {
-		final long waitMillis = this.backoff.nextMillis(ThreadLocalRandom.current().nextDouble());
+		final long waitMillis = this.backoff.nextDelayMillis(ThreadLocalRandom.current().nextDouble());
 		this.retryAtNanos = System.nanoTime() + Duration.ofMillis(waitMillis).toNanos();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamSnapshot.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamSnapshot.java
@@ -1,6 +1,6 @@
 package org.pistachioline.daemon.agreed;
 
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 
 /**
  * A stream's whole state in its checkpoint form.
@@ -11,7 +11,7 @@
 
 	private final byte[] stateBytes;
 
-	private final CheckpointCover cover;
+	private final CheckpointCoverage cover;
 
 	/**
 	 * Creates a snapshot.
@@ -19,7 +19,7 @@
 	 * @param stateBytes the state
 	 * @param cover what the newest checkpoint on the stream covers
 	 */
-	public StreamSnapshot(long throughOffset, byte[] stateBytes, CheckpointCover cover) {
+	public StreamSnapshot(long throughOffset, byte[] stateBytes, CheckpointCoverage cover) {
 		this.throughOffset = throughOffset;
 		this.stateBytes = stateBytes.clone();
 		this.cover = cover;
@@ -45,7 +45,7 @@
 	 * Returns what the newest checkpoint on the stream covers.
 	 * @return the cover
 	 */
-	public CheckpointCover cover() {
+	public CheckpointCoverage cover() {
 		return this.cover;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamView.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamView.java
@@ -1,6 +1,6 @@
 package org.pistachioline.daemon.agreed;
 
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 import org.pistachioline.core.stream.StreamCondition;
 
 /**
@@ -20,8 +20,8 @@
  * @param skippedEntries how many broken entries were skipped
  */
 public record StreamView<S>(S state, long nextOffset, StreamCondition condition, boolean caughtUp, long readAtNanos,
-		boolean logReachable, boolean wantsCheckpoint, CheckpointCover cover, long foldedRecords, long rejectedRecords,
-		long skippedEntries) {
+		boolean logReachable, boolean wantsCheckpoint, CheckpointCoverage cover, long foldedRecords,
+		long rejectedRecords, long skippedEntries) {
 
 	/**
 	 * Returns whether what is absent from the state is known not to exist.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimForwarder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimForwarder.java
@@ -18,7 +18,7 @@
 import org.pistachioline.core.claims.ClaimsState;
 import org.pistachioline.core.record.KeyOutcome;
 import org.pistachioline.core.record.KeyRelease;
-import org.pistachioline.core.stream.StreamKeepers;
+import org.pistachioline.core.stream.StreamAssignment;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.daemon.Lifecycle;
@@ -317,7 +317,7 @@
 	private void renewFollowers() {
 		final Set<String> ids = this.daemonIds.get();
 		for (final StreamDuty<ClaimsState> partition : this.local.partitions()) {
-			final List<String> now = StreamKeepers.followers(partition.stream(), ids);
+			final List<String> now = StreamAssignment.followers(partition.stream(), ids);
 			this.followers.put(partition.stream(), now);
 			partition.follow(now.contains(this.selfId));
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimFrames.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimFrames.java
@@ -6,7 +6,7 @@
 import org.pistachioline.adapters.codec.RecordCodec;
 import org.pistachioline.core.record.KeyOutcome;
 import org.pistachioline.core.record.KeyRelease;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.protocol.peer.ClaimAnswer;
@@ -38,7 +38,7 @@
 	}
 
 	static RequestInfo infoOf(ClaimQuestion question) {
-		return RequestInfo.ofClaim(question.getWorkspace(), new ClaimNeed(question.getKeySha256(),
+		return RequestInfo.forClaim(question.getWorkspace(), new ClaimRequirement(question.getKeySha256(),
 				question.getRequestDigest(), question.getLifetimeMillis(), question.getRunBoundMillis()));
 	}
 
@@ -90,7 +90,7 @@
 	}
 
 	private static RequestInfo infoOf(String workspace, String keyHash) {
-		return RequestInfo.ofClaim(workspace, new ClaimNeed(keyHash, "", 0));
+		return RequestInfo.forClaim(workspace, new ClaimRequirement(keyHash, "", 0));
 	}
 
 	static PeerFrame receipt(long noteId) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimService.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimService.java
@@ -18,7 +18,7 @@
 import org.pistachioline.core.record.KeyRelease;
 import org.pistachioline.core.record.RecordBody;
 import org.pistachioline.core.state.RejectReason;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.daemon.Lifecycle;
@@ -132,7 +132,7 @@
 		if (!view.logReachable()) {
 			return CompletableFuture.completedFuture(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 		}
-		final ClaimNeed need = info.claim();
+		final ClaimRequirement need = info.claim();
 		final long nowMillis = System.currentTimeMillis();
 		final CompletableFuture<RecordVerdict> verdict = this.appender.append(partition.stream(), new KeyClaim(
 				info.workspace(), need.keyHash(), need.requestDigest(), nowMillis, nowMillis + need.lifetimeMillis()));
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
@@ -33,7 +33,7 @@
 import org.pistachioline.core.manifest.WorkspaceSpec;
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.placement.PrefixHashes;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
@@ -140,8 +140,8 @@
 		return new RequestInfo(requestId, workspace.name(), TargetKind.MODEL, completion.model(), promptTokens,
 				completion.maxTokens(), completion.priority(),
 				nowNanos + TimeUnit.MILLISECONDS.toNanos(manifest.deadlines().firstTokenMillis()),
-				nowNanos + TimeUnit.MILLISECONDS.toNanos(manifest.deadlines().totalMillis()), true, ClaimNeed.NONE,
-				fingerprint, PrefixHashes.of(completion.prompt()));
+				nowNanos + TimeUnit.MILLISECONDS.toNanos(manifest.deadlines().totalMillis()), true,
+				ClaimRequirement.NONE, fingerprint, PrefixHashes.of(completion.prompt()));
 	}
 
 	private CompletionStage<HttpResponse> callService(HttpRequest request, long requestId) {
@@ -161,11 +161,12 @@
 		require(key.length() <= MAX_KEY_LENGTH, ErrorKind.MALFORMED_REQUEST);
 		final String pathAndQuery = path + request.getUri().rawQueryString().map((query) -> "?" + query).orElse("");
 		return body(request).thenCompose((bytes) -> {
-			final ClaimNeed claim = idempotent ? ClaimNeed.NONE : new ClaimNeed(DigestUtils.sha256Hex(key),
-					DigestUtils.sha256Hex(name + '\n' + request.method().value() + '\n' + pathAndQuery + '\n'
-							+ DigestUtils.sha256Hex(bytes)),
-					operation.map(OperationSpec::keyLifetimeMillis).orElse(0L),
-					service.timeoutMillis() + CLAIM_MARGIN_MILLIS);
+			final ClaimRequirement claim = idempotent ? ClaimRequirement.NONE
+					: new ClaimRequirement(DigestUtils.sha256Hex(key),
+							DigestUtils.sha256Hex(name + '\n' + request.method().value() + '\n' + pathAndQuery + '\n'
+									+ DigestUtils.sha256Hex(bytes)),
+							operation.map(OperationSpec::keyLifetimeMillis).orElse(0L),
+							service.timeoutMillis() + CLAIM_MARGIN_MILLIS);
 			final long nowNanos = System.nanoTime();
 			final long deadlineNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(service.timeoutMillis());
 			final RequestInfo info = new RequestInfo(requestId, workspace.name(), TargetKind.SERVICE, name, 1, 1, 0,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointFetch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointFetch.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.pistachioline.adapters.stream.CheckpointParts;
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 import org.pistachioline.daemon.agreed.StreamSnapshot;
 import org.pistachioline.protocol.peer.CheckpointReply;
 import org.pistachioline.protocol.peer.CheckpointRequest;
@@ -30,7 +30,7 @@
 
 	private long throughOffset;
 
-	private CheckpointCover cover = CheckpointCover.NONE;
+	private CheckpointCoverage cover = CheckpointCoverage.NONE;
 
 	private int nextPart;
 
@@ -73,7 +73,7 @@
 		if (this.nextPart == 0) {
 			this.throughOffset = reply.getThroughOffset();
 			this.parts = reply.getParts();
-			this.cover = new CheckpointCover(reply.getCoveredThrough(), reply.getNeededSinceMillis());
+			this.cover = new CheckpointCoverage(reply.getCoveredThrough(), reply.getNeededSinceMillis());
 		}
 		final boolean tooOld = reply.getThroughOffset() + 1 < this.floorOffset;
 		if (tooOld || reply.getThroughOffset() != this.throughOffset || reply.getParts() != this.parts) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointOffer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointOffer.java
@@ -9,7 +9,7 @@
 
 import org.pistachioline.adapters.stream.CheckpointParts;
 import org.pistachioline.core.record.CheckpointPart;
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 import org.pistachioline.daemon.agreed.StreamSnapshot;
 import org.pistachioline.protocol.peer.CheckpointReply;
 import org.pistachioline.protocol.peer.CheckpointRequest;
@@ -31,7 +31,7 @@
 
 	private List<CheckpointPart> parts = List.of();
 
-	private CheckpointCover cover = CheckpointCover.NONE;
+	private CheckpointCoverage cover = CheckpointCoverage.NONE;
 
 	private long encodedAtNanos;
 
@@ -62,7 +62,7 @@
 			.setThroughOffset(part.throughOffset())
 			.setParts(part.parts())
 			.setCoveredThrough(this.cover.throughOffset())
-			.setNeededSinceMillis(this.cover.neededSinceMillis())
+			.setNeededSinceMillis(this.cover.oldestUncoveredMillis())
 			.setState(ByteString.copyFrom(part.stateBytes()))
 			.build();
 	}
@@ -72,7 +72,7 @@
 			return;
 		}
 		final Optional<StreamSnapshot> now = this.source.get();
-		this.cover = now.map(StreamSnapshot::cover).orElse(CheckpointCover.NONE);
+		this.cover = now.map(StreamSnapshot::cover).orElse(CheckpointCoverage.NONE);
 		this.parts = now.map((snapshot) -> CheckpointParts.cut(snapshot.throughOffset(), snapshot.stateBytes()))
 			.orElse(List.of());
 		this.encodedAtNanos = nowNanos;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/EventRelay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/EventRelay.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 /**
@@ -96,8 +96,9 @@
 	 * Returns how the attempt ended, where the target's answer ended in order.
 	 * @return the end; an answer without a length may stop anywhere and still end so
 	 */
-	AttemptEnd endInOrder() {
-		return new String(this.rest, StandardCharsets.UTF_8).isBlank() ? AttemptEnd.COMPLETE : AttemptEnd.BROKEN;
+	AttemptOutcome endInOrder() {
+		return new String(this.rest, StandardCharsets.UTF_8).isBlank() ? AttemptOutcome.COMPLETE
+				: AttemptOutcome.BROKEN;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -8,8 +8,8 @@
 import org.pistachioline.adapters.web.AnswerReceiver;
 import org.pistachioline.adapters.web.WebCall;
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
 import org.pistachioline.daemon.port.AnswerVerdict;
@@ -46,7 +46,7 @@
 
 	private AnswerHead head;
 
-	private AttemptEnd unlessBroken;
+	private AttemptOutcome unlessBroken;
 
 	private EventRelay events;
 
@@ -77,7 +77,7 @@
 	public boolean onSending() {
 		final boolean wanted = this.exchange.tools().gate().maySend(this.start.target().targetId());
 		if (!wanted) {
-			end(AttemptEnd.WITHHELD);
+			end(AttemptOutcome.WITHHELD);
 		}
 		return wanted;
 	}
@@ -94,11 +94,11 @@
 			hearBackoff(dialect, received);
 		}
 		switch (verdict) {
-			case DECLINED -> expect(AttemptEnd.DECLINED);
-			case FAILURE -> expect(AttemptEnd.FAILURE_ANSWERED);
-			case MISMATCHED -> giveUp(AttemptEnd.MISMATCHED);
+			case DECLINED -> expect(AttemptOutcome.DECLINED);
+			case FAILURE -> expect(AttemptOutcome.FAILURE_ANSWERED);
+			case MISMATCHED -> giveUp(AttemptOutcome.MISMATCHED);
 			case ANSWER -> {
-				expect(AttemptEnd.COMPLETE);
+				expect(AttemptOutcome.COMPLETE);
 				if (this.exchange.streaming() && received.status() == OK) {
 					stream();
 				}
@@ -125,7 +125,7 @@
 		}
 	}
 
-	private void expect(AttemptEnd how) {
+	private void expect(AttemptOutcome how) {
 		this.unlessBroken = how;
 	}
 
@@ -140,11 +140,11 @@
 	public void onBytes(byte[] bytes) {
 		if (this.events != null) {
 			if (!this.events.take(bytes, this.exchange.answer())) {
-				giveUp(AttemptEnd.MISMATCHED);
+				giveUp(AttemptOutcome.MISMATCHED);
 			}
 		}
 		else if (this.body.size() + bytes.length > MOST_ANSWER_BYTES) {
-			giveUp(AttemptEnd.BROKEN);
+			giveUp(AttemptOutcome.BROKEN);
 		}
 		else {
 			this.body.writeBytes(bytes);
@@ -165,7 +165,7 @@
 			end(this.events.endInOrder());
 			return;
 		}
-		if (this.unlessBroken != AttemptEnd.DECLINED) {
+		if (this.unlessBroken != AttemptOutcome.DECLINED) {
 			this.exchange.keep(TargetAnswer.of(this.head, this.body.toByteArray()), this.unlessBroken);
 		}
 		end(this.unlessBroken);
@@ -175,23 +175,23 @@
 	public void onFailure(Throwable failure) {
 		// A target that said it has not run the request said so, whatever happens to the
 		// rest of its answer.
-		if (this.unlessBroken == AttemptEnd.DECLINED) {
-			end(AttemptEnd.DECLINED);
+		if (this.unlessBroken == AttemptOutcome.DECLINED) {
+			end(AttemptOutcome.DECLINED);
 		}
 		else {
 			final boolean connected = !(failure instanceof NotConnectedException);
 			if (connected && !this.over) {
 				onBreak();
 			}
-			end(connected ? AttemptEnd.BROKEN : AttemptEnd.NOT_CONNECTED);
+			end(connected ? AttemptOutcome.BROKEN : AttemptOutcome.NOT_CONNECTED);
 		}
 	}
 
 	void cancel() {
-		giveUp(AttemptEnd.CANCELLED);
+		giveUp(AttemptOutcome.CANCELLED);
 	}
 
-	private void giveUp(AttemptEnd how) {
+	private void giveUp(AttemptOutcome how) {
 		if (!this.over) {
 			if (this.call != null) {
 				this.call.abort();
@@ -211,7 +211,7 @@
 		}
 	}
 
-	private void end(AttemptEnd how) {
+	private void end(AttemptOutcome how) {
 		if (this.over) {
 			return;
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -8,8 +8,8 @@
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.record.KeyOutcome;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
@@ -96,11 +96,11 @@
 			// The order to send was on its way when the caller left. On a daemon that
 			// runs
 			// late that is most of a second, and the target would work for nobody.
-			listener.onEnd(start.attempt(), AttemptEnd.CANCELLED, this.position.events());
+			listener.onEnd(start.attempt(), AttemptOutcome.CANCELLED, this.position.events());
 			return;
 		}
 		if (!this.tools.gate().maySend(start.target().targetId())) {
-			listener.onEnd(start.attempt(), AttemptEnd.WITHHELD, this.position.events());
+			listener.onEnd(start.attempt(), AttemptOutcome.WITHHELD, this.position.events());
 			return;
 		}
 		final long leftMillis = Math.max(1,
@@ -121,8 +121,8 @@
 	 * @param whole the answer
 	 * @param how how the attempt ended
 	 */
-	void keep(TargetAnswer whole, AttemptEnd how) {
-		if (how == AttemptEnd.COMPLETE) {
+	void keep(TargetAnswer whole, AttemptOutcome how) {
+		if (how == AttemptOutcome.COMPLETE) {
 			this.complete = whole;
 		}
 		else {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
@@ -97,7 +97,7 @@
 
 	private void run(TrafficAction action) {
 		// A claim that was granted too late is given back after its request has ended.
-		if (action instanceof TrafficAction.Stalled stalled) {
+		if (action instanceof TrafficAction.ReportStall stalled) {
 			this.stalledTargets.accept(stalled.targetId());
 			return;
 		}
@@ -136,7 +136,7 @@
 			forget(replay.requestId());
 			replay(exchange);
 		}
-		else if (action instanceof TrafficAction.Suspect suspect) {
+		else if (action instanceof TrafficAction.ReportSuspect suspect) {
 			this.killers.report(suspect, System.currentTimeMillis());
 			Events.log(suspect.quarantine() ? EventId.REQUEST_QUARANTINED : EventId.REQUEST_SUSPECTED, "fingerprint",
 					suspect.fingerprint(), "target", suspect.target().targetId());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptFailures.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptFailures.java
@@ -4,7 +4,7 @@
 
 import org.apache.pekko.stream.BufferOverflowException;
 
-import org.pistachioline.core.traffic.AttemptEnd;
+import org.pistachioline.core.traffic.AttemptOutcome;
 
 /**
  * Tells how an attempt ended from the way its call failed.
@@ -19,14 +19,14 @@
 	 * @param failure the failure
 	 * @return not connected only where no connection was made at all
 	 */
-	static AttemptEnd classify(Throwable failure) {
+	static AttemptOutcome classify(Throwable failure) {
 		final Throwable cause = (failure instanceof CompletionException && failure.getCause() != null)
 				? failure.getCause() : failure;
 		final String message = String.valueOf(cause.getMessage());
 		final boolean connectFailed = message.startsWith("Tcp command [Connect(");
 		// A pool that is full takes no request, so nothing of it was sent.
 		final boolean notTaken = cause instanceof BufferOverflowException;
-		return (connectFailed || notTaken) ? AttemptEnd.NOT_CONNECTED : AttemptEnd.BROKEN;
+		return (connectFailed || notTaken) ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptListener.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptListener.java
@@ -1,7 +1,7 @@
 package org.pistachioline.daemon.traffic;
 
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 
 /**
  * Hears how an attempt goes, on any thread.
@@ -21,6 +21,6 @@
 	 * @param how how it ended
 	 * @param tokensDelivered the tokens that the caller has in all
 	 */
-	void onEnd(AttemptId attempt, AttemptEnd how, int tokensDelivered);
+	void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered);
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BackoffWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BackoffWatch.java
@@ -25,7 +25,7 @@
 	}
 
 	void renew(long nowNanos, TrafficCore core) {
-		this.reports = core.avoided().reports(nowNanos);
+		this.reports = core.targetBackoffs().reports(nowNanos);
 	}
 
 	List<BackoffReport> reports() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
@@ -81,7 +81,7 @@
 	boolean hear(long nowNanos, TargetCrash crash, TrafficCore core) {
 		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.startingFingerprints().size(),
 				"under_way", crash.inProgressFingerprints().size());
-		final boolean news = !core.crashed().hear(nowNanos, crash).isEmpty();
+		final boolean news = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
 		show(nowNanos, core);
 		tell(nowNanos, core);
 		return news;
@@ -95,7 +95,7 @@
 	 * @return whether a request is quarantined since
 	 */
 	boolean hearFromPeer(long nowNanos, List<SuspectedRequest> told, TrafficCore core) {
-		final boolean news = !core.crashed().hearFromPeer(nowNanos, told).isEmpty();
+		final boolean news = !core.targetCrashes().onPeerReports(nowNanos, told).isEmpty();
 		if (news) {
 			show(nowNanos, core);
 		}
@@ -115,21 +115,21 @@
 	}
 
 	private void tell(long nowNanos, TrafficCore core) {
-		final List<SuspectedRequest> news = core.crashed().takeNews(nowNanos);
+		final List<SuspectedRequest> news = core.targetCrashes().drainBroadcast(nowNanos);
 		if (!news.isEmpty()) {
 			this.peers.accept(news);
 		}
 		if (this.sampled || this.sample.isEmpty()) {
-			this.sample = core.crashed().sample(nowNanos);
+			this.sample = core.targetCrashes().gossipSample(nowNanos);
 			this.sampled = false;
 		}
 	}
 
 	private void show(long nowNanos, TrafficCore core) {
 		this.shownAtNanos = nowNanos;
-		this.reports = core.crashed().reports(nowNanos);
-		this.known = core.crashed().known();
-		final Set<String> now = core.crashed().quarantined();
+		this.reports = core.targetCrashes().reports(nowNanos);
+		this.known = core.targetCrashes().knownSuspects();
+		final Set<String> now = core.targetCrashes().quarantined();
 		logChange(now);
 		this.quarantined = now;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/KillerReports.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/KillerReports.java
@@ -40,11 +40,11 @@
 	 * @param nowMillis the wall clock's time
 	 */
 	@Override
-	public void report(TrafficAction.Suspect suspect, long nowMillis) {
+	public void report(TrafficAction.ReportSuspect suspect, long nowMillis) {
 		this.appender.append(this.fleetStream, recordOf(suspect, nowMillis));
 	}
 
-	static RecordBody recordOf(TrafficAction.Suspect suspect, long nowMillis) {
+	static RecordBody recordOf(TrafficAction.ReportSuspect suspect, long nowMillis) {
 		final long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(LogBasedQuarantine.QUARANTINE_MINUTES);
 		final String targetId = suspect.target().targetId();
 		if (suspect.quarantine()) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/KillerSink.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/KillerSink.java
@@ -13,6 +13,6 @@
 	 * @param suspect the request and the target that died
 	 * @param nowMillis the wall clock's time
 	 */
-	void report(TrafficAction.Suspect suspect, long nowMillis);
+	void report(TrafficAction.ReportSuspect suspect, long nowMillis);
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitWatch.java
@@ -44,8 +44,8 @@
 	}
 
 	void renew(long nowNanos, TrafficCore core) {
-		this.reports = core.limits().reports(nowNanos);
-		this.stated = core.limits().stated(nowNanos);
+		this.reports = core.targetLimits().reports(nowNanos);
+		this.stated = core.targetLimits().latestLimits(nowNanos);
 		this.toldIds = this.stated.stream().map(AdvertisedLimit::instanceId).collect(Collectors.toUnmodifiableSet());
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ModelExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ModelExchange.java
@@ -18,8 +18,8 @@
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.record.KeyOutcome;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficAction;
@@ -83,7 +83,7 @@
 			}
 			else if (answer.status().intValue() != OK) {
 				answer.discardEntityBytes(this.http.system());
-				listener.onEnd(start.attempt(), AttemptEnd.REFUSED, start.resumeFromTokens());
+				listener.onEnd(start.attempt(), AttemptOutcome.REFUSED, start.resumeFromTokens());
 			}
 			else {
 				relay(start, answer, listener);
@@ -152,7 +152,7 @@
 		}
 		else if (!cancelled.answered) {
 			// Nothing of a later answer can reach the caller, so the attempt is over.
-			cancelled.listener.onEnd(attempt, AttemptEnd.CANCELLED, cancelled.start.resumeFromTokens());
+			cancelled.listener.onEnd(attempt, AttemptOutcome.CANCELLED, cancelled.start.resumeFromTokens());
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RelayStage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RelayStage.java
@@ -16,8 +16,8 @@
 import org.apache.pekko.util.ByteString;
 import org.apache.pekko.util.ByteStringBuilder;
 
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 
 /**
  * Passes one attempt's events on to the caller, if they are this attempt's and in order.
@@ -124,12 +124,12 @@
 
 				@Override
 				public void onUpstreamFinish() {
-					close(ByteString.emptyByteString(), AttemptEnd.BROKEN);
+					close(ByteString.emptyByteString(), AttemptOutcome.BROKEN);
 				}
 
 				@Override
 				public void onUpstreamFailure(Throwable failure) {
-					close(ByteString.emptyByteString(), AttemptEnd.BROKEN);
+					close(ByteString.emptyByteString(), AttemptOutcome.BROKEN);
 				}
 
 			});
@@ -142,7 +142,7 @@
 
 				@Override
 				public void onDownstreamFinish(Throwable cause) {
-					end(AttemptEnd.CANCELLED);
+					end(AttemptOutcome.CANCELLED);
 					cancelStage(cause);
 				}
 
@@ -167,8 +167,8 @@
 			RelayStage.this.listener.onProgress(RelayStage.this.attempt, this.tokens);
 		}
 
-		private void close(ByteString passed, AttemptEnd unlessComplete) {
-			end(this.sawEnd ? AttemptEnd.COMPLETE : unlessComplete);
+		private void close(ByteString passed, AttemptOutcome unlessComplete) {
+			end(this.sawEnd ? AttemptOutcome.COMPLETE : unlessComplete);
 			final boolean addDone = this.sawEnd && !this.sawDone;
 			final ByteString last = addDone ? passed.concat(DONE_EVENT) : passed;
 			if (last.isEmpty()) {
@@ -193,7 +193,7 @@
 			int eventEnd = endOfEvent(bytes, start);
 			while (eventEnd >= 0) {
 				if (!pass(bytes, start, eventEnd, passed)) {
-					close(passed.result(), AttemptEnd.MISMATCHED);
+					close(passed.result(), AttemptOutcome.MISMATCHED);
 					return;
 				}
 				start = eventEnd;
@@ -202,7 +202,7 @@
 			this.rest = ByteString.fromArray(bytes, start, bytes.length - start);
 			this.restEndsLine = !this.rest.isEmpty() && bytes[bytes.length - 1] == '\n';
 			if (this.rest.size() > LARGEST_EVENT_BYTES) {
-				close(passed.result(), AttemptEnd.MISMATCHED);
+				close(passed.result(), AttemptOutcome.MISMATCHED);
 				return;
 			}
 			if (passed.isEmpty()) {
@@ -270,7 +270,7 @@
 			return true;
 		}
 
-		private void end(AttemptEnd how) {
+		private void end(AttemptOutcome how) {
 			if (!this.ended) {
 				this.ended = true;
 				RelayStage.this.listener.onEnd(RelayStage.this.attempt, how, this.tokens);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceExchange.java
@@ -16,8 +16,8 @@
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.record.KeyOutcome;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TrafficAction;
 
@@ -80,7 +80,7 @@
 				this.answer = got;
 			}
 			// An answer that comes after its attempt was given up is dropped by its id.
-			listener.onEnd(start.attempt(), AttemptEnd.COMPLETE, 0);
+			listener.onEnd(start.attempt(), AttemptOutcome.COMPLETE, 0);
 		});
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetWatch.java
@@ -48,7 +48,7 @@
 			return onLimit(nowNanos, heard);
 		}
 		if (message instanceof TrafficMessage.LimitsTold told) {
-			return onLimitsChanged(nowNanos, this.core.limits().hearFromPeer(nowNanos, told.stated()), true);
+			return onLimitsChanged(nowNanos, this.core.targetLimits().onPeerLimits(nowNanos, told.stated()), true);
 		}
 		if (message instanceof TrafficMessage.BackoffHeard heard) {
 			return onBackoff(nowNanos, heard);
@@ -66,7 +66,8 @@
 	}
 
 	private boolean onLimit(long nowNanos, TrafficMessage.LimitHeard heard) {
-		return this.core.limits().hear(nowNanos, heard.sentAtNanos(), heard.instanceId(), heard.requestsPerSecond())
+		return this.core.targetLimits()
+			.onResponse(nowNanos, heard.sentAtNanos(), heard.instanceId(), heard.requestsPerSecond())
 				&& onLimitsChanged(nowNanos,
 						List.of(new AdvertisedLimit(heard.instanceId(), heard.requestsPerSecond(), nowNanos)), false);
 	}
@@ -80,8 +81,8 @@
 	}
 
 	private boolean onBackoff(long nowNanos, TrafficMessage.BackoffHeard heard) {
-		final boolean news = this.core.avoided()
-			.hearBackoff(heard.heardAtNanos(), heard.instanceId(), heard.forNanos());
+		final boolean news = this.core.targetBackoffs()
+			.onBackoff(heard.heardAtNanos(), heard.instanceId(), heard.forNanos());
 		if (news) {
 			this.backoffs.onBackoff(heard.instanceId(), heard.forNanos());
 			this.backoffs.renew(nowNanos, this.core);
@@ -90,7 +91,7 @@
 	}
 
 	private boolean onLeaving(long nowNanos, String instanceId) {
-		final boolean news = this.core.avoided().hearLeaving(nowNanos, instanceId);
+		final boolean news = this.core.targetBackoffs().onLeaving(nowNanos, instanceId);
 		if (news) {
 			this.backoffs.onLeaving(instanceId);
 			this.backoffs.renew(nowNanos, this.core);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TraceRecorder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TraceRecorder.java
@@ -127,7 +127,7 @@
 	}
 
 	private static String key(RequestInfo info) {
-		return info.claim().isNeeded() ? DigestUtils.sha256Hex(info.claim().keyHash()).substring(0, KEY_DIGITS) : "";
+		return info.claim().isRequired() ? DigestUtils.sha256Hex(info.claim().keyHash()).substring(0, KEY_DIGITS) : "";
 	}
 
 	private static void append(StringBuilder lines, String kind, Object... pairs) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -18,8 +18,8 @@
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.state.FleetState;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.core.traffic.TrafficCore;
@@ -286,7 +286,7 @@
 	}
 
 	@Override
-	public void onEnd(AttemptId attempt, AttemptEnd how, int tokensDelivered) {
+	public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
 		this.duty.put(new TrafficMessage.Ended(attempt, how, tokensDelivered));
 	}
 
@@ -305,7 +305,7 @@
 	private void killers(long nowNanos) {
 		final long nowMillis = System.currentTimeMillis();
 		this.killersAtNanos = nowNanos;
-		carryOut(this.core.onKillers(nowNanos, KillerReports.quarantined(this.fleet, nowMillis),
+		carryOut(this.core.onQuarantines(nowNanos, KillerReports.quarantined(this.fleet, nowMillis),
 				KillerReports.suspected(this.fleet, nowMillis)));
 	}
 
@@ -332,7 +332,7 @@
 			onClaimed(nowNanos, claimed);
 		}
 		else if (message instanceof TrafficMessage.CallerGone gone) {
-			carryOut(this.core.onCallerGone(nowNanos, gone.requestId()));
+			carryOut(this.core.onCallerDisconnected(nowNanos, gone.requestId()));
 		}
 		else if (message instanceof TrafficMessage.Configured configured) {
 			carryOut(this.core.onManifest(nowNanos, configured.manifest()));
@@ -352,7 +352,7 @@
 			this.core.onCacheEvents(nowNanos, cached.events());
 		}
 		else if (message instanceof TrafficMessage.Leave) {
-			this.core.leave();
+			this.core.stopAdmission();
 		}
 		else if (this.watch.take(nowNanos, message)) {
 			carryOut(this.core.onTick(nowNanos));
@@ -360,13 +360,13 @@
 	}
 
 	private void onEnded(long nowNanos, TrafficMessage.Ended ended) {
-		final boolean answered = ended.how() == AttemptEnd.COMPLETE || ended.how() == AttemptEnd.MISMATCHED;
-		if (ended.how() == AttemptEnd.MISMATCHED || (answered && !this.core.isLive(ended.attempt()))) {
+		final boolean answered = ended.how() == AttemptOutcome.COMPLETE || ended.how() == AttemptOutcome.MISMATCHED;
+		if (ended.how() == AttemptOutcome.MISMATCHED || (answered && !this.core.isLive(ended.attempt()))) {
 			this.answersDropped++;
 			Events.log(EventId.ANSWER_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.how());
 		}
-		else if (ended.how() != AttemptEnd.COMPLETE && ended.how() != AttemptEnd.CANCELLED
-				&& ended.how() != AttemptEnd.WITHHELD && this.core.isLive(ended.attempt())) {
+		else if (ended.how() != AttemptOutcome.COMPLETE && ended.how() != AttemptOutcome.CANCELLED
+				&& ended.how() != AttemptOutcome.WITHHELD && this.core.isLive(ended.attempt())) {
 			Events.log(EventId.ATTEMPT_FAILED, "attempt", ended.attempt().wireForm(), "end", ended.how());
 		}
 		carryOut(this.core.onAttemptEnd(nowNanos, ended.attempt(), ended.how(), ended.tokensDelivered()));
@@ -381,8 +381,8 @@
 
 	private void carryOut(List<TrafficAction> actions) {
 		this.runner.run(actions);
-		this.held = this.core.held();
-		this.queued = this.core.queued();
+		this.held = this.core.activeRequestCount();
+		this.queued = this.core.queuedRequestCount();
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -10,8 +10,8 @@
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
 import org.pistachioline.core.state.FleetState;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.daemon.claims.ClaimResult;
 
@@ -44,7 +44,7 @@
 	 * @param how how it ended
 	 * @param tokensDelivered the tokens that the caller has
 	 */
-	record Ended(AttemptId attempt, AttemptEnd how, int tokensDelivered) implements TrafficMessage {
+	record Ended(AttemptId attempt, AttemptOutcome how, int tokensDelivered) implements TrafficMessage {
 	}
 
 	/**
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
@@ -19,8 +19,8 @@
 import org.pistachioline.adapters.http.ActorSystems;
 import org.pistachioline.core.claims.ClaimsReducer;
 import org.pistachioline.core.claims.ClaimsState;
-import org.pistachioline.core.stream.StreamKeepers;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.stream.StreamAssignment;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.daemon.MemoryLog;
@@ -36,7 +36,7 @@
 	private static final String STREAM = "claims-0";
 
 	private static final Set<String> IDS = new TreeSet<>(
-			IntStream.range(0, StreamKeepers.SMALL_FLEET + 1).mapToObj((i) -> "d" + i).toList());
+			IntStream.range(0, StreamAssignment.MAX_DAEMONS_ALL_FOLLOW + 1).mapToObj((i) -> "d" + i).toList());
 
 	private final MemoryLog log = new MemoryLog();
 
@@ -72,16 +72,16 @@
 	}
 
 	private static String follower() {
-		return StreamKeepers.followers(STREAM, IDS).get(0);
+		return StreamAssignment.followers(STREAM, IDS).get(0);
 	}
 
 	private static String bystander(int index) {
-		final List<String> order = StreamKeepers.order(STREAM, IDS);
+		final List<String> order = StreamAssignment.rankedDaemons(STREAM, IDS);
 		return order.get(order.size() - 1 - index);
 	}
 
 	private static RequestInfo booking(String key) {
-		return RequestInfo.ofClaim("w", new ClaimNeed(key, "digest", 60_000));
+		return RequestInfo.forClaim("w", new ClaimRequirement(key, "digest", 60_000));
 	}
 
 	private ClaimsState folded() {
