--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
@@ -11,7 +11,7 @@
 import org.pistachioline.adapters.http.ActorSystems;
 import org.pistachioline.core.claims.ClaimsReducer;
 import org.pistachioline.core.claims.ClaimsState;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
@@ -54,7 +54,7 @@
 
 	private static RequestInfo booking(long requestId, String key, String digest) {
 		return new RequestInfo(requestId, "w", TargetKind.SERVICE, "orders", 1, 1, 0, 0, 0, false,
-				new ClaimNeed(key, digest, 60_000), "", List.of());
+				new ClaimRequirement(key, digest, 60_000), "", List.of());
 	}
 
 	private ClaimsState folded() {
@@ -118,7 +118,7 @@
 		final ClaimService two = daemon("two", 60_000);
 		final RequestInfo patient = booking(2, "k", "d");
 		final RequestInfo later = new RequestInfo(3, "w", TargetKind.SERVICE, "orders", 1, 1, 0, 0, 0, false,
-				new ClaimNeed("k", "d", 60_000, -1), "", List.of());
+				new ClaimRequirement("k", "d", 60_000, -1), "", List.of());
 		assertThat(two.claim(patient).join().verdict()).isEqualTo(ClaimVerdict.IN_PROGRESS);
 		assertThat(two.claim(later).join().verdict()).isEqualTo(ClaimVerdict.UNKNOWN);
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 import org.pistachioline.adapters.stream.CheckpointParts;
-import org.pistachioline.core.stream.CheckpointCover;
+import org.pistachioline.core.stream.CheckpointCoverage;
 import org.pistachioline.daemon.agreed.StreamSnapshot;
 import org.pistachioline.protocol.peer.CheckpointReply;
 import org.pistachioline.protocol.peer.CheckpointRequest;
@@ -19,7 +19,7 @@
 
 	private static final long THROUGH_OFFSET = 41;
 
-	private static final CheckpointCover COVER = new CheckpointCover(30, 12_345);
+	private static final CheckpointCoverage COVER = new CheckpointCoverage(30, 12_345);
 
 	private int encodings;
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
@@ -21,9 +21,9 @@
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.replica.LoadReport;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.AttemptOutcome;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
@@ -132,7 +132,7 @@
 
 	private static RequestInfo info() {
 		return new RequestInfo(7, "", TargetKind.MODEL, "pool/m", 100, 60, 0, Long.MAX_VALUE, Long.MAX_VALUE, true,
-				ClaimNeed.NONE, "", List.of());
+				ClaimRequirement.NONE, "", List.of());
 	}
 
 	private static RelayedCall call() {
@@ -149,7 +149,7 @@
 		}
 
 		@Override
-		public void onEnd(AttemptId attempt, AttemptEnd how, int tokensDelivered) {
+		public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
 			RelayExchangeTests.this.told.add(how.name());
 		}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
@@ -34,7 +34,7 @@
 import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.queueing.FifoQueue;
 import org.pistachioline.core.retry.BudgetedRetry;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
@@ -219,7 +219,7 @@
 	private HttpResponse call(long requestId, String key) {
 		final long deadlineNanos = System.nanoTime() + TimeUnit.MINUTES.toNanos(1);
 		final RequestInfo info = new RequestInfo(requestId, "w", TargetKind.SERVICE, "s", 1, 1, 0, deadlineNanos,
-				deadlineNanos, false, new ClaimNeed(key, "digest", 600_000), "", List.of());
+				deadlineNanos, false, new ClaimRequirement(key, "digest", 600_000), "", List.of());
 		return this.exchanges
 			.call(info, "r-" + requestId, HttpRequest.POST("/services/s/book"), "/book", new byte[] { 1 }, key, 30_000)
 			.join();
@@ -228,7 +228,7 @@
 	private static RequestInfo completion(long requestId) {
 		final long deadlineNanos = System.nanoTime() + TimeUnit.MINUTES.toNanos(1);
 		return new RequestInfo(requestId, "w", TargetKind.MODEL, "m", 1, 100, 0, deadlineNanos, deadlineNanos, true,
-				ClaimNeed.NONE, "f" + requestId, List.of());
+				ClaimRequirement.NONE, "f" + requestId, List.of());
 	}
 
 	private static byte[] body() {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/RelayStageTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/RelayStageTests.java
@@ -16,8 +16,8 @@
 import org.apache.pekko.util.ByteString;
 
 import org.pistachioline.adapters.http.ActorSystems;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -55,11 +55,11 @@
 		final byte[] whole = answer(1, 0);
 		final byte[] cut = Arrays.copyOf(whole, random.nextInt(whole.length));
 		final Relayed first = relay(1, 0, pieces(random, cut), random.nextBoolean());
-		if (first.end == AttemptEnd.COMPLETE) {
+		if (first.end == AttemptOutcome.COMPLETE) {
 			assertThat(first.text).isEqualTo(expected(0, TOKENS) + endOfAnswer());
 			return;
 		}
-		assertThat(first.end).isEqualTo(AttemptEnd.BROKEN);
+		assertThat(first.end).isEqualTo(AttemptOutcome.BROKEN);
 		final Relayed second = relay(2, first.tokens, pieces(random, answer(2, first.tokens)), false);
 		assertThat(first.text + second.text).isEqualTo(expected(0, TOKENS) + endOfAnswer());
 	}
@@ -77,7 +77,7 @@
 		}
 		events.set(at, wrong(random, at));
 		final Relayed relayed = relay(1, 0, pieces(random, join(events).getBytes(StandardCharsets.UTF_8)), false);
-		assertThat(relayed.end).isEqualTo(AttemptEnd.MISMATCHED);
+		assertThat(relayed.end).isEqualTo(AttemptOutcome.MISMATCHED);
 		assertThat(relayed.text).isEqualTo(expected(0, at));
 		assertThat(relayed.tokens).isEqualTo(at);
 	}
@@ -153,7 +153,7 @@
 
 		private String text;
 
-		private AttemptEnd end;
+		private AttemptOutcome end;
 
 		private int tokens;
 
@@ -163,7 +163,7 @@
 		}
 
 		@Override
-		public void onEnd(AttemptId attempt, AttemptEnd how, int tokensDelivered) {
+		public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
 			this.ends.add(attempt.wireForm() + " " + how + " " + tokensDelivered);
 			this.end = how;
 			this.tokens = tokensDelivered;
--- a/pistachioline-e2e/src/test/java/org/pistachioline/e2e/LargeFleetTests.java
+++ b/pistachioline-e2e/src/test/java/org/pistachioline/e2e/LargeFleetTests.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.stream.StreamKeepers;
+import org.pistachioline.core.stream.StreamAssignment;
 import org.pistachioline.standins.local.LocalDaemon;
 import org.pistachioline.standins.local.LocalHttp;
 
@@ -14,7 +14,7 @@
 
 class LargeFleetTests {
 
-	private static final int DAEMONS = StreamKeepers.SMALL_FLEET + 2;
+	private static final int DAEMONS = StreamAssignment.MAX_DAEMONS_ALL_FOLLOW + 2;
 
 	// In a fleet of more than eight only two daemons follow a partition of the claims,
 	// and
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/SimulatedDaemon.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/SimulatedDaemon.java
@@ -15,8 +15,8 @@
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.LiveDaemons;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficAction;
@@ -92,7 +92,7 @@
 	}
 
 	int queued() {
-		return this.core.queued();
+		return this.core.queuedRequestCount();
 	}
 
 	double chance() {
@@ -118,7 +118,7 @@
 
 	void killers(Set<String> quarantined, Map<String, String> suspectTargetIds) {
 		if (this.alive) {
-			act(this.core.onKillers(this.events.nowNanos(), quarantined, suspectTargetIds));
+			act(this.core.onQuarantines(this.events.nowNanos(), quarantined, suspectTargetIds));
 		}
 	}
 
@@ -130,7 +130,7 @@
 
 	void hear(String peer, Map<String, Double> demand) {
 		this.heardAtNanos.put(peer, this.events.nowNanos());
-		this.shares.onPeer(this.events.nowNanos(), peer, false, demand);
+		this.shares.onPeerDemand(this.events.nowNanos(), peer, false, demand);
 	}
 
 	void share(List<String> workspaces) {
@@ -168,14 +168,14 @@
 		this.core.onProgress(this.events.nowNanos(), run.attempt, run.position);
 	}
 
-	void onAttemptEnd(Run run, AttemptEnd how) {
+	void onAttemptEnd(Run run, AttemptOutcome how) {
 		if (!this.alive) {
 			return;
 		}
 		run.submission.liveRuns--;
 		this.runs.remove(run.attempt);
 		final SimulatedTarget target = this.targetsByAttempt.remove(run.attempt);
-		if (how == AttemptEnd.COMPLETE) {
+		if (how == AttemptOutcome.COMPLETE) {
 			this.simulation.figures().onComplete(run, target);
 		}
 		act(this.core.onAttemptEnd(this.events.nowNanos(), run.attempt, how, run.position));
@@ -206,7 +206,7 @@
 			else if (action instanceof TrafficAction.Replay) {
 				end(submission, true);
 			}
-			else if (action instanceof TrafficAction.Suspect suspect) {
+			else if (action instanceof TrafficAction.ReportSuspect suspect) {
 				this.simulation.suspect(suspect);
 			}
 		}
@@ -232,7 +232,8 @@
 			// As the daemon's exchanges do, the end is told after the cancellation.
 			this.events.afterMillis(0, () -> {
 				if (this.alive) {
-					act(this.core.onAttemptEnd(this.events.nowNanos(), attempt, AttemptEnd.CANCELLED, run.position));
+					act(this.core.onAttemptEnd(this.events.nowNanos(), attempt, AttemptOutcome.CANCELLED,
+							run.position));
 				}
 			});
 		}
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/SimulatedTarget.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/SimulatedTarget.java
@@ -8,8 +8,8 @@
 import java.util.PriorityQueue;
 
 import org.pistachioline.core.placement.PrefixHashes;
-import org.pistachioline.core.traffic.AttemptEnd;
 import org.pistachioline.core.traffic.AttemptId;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.replay.trace.ModelLine;
@@ -138,7 +138,7 @@
 		}
 		if (this.down || !targetId.equals(targetId())) {
 			run.over = true;
-			run.submission.daemon.onAttemptEnd(run, AttemptEnd.NOT_CONNECTED);
+			run.submission.daemon.onAttemptEnd(run, AttemptOutcome.NOT_CONNECTED);
 			return;
 		}
 		run.submission.reachedTarget = true;
@@ -192,7 +192,7 @@
 			if (this.kind == TargetKind.MODEL) {
 				run.submission.daemon.onProgress(run);
 			}
-			run.submission.daemon.onAttemptEnd(run, answerLost(run) ? AttemptEnd.BROKEN : AttemptEnd.COMPLETE);
+			run.submission.daemon.onAttemptEnd(run, answerLost(run) ? AttemptOutcome.BROKEN : AttemptOutcome.COMPLETE);
 			fill();
 			return;
 		}
@@ -235,7 +235,7 @@
 		for (final Run run : lost) {
 			if (!run.over) {
 				run.over = true;
-				run.submission.daemon.onAttemptEnd(run, AttemptEnd.BROKEN);
+				run.submission.daemon.onAttemptEnd(run, AttemptOutcome.BROKEN);
 			}
 		}
 	}
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/Simulation.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/Simulation.java
@@ -17,7 +17,7 @@
 import org.pistachioline.core.manifest.ServiceSpec;
 import org.pistachioline.core.manifest.WeightSpec;
 import org.pistachioline.core.manifest.WorkspaceSpec;
-import org.pistachioline.core.traffic.ClaimNeed;
+import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
@@ -265,12 +265,12 @@
 		final long totalNanos = atNanos + this.header.totalMillis() * 1_000_000L;
 		final long firstNanos = model ? atNanos + this.header.firstTokenMillis() * 1_000_000L : totalNanos;
 		final long requestId = this.nextRequestId++;
-		final ClaimNeed claim = (call.key().isEmpty() || !this.policies.claims()) ? ClaimNeed.NONE
-				: new ClaimNeed(call.workspace() + ":" + call.key(), "digest", this.header.totalMillis());
+		final ClaimRequirement claim = (call.key().isEmpty() || !this.policies.claims()) ? ClaimRequirement.NONE
+				: new ClaimRequirement(call.workspace() + ":" + call.key(), "digest", this.header.totalMillis());
 		final String fingerprint = call.fingerprint().isEmpty() ? "request-" + requestId : call.fingerprint();
 		return new RequestInfo(requestId, call.workspace(), model ? TargetKind.MODEL : TargetKind.SERVICE,
 				call.target(), call.promptTokens(), call.maxOutputTokens(), call.priority(), firstNanos, totalNanos,
-				!claim.isNeeded(), claim, fingerprint, call.prefixHashes());
+				!claim.isRequired(), claim, fingerprint, call.prefixHashes());
 	}
 
 	void refused(Submission submission, TrafficAction.Fail fail) {
@@ -298,7 +298,7 @@
 		this.openCalls--;
 	}
 
-	void suspect(TrafficAction.Suspect report) {
+	void suspect(TrafficAction.ReportSuspect report) {
 		this.events.afterMillis(this.header.logLatencyMillis(), () -> {
 			final String targetId = report.target().targetId();
 			final String known = this.suspects.putIfAbsent(report.fingerprint(), targetId);
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/UnlimitedRetry.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/UnlimitedRetry.java
@@ -2,7 +2,7 @@
 
 import org.pistachioline.core.retry.RetryDecision;
 import org.pistachioline.core.retry.RetryPolicy;
-import org.pistachioline.core.traffic.AttemptEnd;
+import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
@@ -11,7 +11,7 @@
 final class UnlimitedRetry implements RetryPolicy {
 
 	@Override
-	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptEnd how) {
+	public RetryDecision afterFailure(long nowNanos, RequestInfo info, int attempts, AttemptOutcome how) {
 		return (nowNanos < info.totalDeadlineNanos()) ? RetryDecision.RETRY : RetryDecision.GIVE_UP;
 	}
 
