--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -122,7 +122,7 @@
 			execute(this.synchronizer.onResponse(nowNanos, responseReceived.response()));
 		}
 		else if (message instanceof ListingMessage.ReadCompleted readCompleted) {
-			execute(this.synchronizer.onRead(nowNanos, readCompleted.read(), this.source.unsettled()));
+			execute(this.synchronizer.onRead(nowNanos, readCompleted.read(), this.source.isExpiryUnreliable()));
 		}
 	}
 
@@ -130,7 +130,7 @@
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
 		execute(this.synchronizer.onTick(nowNanos, this.liveIds, this.isPlanner.getAsBoolean(),
-				this.source.unsettled()));
+				this.source.isExpiryUnreliable()));
 		this.readsForOthers = this.synchronizer.readsForOthers();
 		updateAge(this.synchronizer.ageNanos(nowNanos));
 	}
@@ -159,10 +159,10 @@
 				this.listener.accept(publish.instances());
 			}
 			else if (action instanceof ListingAction.ReadSnapshot) {
-				this.source.whole().thenAccept(this::onRead);
+				this.source.readSnapshot().thenAccept(this::onRead);
 			}
 			else if (action instanceof ListingAction.ReadDelta readDelta) {
-				this.source.changes(readDelta.fromOffset()).thenAccept(this::onRead);
+				this.source.readDelta(readDelta.fromOffset()).thenAccept(this::onRead);
 			}
 		}
 	}
