--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -121,14 +121,14 @@
 			carryOut(this.node.onAnswer(nowNanos, answered.answer()));
 		}
 		else if (message instanceof ListingMessage.Read read) {
-			carryOut(this.node.onRead(nowNanos, read.read(), this.source.unsettled()));
+			carryOut(this.node.onRead(nowNanos, read.read(), this.source.isExpiryUnreliable()));
 		}
 	}
 
 	@Override
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
-		carryOut(this.node.onTick(nowNanos, this.liveIds, this.plans.getAsBoolean(), this.source.unsettled()));
+		carryOut(this.node.onTick(nowNanos, this.liveIds, this.plans.getAsBoolean(), this.source.isExpiryUnreliable()));
 		this.readsForOthers = this.node.readsForOthers();
 		noteAge(this.node.ageNanos(nowNanos));
 	}
@@ -157,10 +157,10 @@
 				this.receiver.accept(publish.instances());
 			}
 			else if (action instanceof ListingAction.ReadWhole) {
-				this.source.whole().thenAccept(this::onRead);
+				this.source.readSnapshot().thenAccept(this::onRead);
 			}
 			else if (action instanceof ListingAction.ReadChanges read) {
-				this.source.changes(read.fromOffset()).thenAccept(this::onRead);
+				this.source.readDelta(read.fromOffset()).thenAccept(this::onRead);
 			}
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -32,8 +32,8 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.CallHead;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -90,28 +90,28 @@
 		final long arrivedAtNanos = System.nanoTime();
 		final RouteTable table = this.routes.get();
 		require(table.known(), ErrorKind.NOT_READY);
-		final CallHead head = this.tools.dialect().read(request.headers());
+		final RequestMetadata head = this.tools.dialect().readRequest(request.headers());
 		final Route route = table.route(request.headers().first("Host").orElse(""), request.path())
 			.orElseThrow(() -> new PistachiolineException(ErrorKind.NOT_FOUND));
 		final Optional<KeyHolder> holder = holderOf(table, head);
 		final boolean open = route.anonymous() || table.keyHolders().isEmpty();
 		require(open || holder.isPresent(), ErrorKind.UNAUTHENTICATED);
 		final Optional<String> workspace = open ? Optional.empty() : holder.map(KeyHolder::name);
-		final RelayedCall call = new RelayedCall(head, request.method(), request.target(),
+		final RelayedRequest call = new RelayedRequest(head, request.method(), request.target(),
 				ConnectionHeaders.passedOn(request.headers()), request.body(), workspace);
 		final RequestInfo info = infoOf(id, arrivedAtNanos, table, route, call, holder);
 		final RelayExchange exchange = new RelayExchange(info, call, route.kind() == RouteKind.STREAM, this.tools,
 				answer);
 		reply.listen(exchange);
-		this.traffic.arrive(exchange);
+		this.traffic.submit(exchange);
 	}
 
-	private static RequestInfo infoOf(long id, long arrivedAtNanos, RouteTable table, Route route, RelayedCall call,
+	private static RequestInfo infoOf(long id, long arrivedAtNanos, RouteTable table, Route route, RelayedRequest call,
 			Optional<KeyHolder> holder) {
-		final CallHead head = call.head();
+		final RequestMetadata head = call.metadata();
 		final String service = route.serviceAt(ThreadLocalRandom.current().nextDouble());
 		final boolean grouped = table.service(service).filter((spec) -> spec.grouped()).isPresent();
-		final long waitMillis = Math.min(route.timeoutMillis(), head.waitMillis().orElse(route.timeoutMillis()));
+		final long waitMillis = Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
 		final long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
 		final long startNanos = arrivedAtNanos
 				+ TimeUnit.MILLISECONDS.toNanos(CallerPatience.latestStartMillis(route, waitMillis));
@@ -125,11 +125,11 @@
 
 	// All hashes are compared each time, so that the time of an answer tells nothing of
 	// how much of a guess was right.
-	private static Optional<KeyHolder> holderOf(RouteTable table, CallHead head) {
-		if (head.key().isEmpty()) {
+	private static Optional<KeyHolder> holderOf(RouteTable table, RequestMetadata head) {
+		if (head.apiKey().isEmpty()) {
 			return Optional.empty();
 		}
-		final byte[] hash = DigestUtils.sha256(head.key().get().getBytes(StandardCharsets.UTF_8));
+		final byte[] hash = DigestUtils.sha256(head.apiKey().get().getBytes(StandardCharsets.UTF_8));
 		KeyHolder found = null;
 		for (final KeyHolder holder : table.keyHolders()) {
 			for (final String keySha256 : holder.keySha256()) {
@@ -176,7 +176,7 @@
 
 	private String idOf(WebRequest request) {
 		try {
-			return this.tools.dialect().read(request.headers()).requestId();
+			return this.tools.dialect().readRequest(request.headers()).requestId();
 		}
 		catch (PistachiolineException ex) {
 			// The refusal that is being written says just this.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -25,7 +25,7 @@
 	 *
 	 * @param exchange the request
 	 */
-	record Arrived(Exchange exchange) implements TrafficMessage {
+	record RequestArrived(Exchange exchange) implements TrafficMessage {
 	}
 
 	/**
@@ -34,17 +34,17 @@
 	 * @param attempt the attempt
 	 * @param tokensDelivered the tokens that the caller has
 	 */
-	record Progressed(AttemptId attempt, int tokensDelivered) implements TrafficMessage {
+	record AttemptProgressed(AttemptId attempt, int tokensDelivered) implements TrafficMessage {
 	}
 
 	/**
 	 * An attempt ended.
 	 *
 	 * @param attempt the attempt
-	 * @param how how it ended
+	 * @param outcome how it ended
 	 * @param tokensDelivered the tokens that the caller has
 	 */
-	record Ended(AttemptId attempt, AttemptOutcome how, int tokensDelivered) implements TrafficMessage {
+	record AttemptEnded(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) implements TrafficMessage {
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 * @param requestId the request
 	 * @param result the result
 	 */
-	record Claimed(long requestId, ClaimResult result) implements TrafficMessage {
+	record ClaimDecided(long requestId, ClaimResult result) implements TrafficMessage {
 	}
 
 	/**
@@ -61,7 +61,7 @@
 	 *
 	 * @param requestId the request
 	 */
-	record CallerGone(long requestId) implements TrafficMessage {
+	record CallerDisconnected(long requestId) implements TrafficMessage {
 	}
 
 	/**
@@ -69,7 +69,7 @@
 	 *
 	 * @param manifest the manifest
 	 */
-	record Configured(Manifest manifest) implements TrafficMessage {
+	record ManifestChanged(Manifest manifest) implements TrafficMessage {
 	}
 
 	/**
@@ -77,7 +77,7 @@
 	 *
 	 * @param targets every target
 	 */
-	record Targets(List<TargetView> targets) implements TrafficMessage {
+	record TargetsChanged(List<TargetView> targets) implements TrafficMessage {
 	}
 
 	/**
@@ -85,7 +85,7 @@
 	 *
 	 * @param state the state
 	 */
-	record Fleet(FleetState state) implements TrafficMessage {
+	record FleetStateChanged(FleetState state) implements TrafficMessage {
 	}
 
 	/**
@@ -93,7 +93,7 @@
 	 *
 	 * @param events what it told
 	 */
-	record Cached(CacheEvents events) implements TrafficMessage {
+	record CacheChanged(CacheEvents events) implements TrafficMessage {
 	}
 
 	/**
@@ -103,17 +103,18 @@
 	 * @param sentAtNanos when the answer's request was sent
 	 * @param requestsPerSecond the limit that it names; empty where it names none
 	 */
-	record LimitHeard(String instanceId, long sentAtNanos, OptionalDouble requestsPerSecond) implements TrafficMessage {
+	record LimitReceived(String instanceId, long sentAtNanos,
+			OptionalDouble requestsPerSecond) implements TrafficMessage {
 	}
 
 	/**
 	 * A target's answer asked for no requests for a while.
 	 *
 	 * @param instanceId the instance
-	 * @param heardAtNanos when the answer came
+	 * @param receivedAtNanos when the answer came
 	 * @param forNanos for how long
 	 */
-	record BackoffHeard(String instanceId, long heardAtNanos, long forNanos) implements TrafficMessage {
+	record BackoffReceived(String instanceId, long receivedAtNanos, long forNanos) implements TrafficMessage {
 	}
 
 	/**
@@ -121,15 +122,15 @@
 	 *
 	 * @param instanceId the instance
 	 */
-	record LeavingHeard(String instanceId) implements TrafficMessage {
+	record LeavingReceived(String instanceId) implements TrafficMessage {
 	}
 
 	/**
 	 * Another daemon told of targets' limits.
 	 *
-	 * @param stated what the targets said
+	 * @param limits what the targets said
 	 */
-	record LimitsTold(List<StatedLimit> stated) implements TrafficMessage {
+	record PeerLimitsReceived(List<StatedLimit> limits) implements TrafficMessage {
 	}
 
 	/**
@@ -145,13 +146,13 @@
 	 *
 	 * @param requests the requests
 	 */
-	record SuspectedTold(List<SuspectedRequest> requests) implements TrafficMessage {
+	record PeerSuspectsReceived(List<SuspectedRequest> requests) implements TrafficMessage {
 	}
 
 	/**
 	 * The daemon leaves.
 	 */
-	record Leave() implements TrafficMessage {
+	record StopAdmission() implements TrafficMessage {
 	}
 
 	/**
@@ -161,7 +162,7 @@
 	 * @param leaving whether it is about to stop
 	 * @param demand its requests a second, by workspace
 	 */
-	record PeerDemand(String daemonId, boolean leaving, Map<String, Double> demand) implements TrafficMessage {
+	record PeerDemandReceived(String daemonId, boolean leaving, Map<String, Double> demand) implements TrafficMessage {
 	}
 
 }
