--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
@@ -15,8 +15,9 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Carries out what the core decides, for the requests that have not ended. One thread
- * calls it, but for {@link #settle}, {@link #setStallListener} and {@link #failures}.
+ * Executes the actions of the traffic core for the requests that have not ended. It is
+ * confined to the traffic duty's thread, except for {@link #settle},
+ * {@link #setStallListener} and {@link #failures}.
  */
 final class ActionRunner {
 
@@ -41,11 +42,11 @@
 
 	/**
 	 * Creates a runner without requests.
-	 * @param claims makes claims
-	 * @param suspectReporter shares which requests groups died under
-	 * @param recorder keeps recent arrivals, where that is set
-	 * @param listener hears how attempts go
-	 * @param claimResults takes verdicts on claims, on any thread
+	 * @param claims claims idempotency keys
+	 * @param suspectReporter receives the requests that were running when a group crashed
+	 * @param recorder records recent arrivals, if that is enabled
+	 * @param listener receives the progress and the end of attempts
+	 * @param claimResults receives the results of claims, on any thread
 	 */
 	ActionRunner(Claims claims, SuspectReporter suspectReporter, TraceRecorder recorder, AttemptListener listener,
 			Consumer<TrafficMessage.ClaimDecided> claimResults) {
@@ -69,8 +70,8 @@
 		this.exchanges.put(exchange.info().requestId(), exchange);
 	}
 
-	void onClaimResult(TrafficMessage.ClaimDecided verdict) {
-		this.requestClaims.recordResult(verdict, this.exchanges.containsKey(verdict.requestId()));
+	void onClaimResult(TrafficMessage.ClaimDecided decided) {
+		this.requestClaims.recordResult(decided, this.exchanges.containsKey(decided.requestId()));
 	}
 
 	void removeOutcome(long requestId) {
@@ -90,17 +91,17 @@
 			run(action);
 		}
 		catch (RuntimeException ex) {
-			// The actions after this one are other requests'; left out, those would hang.
+			// The remaining actions concern other requests, which would hang.
 			Events.log(EventId.REQUEST_FAULT, ex, "request", action.requestId());
 		}
 	}
 
 	private void run(TrafficAction action) {
-		// A claim that was granted too late is given back after its request has ended.
-		if (action instanceof TrafficAction.ReportStall stalled) {
-			this.stallListener.accept(stalled.targetId());
+		if (action instanceof TrafficAction.ReportStall stall) {
+			this.stallListener.accept(stall.targetId());
 			return;
 		}
+		// A claim that is granted too late is released after its request has ended.
 		if (action instanceof TrafficAction.Release release) {
 			this.requestClaims.release(release);
 			return;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptFailures.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptFailures.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.traffic.AttemptOutcome;
 
 /**
- * Tells how an attempt ended from the way its call failed.
+ * Maps the failure of an HTTP call to the outcome of its attempt.
  */
 final class AttemptFailures {
 
@@ -15,18 +15,19 @@
 	}
 
 	/**
-	 * Classifies a failure before an answer's head.
+	 * Classifies a failure that occurred before a response head was received.
 	 * @param failure the failure
-	 * @return not connected only where no connection was made at all
+	 * @return {@code NOT_CONNECTED} only if it is certain that no byte was sent; {@code
+	 * BROKEN} otherwise
 	 */
 	static AttemptOutcome classify(Throwable failure) {
 		final Throwable cause = (failure instanceof CompletionException && failure.getCause() != null)
 				? failure.getCause() : failure;
 		final String message = String.valueOf(cause.getMessage());
 		final boolean connectFailed = message.startsWith("Tcp command [Connect(");
-		// A pool that is full takes no request, so nothing of it was sent.
-		final boolean notTaken = cause instanceof BufferOverflowException;
-		return (connectFailed || notTaken) ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN;
+		// A full connection pool rejects a request before any byte of it is sent.
+		final boolean rejectedByPool = cause instanceof BufferOverflowException;
+		return (connectFailed || rejectedByPool) ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptListener.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/AttemptListener.java
@@ -4,23 +4,26 @@
 import org.pistachioline.core.traffic.AttemptOutcome;
 
 /**
- * Hears how an attempt goes, on any thread.
+ * Receives the progress and the end of an attempt, on any thread.
  */
 public interface AttemptListener {
 
 	/**
-	 * Called at the first token, and once a second while the attempt is alive.
+	 * Called at the first token and then periodically, while the attempt delivers tokens
+	 * or the caller reads slowly.
 	 * @param attempt the attempt
-	 * @param tokensDelivered the tokens that the caller has in all
+	 * @param tokensDelivered the total number of tokens delivered for the request,
+	 * earlier attempts included
 	 */
 	void onProgress(AttemptId attempt, int tokensDelivered);
 
 	/**
-	 * Called once, at the end.
+	 * Called exactly once, when the attempt has ended.
 	 * @param attempt the attempt
-	 * @param how how it ended
-	 * @param tokensDelivered the tokens that the caller has in all
+	 * @param outcome how the attempt ended
+	 * @param tokensDelivered the total number of tokens delivered for the request,
+	 * earlier attempts included
 	 */
-	void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered);
+	void onEnd(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered);
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BackoffMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BackoffMonitor.java
@@ -9,7 +9,8 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Shows the targets that want no requests of this daemon.
+ * Logs the instances that ask for a backoff or are shutting down, and exposes the
+ * backoffs in force to other threads.
  */
 final class BackoffMonitor {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BufferedExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BufferedExchange.java
@@ -21,8 +21,8 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * A completion that is answered as a whole; it is streamed from the engine all the same,
- * so that a broken attempt is resumed and not run again from the start.
+ * A completion whose response is buffered and sent in one piece. The engine streams it
+ * nevertheless, so that a broken attempt can be resumed instead of rerun from the start.
  */
 final class BufferedExchange extends ModelExchange {
 
@@ -47,9 +47,9 @@
 
 	@Override
 	synchronized void onEvents(Source<ByteString, NotUsed> events) {
-		// One attempt after the other: the end of an attempt is reported when its last
-		// event
-		// is passed on, which may be before it was taken here.
+		// Attempts are consumed one after the other: the end of an attempt is reported
+		// when the relay stage forwards its last event, which may be before that event is
+		// consumed here.
 		this.eventsConsumed = this.eventsConsumed
 			.thenCompose((before) -> events.runForeach(this::appendEvents, http().system()).thenApply((done) -> null));
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
@@ -14,11 +14,12 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Tells the core and other daemons of requests under which targets died, and shows them.
+ * Passes reports of crashed targets to the traffic core and to other daemons, and exposes
+ * the suspected requests to other threads.
  */
 public final class CrashMonitor {
 
-	/** How old may be what operators and daemons that start are shown. */
+	/** Maximum age of the reports that operators and starting daemons receive. */
 	private static final long SNAPSHOT_INTERVAL_NANOS = 500_000_000L;
 
 	private volatile List<DeathReport> reports = List.of();
@@ -29,7 +30,7 @@
 
 	private volatile boolean sampleTaken;
 
-	private volatile Consumer<List<SuspectedRequest>> broadcaster = (news) -> {
+	private volatile Consumer<List<SuspectedRequest>> broadcaster = (requests) -> {
 	};
 
 	private final Predicate<TrafficMessage> inbox;
@@ -39,71 +40,74 @@
 	private long snapshotAtNanos = System.nanoTime();
 
 	/**
-	 * Creates a watch.
-	 * @param inbox takes what other threads tell, unless it has no room
+	 * Creates a monitor without reports.
+	 * @param inbox offers a message to the traffic duty; returns false if its ring is
+	 * full
 	 */
 	CrashMonitor(Predicate<TrafficMessage> inbox) {
 		this.inbox = inbox;
 	}
 
 	/**
-	 * Takes word that a target has died. Where there is no room it is lost, as the next
-	 * copy of what crashed it makes another.
-	 * @param crash the target, and what it was running for this daemon
+	 * Reports the crash of a target. The report is dropped if the traffic duty's ring is
+	 * full: the next copy of the crashing request causes another one.
+	 * @param crash the target, and the requests that it was running for this daemon
 	 */
 	public void onCrash(TargetCrash crash) {
 		this.inbox.test(new TrafficMessage.TargetCrashed(crash));
 	}
 
 	/**
-	 * Takes what another daemon told; where there is no room a later heartbeat brings it.
-	 * @param requests the requests under which targets died
+	 * Merges reports of another daemon. They are dropped if the traffic duty's ring is
+	 * full; a later heartbeat repeats them.
+	 * @param requests the requests that were running when targets crashed
 	 */
 	public void onPeerReports(List<SuspectedRequest> requests) {
 		this.inbox.test(new TrafficMessage.PeerSuspectsReceived(requests));
 	}
 
 	/**
-	 * Sets what tells all other daemons at once; called before the start.
-	 * @param receiver takes the requests; it must not block
+	 * Sets the receiver of reports that are to be broadcast to all other daemons at once.
+	 * Must be called before the start.
+	 * @param receiver receives the suspected requests; must not block
 	 */
 	public void setBroadcaster(Consumer<List<SuspectedRequest>> receiver) {
 		this.broadcaster = receiver;
 	}
 
 	/**
-	 * Tells the core of a target that has died.
+	 * Records the crash of a target in the core.
 	 * @param nowNanos the monotonic time
 	 * @param crash the target
 	 * @param core the core
-	 * @return whether a request is quarantined since
+	 * @return whether this brought a request into quarantine
 	 */
 	boolean applyCrash(long nowNanos, TargetCrash crash, TrafficCore core) {
 		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.beginning().size(), "under_way",
 				crash.underWay().size());
-		final boolean news = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
+		final boolean quarantinedMore = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
 		takeSnapshot(nowNanos, core);
 		sendReports(nowNanos, core);
-		return news;
+		return quarantinedMore;
 	}
 
 	/**
-	 * Tells the core what another daemon told.
+	 * Merges reports of another daemon into the core.
 	 * @param nowNanos the monotonic time
-	 * @param told the requests under which targets died
+	 * @param reported the requests that were running when targets crashed
 	 * @param core the core
-	 * @return whether a request is quarantined since
+	 * @return whether this brought a request into quarantine
 	 */
-	boolean applyPeerReports(long nowNanos, List<SuspectedRequest> told, TrafficCore core) {
-		final boolean news = !core.targetCrashes().onPeerReports(nowNanos, told).isEmpty();
-		if (news) {
+	boolean applyPeerReports(long nowNanos, List<SuspectedRequest> reported, TrafficCore core) {
+		final boolean quarantinedMore = !core.targetCrashes().onPeerReports(nowNanos, reported).isEmpty();
+		if (quarantinedMore) {
 			takeSnapshot(nowNanos, core);
 		}
-		return news;
+		return quarantinedMore;
 	}
 
 	/**
-	 * Lets time pass.
+	 * Sends the reports that are due and renews the exposed ones if they are too old.
 	 * @param nowNanos the monotonic time
 	 * @param core the core
 	 */
@@ -115,9 +119,9 @@
 	}
 
 	private void sendReports(long nowNanos, TrafficCore core) {
-		final List<SuspectedRequest> news = core.targetCrashes().drainBroadcast(nowNanos);
-		if (!news.isEmpty()) {
-			this.broadcaster.accept(news);
+		final List<SuspectedRequest> due = core.targetCrashes().drainBroadcast(nowNanos);
+		if (!due.isEmpty()) {
+			this.broadcaster.accept(due);
 		}
 		if (this.sampleTaken || this.gossipSample.isEmpty()) {
 			this.gossipSample = core.targetCrashes().gossipSample(nowNanos);
@@ -150,33 +154,34 @@
 	}
 
 	/**
-	 * Returns what the next heartbeat tells; called by the duty that sends heartbeats.
-	 * @return some requests
+	 * Returns the reports for the next heartbeat. Called by the duty that sends
+	 * heartbeats; each call makes the traffic duty choose another sample.
+	 * @return a sample of the suspected requests
 	 */
 	public List<SuspectedRequest> gossipSample() {
-		final List<SuspectedRequest> told = this.gossipSample;
+		final List<SuspectedRequest> sample = this.gossipSample;
 		this.sampleTaken = true;
-		return told;
+		return sample;
 	}
 
 	/**
-	 * Returns what a daemon is told that has just started.
-	 * @return the requests
+	 * Returns the reports to be sent to a daemon that has just started.
+	 * @return the suspected requests
 	 */
 	public List<SuspectedRequest> knownSuspects() {
 		return this.knownSuspects;
 	}
 
 	/**
-	 * Returns the requests under which targets died.
-	 * @return the requests, and which of them are quarantined
+	 * Returns the requests that were running when targets crashed, for operators.
+	 * @return the requests, and whether each is quarantined
 	 */
 	public List<DeathReport> reports() {
 		return this.reports;
 	}
 
 	/**
-	 * Returns how many requests are quarantined.
+	 * Returns the number of quarantined requests.
 	 * @return the number of requests
 	 */
 	public int quarantinedCount() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ErrorBody.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ErrorBody.java
@@ -6,21 +6,22 @@
 import org.pistachioline.core.error.ErrorKind;
 
 /**
- * What answers to failed requests say, whatever library sends them.
+ * The header names and the JSON body of error responses, for any HTTP library that sends
+ * them.
  */
 public final class ErrorBody {
 
-	/** Names the request on every answer. */
+	/** Identifies the request on every response. */
 	public static final String REQUEST_ID_HEADER = "Pistachioline-Request-Id";
 
-	/** Says on every failure whether the request ran. */
+	/** States on every error response whether the request may have run. */
 	public static final String RUN_HEADER = "Pistachioline-Run";
 
 	private ErrorBody() {
 	}
 
 	/**
-	 * Writes the body of an answer.
+	 * Formats the body of an error response.
 	 * @param kind the error kind
 	 * @return the body, as JSON
 	 */
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ErrorResponses.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ErrorResponses.java
@@ -13,7 +13,7 @@
 import org.pistachioline.core.error.RunState;
 
 /**
- * Writes the answers to requests that failed.
+ * Creates the responses to failed requests.
  */
 public final class ErrorResponses {
 
@@ -23,12 +23,12 @@
 	}
 
 	/**
-	 * Writes an answer.
+	 * Creates an error response with the status, headers and body of an error kind.
 	 * @param requestId the request's id on the wire
 	 * @param kind the error kind
 	 * @param runState whether the request may have run
-	 * @param retryAfterMillis when the caller may come back; 0 where it is not said
-	 * @return the answer
+	 * @param retryAfterMillis after which delay the caller may retry; 0 if none is stated
+	 * @return the response
 	 */
 	public static HttpResponse of(String requestId, ErrorKind kind, RunState runState, long retryAfterMillis) {
 		HttpResponse response = HttpResponse.create()
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Writes a failure as the last event of a stream whose head has left.
+	 * Creates the last event of a stream that fails after its response head was sent.
 	 * @param kind the error kind
 	 * @param runState whether the request may have run
 	 * @return the event
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/Exchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/Exchange.java
@@ -8,44 +8,46 @@
 import org.pistachioline.core.traffic.TrafficAction;
 
 /**
- * One caller's request with the answer that it waits for; the traffic duty calls it.
+ * A caller's request together with its pending response. The traffic duty calls it.
  */
 public interface Exchange {
 
 	/**
-	 * Returns what the decisions know of the request.
+	 * Returns the properties of the request on which traffic decisions are based.
 	 * @return the request
 	 */
 	RequestInfo info();
 
 	/**
-	 * Sends an attempt.
+	 * Sends an attempt to its target.
 	 * @param start the attempt, its target and where to resume
-	 * @param listener hears how it goes
+	 * @param listener receives the attempt's progress and its end
 	 */
 	void start(TrafficAction.Start start, AttemptListener listener);
 
 	/**
-	 * Cancels an attempt, which closes its connection.
+	 * Cancels an attempt and discards the rest of its response. The connection of a
+	 * streamed attempt is closed, so that the target stops working on it.
 	 * @param attempt the attempt
 	 */
 	void cancel(AttemptId attempt);
 
 	/**
-	 * Ends the answer well.
+	 * Completes the response with success.
 	 */
 	void finish();
 
 	/**
-	 * Ends the answer with a failure.
+	 * Completes the response with an error.
 	 * @param kind the error kind
 	 * @param runState whether the request may have run
-	 * @param retryAfterMillis when the caller may come back; 0 where it is not said
+	 * @param retryAfterMillis after which delay the caller may retry; 0 if none is stated
 	 */
 	void fail(ErrorKind kind, RunState runState, long retryAfterMillis);
 
 	/**
-	 * Answers with a stored outcome.
+	 * Responds with the stored outcome of an earlier request with the same idempotency
+	 * key.
 	 * @param outcome the outcome
 	 */
 	void replay(KeyOutcome outcome);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ExchangeStarter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ExchangeStarter.java
@@ -9,7 +9,7 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Starts exchanges and hands them to the traffic duty.
+ * Creates exchanges and submits them to the traffic duty.
  */
 public final class ExchangeStarter {
 
@@ -18,7 +18,7 @@
 	private final TrafficDuty traffic;
 
 	/**
-	 * Creates the factory.
+	 * Creates the starter.
 	 * @param http the HTTP client
 	 * @param traffic the traffic duty
 	 */
@@ -29,11 +29,11 @@
 
 	/**
 	 * Starts a completion.
-	 * @param info what the decisions know of it
+	 * @param info the properties on which traffic decisions are based
 	 * @param requestIdText its id on the wire
 	 * @param body the caller's body
-	 * @param stream whether the answer is streamed
-	 * @return the answer
+	 * @param stream whether the response is streamed
+	 * @return the response, once its head is available
 	 */
 	public CompletableFuture<HttpResponse> startCompletion(RequestInfo info, String requestIdText, byte[] body,
 			boolean stream) {
@@ -45,14 +45,14 @@
 
 	/**
 	 * Starts a call of a plain service.
-	 * @param info what the decisions know of it
+	 * @param info the properties on which traffic decisions are based
 	 * @param requestIdText its id on the wire
 	 * @param request the caller's request
-	 * @param pathAndQuery the path below the service
+	 * @param pathAndQuery the path below the service, and the query
 	 * @param body the caller's body
-	 * @param idempotencyKey the caller's key; empty where there is none
-	 * @param timeoutMillis how long the call may take
-	 * @return the answer
+	 * @param idempotencyKey the caller's idempotency key; empty if there is none
+	 * @param timeoutMillis the call's timeout
+	 * @return the response, once its head is available
 	 */
 	public CompletableFuture<HttpResponse> startServiceCall(RequestInfo info, String requestIdText, HttpRequest request,
 			String pathAndQuery, byte[] body, String idempotencyKey, long timeoutMillis) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/FailureCounts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/FailureCounts.java
@@ -9,8 +9,8 @@
 import org.pistachioline.core.error.ErrorKind;
 
 /**
- * Counts the requests that ended with a failure, by workspace and kind. Only requests of
- * declared workspaces get this far, so the number of rows is bounded by the manifest.
+ * Counts the failed requests by workspace and error kind. Only requests of declared
+ * workspaces reach this class, so the manifest bounds the number of rows.
  */
 public final class FailureCounts {
 
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	 * Returns the failures of one kind.
+	 * Returns the number of failures of one kind.
 	 * @param kind the kind
 	 * @return the count over all workspaces
 	 */
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * Returns the failures of one workspace.
+	 * Returns the number of failures of one workspace by error code.
 	 * @param workspace the workspace
-	 * @return the counts that are not 0, by code
+	 * @return the counts that are not 0, by error code
 	 */
 	public Map<String, Long> countsByCode(String workspace) {
 		final Map<ErrorKind, Long> byKind = new EnumMap<>(ErrorKind.class);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitMonitor.java
@@ -12,7 +12,8 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Shows the limits that targets name, and says which answers bring news of them.
+ * Logs changes of the rate limits that targets state, and exposes the limits in force to
+ * other threads.
  */
 final class LimitMonitor {
 
@@ -23,23 +24,25 @@
 	private volatile List<LimitReport> reports = List.of();
 
 	/**
-	 * Returns whether an answer may change what is known: it names a limit, or its target
-	 * has named one lately. All others are nearly all answers.
+	 * Returns whether a response may change the known limits: it states a limit, or its
+	 * instance has stated one recently. Most responses do neither and need not reach the
+	 * traffic duty.
 	 * @param instanceId the instance
-	 * @param requestsPerSecond the limit that it names; empty where it names none
-	 * @return whether it may
+	 * @param requestsPerSecond the limit that the response states; empty if it states
+	 * none
+	 * @return whether the limits may change
 	 */
 	boolean mayChangeLimit(String instanceId, OptionalDouble requestsPerSecond) {
 		return requestsPerSecond.isPresent() || this.latestLimitIds.contains(instanceId);
 	}
 
-	void logChange(StatedLimit heard, boolean toldByPeer) {
-		if (heard.requestsPerSecond().isPresent()) {
-			Events.log(EventId.TARGET_LIMITED, "instance", heard.instanceId(), "requests_per_second",
-					heard.requestsPerSecond().getAsDouble(), "told_by_peer", toldByPeer);
+	void logChange(StatedLimit limit, boolean reportedByPeer) {
+		if (limit.requestsPerSecond().isPresent()) {
+			Events.log(EventId.TARGET_LIMITED, "instance", limit.instanceId(), "requests_per_second",
+					limit.requestsPerSecond().getAsDouble(), "told_by_peer", reportedByPeer);
 		}
 		else {
-			Events.log(EventId.TARGET_UNLIMITED, "instance", heard.instanceId(), "told_by_peer", toldByPeer);
+			Events.log(EventId.TARGET_UNLIMITED, "instance", limit.instanceId(), "told_by_peer", reportedByPeer);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitShareUpdater.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitShareUpdater.java
@@ -13,13 +13,17 @@
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
- * Renews this daemon's shares of the limits on the traffic duty's thread.
+ * Recalculates this daemon's shares of the workspace limits. Updates run on the traffic
+ * duty's thread; any thread may read the results.
  */
 public final class LimitShareUpdater {
 
 	private static final long UPDATE_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
 
-	/** A peer is silent after so many beats: each beat reaches three peers by chance. */
+	/**
+	 * Heartbeat intervals without a message after which a peer counts as silent. Each
+	 * heartbeat goes to three randomly chosen peers, so most peers miss any single one.
+	 */
 	private static final int SILENCE_TIMEOUT_HEARTBEATS = 12;
 
 	private static final int INCREASE_DELAY_HEARTBEATS = 6;
@@ -39,10 +43,10 @@
 	private volatile Map<String, Double> shareRatios = Map.of();
 
 	/**
-	 * Creates a keeper that knows no other daemon.
-	 * @param selfId this daemon's name
+	 * Creates an updater that knows no other daemon.
+	 * @param selfId this daemon's id
 	 * @param liveIds the live daemons that are not leaving, this one included
-	 * @param heartbeatMillis the time between two beats
+	 * @param heartbeatMillis the heartbeat interval
 	 */
 	public LimitShareUpdater(String selfId, Supplier<Set<String>> liveIds, long heartbeatMillis) {
 		this.selfId = selfId;
@@ -53,7 +57,7 @@
 
 	/**
 	 * Returns this daemon's demand, for its heartbeats.
-	 * @return the requests a second that came lately, by workspace
+	 * @return the recent requests per second, by workspace
 	 */
 	public Map<String, Double> demand() {
 		return this.demand;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LogSuspectReporter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LogSuspectReporter.java
@@ -15,7 +15,8 @@
 import org.pistachioline.daemon.agreed.AppendDuty;
 
 /**
- * Shares with all daemons which requests groups died under.
+ * Publishes the requests that were running when groups crashed to all daemons, as records
+ * on the fleet stream of the log.
  */
 public final class LogSuspectReporter implements SuspectReporter {
 
@@ -24,7 +25,7 @@
 	private final String fleetStream;
 
 	/**
-	 * Creates the reports.
+	 * Creates the reporter.
 	 * @param appender appends records
 	 * @param fleetStream the fleet stream's name
 	 */
@@ -34,10 +35,10 @@
 	}
 
 	/**
-	 * Reports a death. A report that finds no room is dropped: the next death makes
-	 * another.
-	 * @param suspect the request and the target that died
-	 * @param nowMillis the wall clock's time
+	 * Appends a record of a suspected or quarantined request. The report is dropped if
+	 * the appender's ring is full: the next crash causes another one.
+	 * @param suspect the request and the target that crashed
+	 * @param nowMillis the wall-clock time
 	 */
 	@Override
 	public void report(TrafficAction.ReportSuspect suspect, long nowMillis) {
@@ -56,9 +57,9 @@
 	}
 
 	/**
-	 * Returns the quarantined requests that have not expired.
+	 * Returns the requests whose quarantine has not expired.
 	 * @param fleet the fleet's state
-	 * @param nowMillis the wall clock's time
+	 * @param nowMillis the wall-clock time
 	 * @return their fingerprints
 	 */
 	public static Set<String> quarantined(FleetState fleet, long nowMillis) {
@@ -72,10 +73,10 @@
 	}
 
 	/**
-	 * Returns the suspected requests whose suspicion has not expired.
+	 * Returns the requests whose suspicion has not expired.
 	 * @param fleet the fleet's state
-	 * @param nowMillis the wall clock's time
-	 * @return for each fingerprint the target that died
+	 * @param nowMillis the wall-clock time
+	 * @return the id of the target that crashed, by fingerprint
 	 */
 	public static Map<String, String> suspected(FleetState fleet, long nowMillis) {
 		final Map<String, String> targetIds = new HashMap<>();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ModelExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ModelExchange.java
@@ -25,7 +25,7 @@
 import org.pistachioline.core.traffic.TrafficAction;
 
 /**
- * A completion: each attempt is a stream of events from an engine.
+ * A completion request; each attempt is a stream of events from an engine.
  */
 abstract class ModelExchange implements Exchange {
 
@@ -72,21 +72,22 @@
 		synchronized (this) {
 			this.liveAttempt = new LiveAttempt(start, listener);
 		}
-		this.http.stream(buildRequest(start)).whenComplete((answer, failure) -> {
+		this.http.stream(buildRequest(start)).whenComplete((engineResponse, failure) -> {
 			if (failure != null) {
 				listener.onEnd(start.attempt(), AttemptFailures.classify(failure), start.resumeFromTokens());
 			}
 			else if (!markResponseReceived(start.attempt())) {
-				// Cancelled while it was on its way; closing the connection ends the
-				// engine's work, and keeps the connection from being used again.
-				answer.entity().getDataBytes().runWith(Sink.cancelled(), this.http.system());
+				// The attempt was cancelled before its response arrived. Cancelling the
+				// entity closes the connection, which stops the engine's work and
+				// prevents reuse of the connection.
+				engineResponse.entity().getDataBytes().runWith(Sink.cancelled(), this.http.system());
 			}
-			else if (answer.status().intValue() != OK) {
-				answer.discardEntityBytes(this.http.system());
+			else if (engineResponse.status().intValue() != OK) {
+				engineResponse.discardEntityBytes(this.http.system());
 				listener.onEnd(start.attempt(), AttemptOutcome.REFUSED, start.resumeFromTokens());
 			}
 			else {
-				relay(start, answer, listener);
+				relay(start, engineResponse, listener);
 			}
 		});
 	}
@@ -103,8 +104,8 @@
 		return this.liveAttempt != null && attempt.equals(this.liveAttempt.start.attempt());
 	}
 
-	private void relay(TrafficAction.Start start, HttpResponse answer, AttemptListener listener) {
-		final Source<ByteString, UniqueKillSwitch> source = answer.entity()
+	private void relay(TrafficAction.Start start, HttpResponse engineResponse, AttemptListener listener) {
+		final Source<ByteString, UniqueKillSwitch> source = engineResponse.entity()
 			.withoutSizeLimit()
 			.getDataBytes()
 			.viaMat(KillSwitches.single(), Keep.right())
@@ -147,11 +148,11 @@
 			this.liveAttempt = null;
 		}
 		if (cancelled.killSwitch != null) {
-			// The relay reports the end, with the exact count of tokens passed on.
+			// The relay stage reports the end with the exact number of tokens forwarded.
 			cancelled.killSwitch.abort(new IllegalStateException("cancelled"));
 		}
 		else if (!cancelled.responseReceived) {
-			// Nothing of a later answer can reach the caller, so the attempt is over.
+			// A response that arrives later is discarded, so the attempt has ended.
 			cancelled.listener.onEnd(attempt, AttemptOutcome.CANCELLED, cancelled.start.resumeFromTokens());
 		}
 	}
@@ -162,8 +163,8 @@
 	}
 
 	/**
-	 * Takes the events of an attempt that an engine accepted.
-	 * @param events the events, without ids
+	 * Consumes the events of an attempt that an engine accepted.
+	 * @param events the events, without their id lines
 	 */
 	abstract void onEvents(Source<ByteString, NotUsed> events);
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/NoClaims.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/NoClaims.java
@@ -9,8 +9,8 @@
 import org.pistachioline.daemon.claims.Claims;
 
 /**
- * Grants no claim: on this platform each attempt of a caller has an id of its own, and
- * one daemon alone holds it, so nothing has to be claimed.
+ * Grants no claim. On this platform each attempt of a caller has a unique id and is
+ * handled by a single daemon, so no idempotency key has to be claimed.
  */
 public final class NoClaims implements Claims {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RelayStage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RelayStage.java
@@ -20,22 +20,29 @@
 import org.pistachioline.core.traffic.AttemptOutcome;
 
 /**
- * Passes one attempt's events on to the caller, if they are this attempt's and in order.
+ * Forwards the events of one attempt to the caller, as long as they belong to the attempt
+ * and arrive in order.
  * <p>
- * Each event of an engine names its attempt and its token's position. After a retry or on
- * a connection that was used before, an event of another attempt could arrive: it would
- * put one caller's text into another's answer, or double a token. Such an event is never
- * passed on, and the attempt ends as mismatched. The stage always completes, never fails,
- * so that the next attempt can go on in the same answer. Once a second it reports how far
- * it is; while the caller reads slowly it reports the same count, so that a slow caller
- * is not taken for an engine that stands still. An answer whose connection breaks after
- * its last event is complete; the end mark that callers wait for is then added here.
+ * Each event of an engine carries the id of its attempt and the position of its token.
+ * After a retry or on a reused connection, an event of another attempt could arrive:
+ * forwarding it would put one caller's text into another's response, or duplicate a
+ * token. Such an event is never forwarded, and the attempt ends as mismatched. The stage
+ * always completes and never fails, so that the next attempt can continue the same
+ * response.
+ * <p>
+ * Progress is reported at the first token and at a fixed interval. While the caller reads
+ * slowly the same count is reported again, so that a slow caller is not mistaken for a
+ * stalled engine. A response whose connection breaks after its last event is complete;
+ * the end marker that callers wait for is then added here.
  */
 final class RelayStage extends GraphStage<FlowShape<ByteString, ByteString>> {
 
 	private static final int MAX_EVENT_BYTES = 256 * 1024;
 
-	/** How often progress is told; a target's speed shows before a long answer ends. */
+	/**
+	 * Interval of the progress reports, short enough to show a target's speed before a
+	 * long response ends.
+	 */
 	private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
 	private static final int MAX_POSITION_DIGITS = 9;
@@ -167,10 +174,10 @@
 			RelayStage.this.listener.onProgress(RelayStage.this.attempt, this.deliveredTokens);
 		}
 
-		private void completeWith(ByteString passed, AttemptOutcome unlessComplete) {
+		private void completeWith(ByteString accepted, AttemptOutcome unlessComplete) {
 			reportEnd(this.endSeen ? AttemptOutcome.COMPLETE : unlessComplete);
 			final boolean addDone = this.endSeen && !this.doneSeen;
-			final ByteString last = addDone ? passed.concat(DONE_EVENT) : passed;
+			final ByteString last = addDone ? accepted.concat(DONE_EVENT) : accepted;
 			if (last.isEmpty()) {
 				completeStage();
 			}
@@ -180,20 +187,20 @@
 		}
 
 		private void onChunk(ByteString chunk) {
-			if (!endsEvent(chunk) && this.partialEvent.size() + chunk.size() <= MAX_EVENT_BYTES) {
-				// Only what is new is searched: a large event in many small pieces would
-				// otherwise be copied and searched anew for each piece.
+			if (!endsAnyEvent(chunk) && this.partialEvent.size() + chunk.size() <= MAX_EVENT_BYTES) {
+				// Only the new chunk is searched: a large event in many small chunks
+				// would otherwise be copied and searched again for each of them.
 				this.partialEvent = this.partialEvent.concat(chunk);
 				pull(RelayStage.this.in);
 				return;
 			}
 			final byte[] bytes = this.partialEvent.concat(chunk).toArray();
-			final ByteStringBuilder passed = new ByteStringBuilder();
+			final ByteStringBuilder accepted = new ByteStringBuilder();
 			int start = 0;
 			int eventEnd = endOfEvent(bytes, start);
 			while (eventEnd >= 0) {
-				if (!appendIfExpected(bytes, start, eventEnd, passed)) {
-					completeWith(passed.result(), AttemptOutcome.MISMATCHED);
+				if (!appendIfExpected(bytes, start, eventEnd, accepted)) {
+					completeWith(accepted.result(), AttemptOutcome.MISMATCHED);
 					return;
 				}
 				start = eventEnd;
@@ -202,26 +209,26 @@
 			this.partialEvent = ByteString.fromArray(bytes, start, bytes.length - start);
 			this.partialEndsWithNewline = !this.partialEvent.isEmpty() && bytes[bytes.length - 1] == '\n';
 			if (this.partialEvent.size() > MAX_EVENT_BYTES) {
-				completeWith(passed.result(), AttemptOutcome.MISMATCHED);
+				completeWith(accepted.result(), AttemptOutcome.MISMATCHED);
 				return;
 			}
-			if (passed.isEmpty()) {
+			if (accepted.isEmpty()) {
 				pull(RelayStage.this.in);
 			}
 			else {
-				push(RelayStage.this.out, passed.result());
+				push(RelayStage.this.out, accepted.result());
 			}
 		}
 
-		private boolean endsEvent(ByteString chunk) {
+		private boolean endsAnyEvent(ByteString chunk) {
 			final byte[] bytes = chunk.toArray();
-			final boolean acrossTheCut = this.partialEndsWithNewline && bytes.length > 0 && bytes[0] == '\n';
+			final boolean spansChunks = this.partialEndsWithNewline && bytes.length > 0 && bytes[0] == '\n';
 			this.partialEndsWithNewline = (bytes.length > 0) ? bytes[bytes.length - 1] == '\n'
 					: this.partialEndsWithNewline;
-			return acrossTheCut || endOfEvent(bytes, 0) >= 0;
+			return spansChunks || endOfEvent(bytes, 0) >= 0;
 		}
 
-		private boolean appendIfExpected(byte[] bytes, int start, int eventEnd, ByteStringBuilder passed) {
+		private boolean appendIfExpected(byte[] bytes, int start, int eventEnd, ByteStringBuilder accepted) {
 			if (eventEnd - start > MAX_EVENT_BYTES) {
 				return false;
 			}
@@ -240,17 +247,17 @@
 			else {
 				this.doneSeen = true;
 			}
-			passed.putBytes(bytes, dataStart, eventEnd - dataStart);
+			accepted.putBytes(bytes, dataStart, eventEnd - dataStart);
 			return true;
 		}
 
 		private boolean acceptPosition(byte[] bytes, int start, int end) {
-			final String place = new String(bytes, start, Math.max(0, end - start), StandardCharsets.US_ASCII);
-			if (place.equals(END_POSITION)) {
+			final String positionText = new String(bytes, start, Math.max(0, end - start), StandardCharsets.US_ASCII);
+			if (positionText.equals(END_POSITION)) {
 				this.endSeen = true;
 				return true;
 			}
-			if (place.isEmpty() || place.length() > MAX_POSITION_DIGITS) {
+			if (positionText.isEmpty() || positionText.length() > MAX_POSITION_DIGITS) {
 				return false;
 			}
 			int position = 0;
@@ -271,10 +278,10 @@
 			return true;
 		}
 
-		private void reportEnd(AttemptOutcome how) {
+		private void reportEnd(AttemptOutcome outcome) {
 			if (!this.endReported) {
 				this.endReported = true;
-				RelayStage.this.listener.onEnd(RelayStage.this.attempt, how, this.deliveredTokens);
+				RelayStage.this.listener.onEnd(RelayStage.this.attempt, outcome, this.deliveredTokens);
 			}
 		}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RequestClaims.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RequestClaims.java
@@ -10,8 +10,8 @@
 import org.pistachioline.daemon.claims.Claims;
 
 /**
- * The claims of the requests that a traffic duty holds, and the outcomes that it was told
- * for them. One thread calls it.
+ * The claims granted to the active requests of a traffic duty, and the stored outcomes
+ * that claims returned. It is confined to one thread.
  */
 final class RequestClaims {
 
@@ -26,15 +26,15 @@
 	}
 
 	/**
-	 * Notes the verdict on a claim.
-	 * @param claimed the verdict
-	 * @param held whether its request has not ended
+	 * Records the result of a claim.
+	 * @param decided the result
+	 * @param active whether its request has not ended; no claim offset is kept otherwise
 	 */
-	void recordResult(TrafficMessage.ClaimDecided claimed, boolean held) {
-		if (claimed.result().claimOffset() >= 0 && held) {
-			this.claimOffsets.put(claimed.requestId(), claimed.result().claimOffset());
+	void recordResult(TrafficMessage.ClaimDecided decided, boolean active) {
+		if (decided.result().claimOffset() >= 0 && active) {
+			this.claimOffsets.put(decided.requestId(), decided.result().claimOffset());
 		}
-		claimed.result().outcome().ifPresent((outcome) -> this.storedOutcomes.put(claimed.requestId(), outcome));
+		decided.result().outcome().ifPresent((outcome) -> this.storedOutcomes.put(decided.requestId(), outcome));
 	}
 
 	Optional<KeyOutcome> storedOutcome(long requestId) {
@@ -55,9 +55,10 @@
 	}
 
 	/**
-	 * Records that nobody knows what came of a claimed request which may have run.
+	 * Settles the claim of a failed request with an unknown outcome, if the request may
+	 * have run.
 	 * @param exchange the request
-	 * @param fail how it ended
+	 * @param fail how the request failed
 	 */
 	void settleUnknown(Exchange exchange, TrafficAction.Fail fail) {
 		final Long offset = this.claimOffsets.get(fail.requestId());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceCall.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceCall.java
@@ -4,7 +4,7 @@
 import org.apache.pekko.http.javadsl.model.HttpMethod;
 
 /**
- * What is sent to a plain service.
+ * The parts of a caller's request that are sent to a plain service.
  */
 final class ServiceCall {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceExchange.java
@@ -22,7 +22,7 @@
 import org.pistachioline.core.traffic.TrafficAction;
 
 /**
- * A call of a plain service, answered as a whole.
+ * A call of a plain service, whose response is sent in one piece.
  */
 final class ServiceExchange implements Exchange {
 
@@ -71,15 +71,16 @@
 		if (this.call.bodyBytes().length > 0) {
 			request = request.withEntity(HttpEntities.create(this.call.contentType(), this.call.bodyBytes()));
 		}
-		this.http.call(request, this.call.timeoutMillis()).whenComplete((got, failure) -> {
+		this.http.call(request, this.call.timeoutMillis()).whenComplete((received, failure) -> {
 			if (failure != null) {
 				listener.onEnd(start.attempt(), AttemptFailures.classify(failure), 0);
 				return;
 			}
 			if (start.attempt().equals(this.liveAttempt)) {
-				this.targetResponse = got;
+				this.targetResponse = received;
 			}
-			// An answer that comes after its attempt was given up is dropped by its id.
+			// The response to a cancelled attempt is dropped because its attempt is no
+			// longer live.
 			listener.onEnd(start.attempt(), AttemptOutcome.COMPLETE, 0);
 		});
 	}
@@ -91,9 +92,10 @@
 
 	@Override
 	public void finish() {
-		final HttpAnswer got = this.targetResponse;
-		this.traffic.settle(this, got.status(), got.contentType(), new String(got.bodyBytes(), StandardCharsets.UTF_8));
-		respond(got.status(), got.contentType(), got.bodyBytes());
+		final HttpAnswer received = this.targetResponse;
+		this.traffic.settle(this, received.status(), received.contentType(),
+				new String(received.bodyBytes(), StandardCharsets.UTF_8));
+		respond(received.status(), received.contentType(), received.bodyBytes());
 	}
 
 	private void respond(int status, String contentType, byte[] bodyBytes) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/StreamedExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/StreamedExchange.java
@@ -18,7 +18,8 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * A completion that is streamed to its caller; all attempts go into one answer.
+ * A completion that is streamed to its caller; the events of all attempts form one
+ * response.
  */
 final class StreamedExchange extends ModelExchange {
 
@@ -34,17 +35,19 @@
 			.<Source<ByteString, NotUsed>>queue(MAX_QUEUED_STREAMS)
 			.preMaterialize(http.system());
 		this.attemptStreams = queue.first();
-		this.responseBody = queue.second().flatMapConcat((part) -> part).watchTermination((mat, done) -> {
-			done.whenComplete((ended, failure) -> traffic.onCallerDisconnected(info.requestId()));
-			return mat;
-		});
+		this.responseBody = queue.second()
+			.flatMapConcat((attemptStream) -> attemptStream)
+			.watchTermination((mat, done) -> {
+				done.whenComplete((ended, failure) -> traffic.onCallerDisconnected(info.requestId()));
+				return mat;
+			});
 	}
 
 	@Override
 	void onEvents(Source<ByteString, NotUsed> events) {
 		if (!this.attemptStreams.offer(events).isEnqueued()) {
-			// The caller has gone. Events that nobody reads would keep the engine at work
-			// and its connection open.
+			// The caller has disconnected. Events that nobody reads would keep the engine
+			// working and its connection open.
 			events.runWith(Sink.cancelled(), http().system());
 			return;
 		}
@@ -61,18 +64,17 @@
 
 	@Override
 	public void fail(ErrorKind kind, RunState runState, long retryAfterMillis) {
-		final boolean headLeft = !response()
+		final boolean headSent = !response()
 			.complete(ErrorResponses.of(requestIdText(), kind, runState, retryAfterMillis));
-		if (headLeft && !this.attemptStreams.isCompleted()) {
+		if (headSent && !this.attemptStreams.isCompleted()) {
 			this.attemptStreams.offer(Source.single(ErrorResponses.event(kind, runState)));
 		}
 		complete();
 	}
 
 	private void complete() {
-		// Where the caller has gone the answer is closed already, and closing it again is
-		// a
-		// fault that would keep the traffic duty from what it has to do for others.
+		// The queue is already completed if the caller has disconnected. Completing it
+		// again throws an exception, which would interrupt the traffic duty's action.
 		if (!this.attemptStreams.isCompleted()) {
 			this.attemptStreams.complete();
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetMonitor.java
@@ -7,8 +7,8 @@
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
- * Tells the core what targets said of what they take, and of those that died, and shows
- * what of it holds.
+ * Applies the limits, backoffs, shutdowns and crashes of targets to the traffic core, and
+ * exposes the resulting state to other threads.
  */
 final class TargetMonitor {
 
@@ -38,65 +38,66 @@
 	}
 
 	/**
-	 * Takes a message, if it tells what targets take, or that they died.
+	 * Applies a message if it concerns a limit, a backoff, a shutdown or a crash of a
+	 * target.
 	 * @param nowNanos the monotonic time
 	 * @param message the message
-	 * @return whether that changes what the core does
+	 * @return whether the core's state changed, so that the queue must be checked again
 	 */
 	boolean handle(long nowNanos, TrafficMessage message) {
-		if (message instanceof TrafficMessage.LimitReceived heard) {
-			return onLimit(nowNanos, heard);
+		if (message instanceof TrafficMessage.LimitReceived received) {
+			return onLimit(nowNanos, received);
 		}
-		if (message instanceof TrafficMessage.PeerLimitsReceived told) {
-			return onLimitsChanged(nowNanos, this.core.targetLimits().onPeerLimits(nowNanos, told.limits()), true);
+		if (message instanceof TrafficMessage.PeerLimitsReceived reported) {
+			return onLimitsChanged(nowNanos, this.core.targetLimits().onPeerLimits(nowNanos, reported.limits()), true);
 		}
-		if (message instanceof TrafficMessage.BackoffReceived heard) {
-			return onBackoff(nowNanos, heard);
+		if (message instanceof TrafficMessage.BackoffReceived received) {
+			return onBackoff(nowNanos, received);
 		}
-		if (message instanceof TrafficMessage.LeavingReceived heard) {
-			return onLeaving(nowNanos, heard.instanceId());
+		if (message instanceof TrafficMessage.LeavingReceived received) {
+			return onLeaving(nowNanos, received.instanceId());
 		}
 		if (message instanceof TrafficMessage.TargetCrashed crashed) {
 			return this.crashes.applyCrash(nowNanos, crashed.crash(), this.core);
 		}
-		if (message instanceof TrafficMessage.PeerSuspectsReceived told) {
-			return this.crashes.applyPeerReports(nowNanos, told.requests(), this.core);
+		if (message instanceof TrafficMessage.PeerSuspectsReceived reported) {
+			return this.crashes.applyPeerReports(nowNanos, reported.requests(), this.core);
 		}
 		return false;
 	}
 
-	private boolean onLimit(long nowNanos, TrafficMessage.LimitReceived heard) {
+	private boolean onLimit(long nowNanos, TrafficMessage.LimitReceived received) {
 		return this.core.targetLimits()
-			.onResponse(nowNanos, heard.sentAtNanos(), heard.instanceId(), heard.requestsPerSecond())
+			.onResponse(nowNanos, received.sentAtNanos(), received.instanceId(), received.requestsPerSecond())
 				&& onLimitsChanged(nowNanos,
-						List.of(new StatedLimit(heard.instanceId(), heard.requestsPerSecond(), nowNanos)), false);
+						List.of(new StatedLimit(received.instanceId(), received.requestsPerSecond(), nowNanos)), false);
 	}
 
-	private boolean onLimitsChanged(long nowNanos, List<StatedLimit> changed, boolean toldByPeer) {
-		changed.forEach((heard) -> this.limits.logChange(heard, toldByPeer));
+	private boolean onLimitsChanged(long nowNanos, List<StatedLimit> changed, boolean reportedByPeer) {
+		changed.forEach((limit) -> this.limits.logChange(limit, reportedByPeer));
 		if (!changed.isEmpty()) {
 			this.limits.refresh(nowNanos, this.core);
 		}
 		return !changed.isEmpty();
 	}
 
-	private boolean onBackoff(long nowNanos, TrafficMessage.BackoffReceived heard) {
-		final boolean news = this.core.targetBackoffs()
-			.onBackoff(heard.receivedAtNanos(), heard.instanceId(), heard.forNanos());
-		if (news) {
-			this.backoffs.logBackoff(heard.instanceId(), heard.forNanos());
+	private boolean onBackoff(long nowNanos, TrafficMessage.BackoffReceived received) {
+		final boolean changed = this.core.targetBackoffs()
+			.onBackoff(received.receivedAtNanos(), received.instanceId(), received.forNanos());
+		if (changed) {
+			this.backoffs.logBackoff(received.instanceId(), received.forNanos());
 			this.backoffs.refresh(nowNanos, this.core);
 		}
-		return news;
+		return changed;
 	}
 
 	private boolean onLeaving(long nowNanos, String instanceId) {
-		final boolean news = this.core.targetBackoffs().onLeaving(nowNanos, instanceId);
-		if (news) {
+		final boolean changed = this.core.targetBackoffs().onLeaving(nowNanos, instanceId);
+		if (changed) {
 			this.backoffs.logLeaving(instanceId);
 			this.backoffs.refresh(nowNanos, this.core);
 		}
-		return news;
+		return changed;
 	}
 
 	void refresh(long nowNanos) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TraceRecorder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TraceRecorder.java
@@ -14,11 +14,12 @@
 import org.pistachioline.core.traffic.RequestInfo;
 
 /**
- * Keeps the recent arrivals of a daemon as a trace that the replay takes.
+ * Records the recent arrivals of a daemon as a trace that can be replayed.
  * <p>
- * Prompts and keys are never kept: of a prompt there are lengths and hashes of its
- * blocks, of a key a hash of its hash. The oldest arrivals are dropped, so that a
- * recording left on costs a bounded amount of memory, about 10 MB at most.
+ * Prompts and idempotency keys are never stored: a prompt is represented by its length
+ * and the hashes of its blocks, a key by a hash of its hash. The oldest arrivals are
+ * dropped, so that a recording that stays enabled uses a bounded amount of memory, about
+ * 10 MB at most.
  */
 public final class TraceRecorder {
 
@@ -26,7 +27,10 @@
 
 	private static final int KEY_HASH_DIGITS = 16;
 
-	/** Written where a daemon does not know how fast targets are; to be set by hand. */
+	/**
+	 * Written as the speed of targets, which a daemon does not know; to be corrected by
+	 * hand.
+	 */
 	private static final int PLACEHOLDER_MILLIS = 20;
 
 	private static final int PLACEHOLDER_SERVICE_SLOTS = 64;
@@ -41,22 +45,22 @@
 
 	/**
 	 * Creates a recorder.
-	 * @param recording whether anything is kept
+	 * @param recording whether arrivals are recorded
 	 */
 	public TraceRecorder(boolean recording) {
 		this.recording = recording;
 	}
 
 	/**
-	 * Returns whether anything is kept.
-	 * @return whether it records
+	 * Returns whether arrivals are recorded.
+	 * @return whether recording is enabled
 	 */
 	public boolean isRecording() {
 		return this.recording;
 	}
 
 	/**
-	 * Keeps an arrival.
+	 * Records the arrival of a request.
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 */
@@ -73,9 +77,9 @@
 	}
 
 	/**
-	 * Notes how long an answer is.
+	 * Records the length that a response has reached.
 	 * @param requestId the request
-	 * @param tokens the tokens so far
+	 * @param tokens the number of output tokens so far
 	 */
 	public synchronized void onTokens(long requestId, int tokens) {
 		final Arrival arrival = this.activeArrivals.get(requestId);
@@ -85,7 +89,7 @@
 	}
 
 	/**
-	 * Notes that a request has ended.
+	 * Marks a request as ended; its output length no longer changes.
 	 * @param requestId the request
 	 */
 	public synchronized void onEnd(long requestId) {
@@ -93,10 +97,10 @@
 	}
 
 	/**
-	 * Writes what was kept, in the form of docs/TRACES.md.
+	 * Formats the recorded arrivals as JSON lines, as described in docs/TRACES.md.
 	 * @param name the trace's name
 	 * @param manifest the manifest in force
-	 * @param replicas how many targets serve each model and service, by name
+	 * @param replicas the number of targets that serve each model and service, by name
 	 * @return the lines
 	 */
 	public synchronized String toJsonLines(String name, Manifest manifest, Map<String, Integer> replicas) {
@@ -148,8 +152,8 @@
 
 		private int outputTokens;
 
-		Arrival(long atNanos, RequestInfo info) {
-			this.arrivedAtNanos = atNanos;
+		Arrival(long arrivedAtNanos, RequestInfo info) {
+			this.arrivedAtNanos = arrivedAtNanos;
 			this.info = info;
 		}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -31,15 +31,16 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Runs the decision core on one thread and carries out what it decides.
+ * Runs the traffic core on one thread and executes the actions that it returns.
  */
 public final class TrafficDuty implements Lifecycle, DutyHandler<TrafficMessage>, AttemptListener {
 
 	private static final int RING_CAPACITY = 65_536;
 
 	/**
-	 * Time limits are noticed half of this late on average. Each tick wakes a thread,
-	 * whether there is anything to do or not.
+	 * Interval at which deadlines are checked; on average they are noticed half an
+	 * interval late. Each tick wakes a thread even if there is nothing to do, which rules
+	 * out much shorter ones.
 	 */
 	private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
@@ -70,11 +71,11 @@
 	/**
 	 * Creates the duty.
 	 * @param system the process's actor system
-	 * @param core what decides
-	 * @param claims makes claims
-	 * @param limitShares keeps this daemon's shares of the limits
-	 * @param suspectReporter shares which requests groups died under
-	 * @param recorder keeps recent arrivals, where that is set
+	 * @param core makes the decisions
+	 * @param claims claims idempotency keys
+	 * @param limitShares recalculates this daemon's shares of the workspace limits
+	 * @param suspectReporter receives the requests that were running when a group crashed
+	 * @param recorder records recent arrivals, if that is enabled
 	 */
 	public TrafficDuty(ActorSystem<?> system, TrafficCore core, Claims claims, LimitShareUpdater limitShares,
 			SuspectReporter suspectReporter, TraceRecorder recorder) {
@@ -87,8 +88,8 @@
 	}
 
 	/**
-	 * Sets what is told of targets that stand still; called before the start.
-	 * @param receiver takes the target's id; it must not block
+	 * Sets the receiver of stalled targets. Must be called before the start.
+	 * @param receiver receives the target's id; must not block
 	 */
 	public void setStallListener(Consumer<String> receiver) {
 		this.runner.setStallListener(receiver);
@@ -114,7 +115,7 @@
 	}
 
 	/**
-	 * Takes a request; where the ring is full it is refused at once, as not run.
+	 * Submits a request. If the ring is full, the request is refused at once as not run.
 	 * @param exchange the request
 	 */
 	public void submit(Exchange exchange) {
@@ -124,7 +125,7 @@
 	}
 
 	/**
-	 * Takes over a configuration.
+	 * Applies a configuration.
 	 * @param manifest the manifest in force
 	 */
 	public void onManifest(Manifest manifest) {
@@ -132,7 +133,8 @@
 	}
 
 	/**
-	 * Takes over the targets; where the ring is full the next view does.
+	 * Replaces the known targets. The update is dropped if the ring is full; the next one
+	 * contains all targets again.
 	 * @param targets every target
 	 */
 	public void onTargets(List<TargetView> targets) {
@@ -140,35 +142,36 @@
 	}
 
 	/**
-	 * Takes over a peer's demand; where the ring is full the next beat brings it.
+	 * Records the demand of a peer. It is dropped if the ring is full; the next heartbeat
+	 * repeats it.
 	 * @param daemonId the peer
-	 * @param leaving whether it is about to stop
-	 * @param demand its requests a second, by workspace
+	 * @param leaving whether the peer is shutting down
+	 * @param demand its requests per second, by workspace
 	 */
 	public void onPeerDemand(String daemonId, boolean leaving, Map<String, Double> demand) {
 		this.duty.offer(new TrafficMessage.PeerDemandReceived(daemonId, leaving, demand));
 	}
 
 	/**
-	 * Takes over the agreed state of the fleet, for its quarantined and suspected
-	 * requests.
-	 * @param state the state; where the ring is full the next one does
+	 * Applies the quarantined and suspected requests of the replicated fleet state. The
+	 * update is dropped if the ring is full; the next one contains the whole state again.
+	 * @param state the state
 	 */
 	public void onFleetState(FleetState state) {
 		this.duty.offer(new TrafficMessage.FleetStateChanged(state));
 	}
 
 	/**
-	 * Takes what an engine told of its prefix cache; where the ring is full the hint is
-	 * lost, which costs a prefill at most.
-	 * @param events what it told
+	 * Records changes to the contents of an engine's prefix cache. They are dropped if
+	 * the ring is full, which costs a prefill at most.
+	 * @param events the changes
 	 */
 	public void onCacheEvents(CacheEvents events) {
 		this.duty.offer(new TrafficMessage.CacheChanged(events));
 	}
 
 	/**
-	 * Takes word that a caller went away.
+	 * Cancels a request whose caller has disconnected.
 	 * @param requestId the request
 	 */
 	public void onCallerDisconnected(long requestId) {
@@ -176,11 +179,12 @@
 	}
 
 	/**
-	 * Takes what a target's answer said of its limit; where the ring is full the next
-	 * answer says it again.
+	 * Records the rate limit that a target's response states. It is dropped if the ring
+	 * is full; the next response states it again.
 	 * @param targetId the target
-	 * @param sentAtNanos when the answer's request was sent, by the monotonic clock
-	 * @param requestsPerSecond the limit that it names; empty where it names none
+	 * @param sentAtNanos when the request of this response was sent, by the monotonic
+	 * clock
+	 * @param requestsPerSecond the stated limit; empty if the response states none
 	 */
 	public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
 		final String instanceId = TargetView.instanceId(targetId);
@@ -190,9 +194,9 @@
 	}
 
 	/**
-	 * Takes word that a target wants no requests of this daemon for a while.
-	 * @param instanceId the target's instance
-	 * @param forMillis for how long
+	 * Records that an instance asked for no requests from this daemon for some time.
+	 * @param instanceId the instance
+	 * @param forMillis the length of the backoff
 	 */
 	public void onBackoff(String instanceId, long forMillis) {
 		this.duty.put(new TrafficMessage.BackoffReceived(instanceId, System.nanoTime(),
@@ -200,64 +204,66 @@
 	}
 
 	/**
-	 * Takes word that a target leaves.
-	 * @param instanceId the target's instance
+	 * Records that an instance is shutting down.
+	 * @param instanceId the instance
 	 */
 	public void onLeaving(String instanceId) {
 		this.duty.put(new TrafficMessage.LeavingReceived(instanceId));
 	}
 
 	/**
-	 * Returns the targets that want no requests now.
-	 * @return the targets, and what this daemon sent there all the same
+	 * Returns the instances that accept no requests from this daemon at present.
+	 * @return the instances, and the number of attempts that this daemon started there
+	 * nevertheless
 	 */
 	public List<BackoffReport> backoffReports() {
 		return this.targetMonitor.backoffs().reports();
 	}
 
 	/**
-	 * Takes what another daemon told of targets' limits; where the ring is full the next
-	 * beat brings it.
-	 * @param stated what the targets said
+	 * Merges the limits that another daemon learned from targets. They are dropped if the
+	 * ring is full; the next heartbeat repeats them.
+	 * @param limits the limits that the targets stated
 	 */
-	public void onPeerLimits(List<StatedLimit> stated) {
-		this.duty.offer(new TrafficMessage.PeerLimitsReceived(stated));
+	public void onPeerLimits(List<StatedLimit> limits) {
+		this.duty.offer(new TrafficMessage.PeerLimitsReceived(limits));
 	}
 
 	/**
-	 * Returns what other daemons are to be told of targets' limits.
-	 * @return what the targets said last, the newest first
+	 * Returns the limits to be sent to other daemons.
+	 * @return the last statement of each instance, the newest first
 	 */
 	public List<StatedLimit> latestLimits() {
 		return this.targetMonitor.limits().latestLimits();
 	}
 
 	/**
-	 * Returns the limits that targets name now.
-	 * @return the limits, and what this daemon sent there
+	 * Returns the limits in force that targets have stated.
+	 * @return the limits, and the number of recent attempts of this daemon under each
 	 */
 	public List<LimitReport> limitReports() {
 		return this.targetMonitor.limits().reports();
 	}
 
 	/**
-	 * Returns what is known of targets that died, and of the requests under which they
-	 * did.
-	 * @return the watch, which any thread may tell
+	 * Returns the monitor of crashed targets and of the requests suspected of crashing
+	 * them.
+	 * @return the monitor, to which any thread may report
 	 */
 	public CrashMonitor crashMonitor() {
 		return this.targetMonitor.crashes();
 	}
 
 	/**
-	 * Stops taking new requests.
+	 * Refuses new requests from now on; active requests run to their end.
 	 */
 	public void stopAdmission() {
 		this.duty.put(new TrafficMessage.StopAdmission());
 	}
 
 	/**
-	 * Returns how many requests have not ended.
+	 * Returns the number of requests that have not ended, with the messages in the ring
+	 * counted as requests.
 	 * @return the number of requests
 	 */
 	public int activeRequestCount() {
@@ -265,15 +271,16 @@
 	}
 
 	/**
-	 * Returns how many answers did not match their attempt or came after it had ended.
-	 * @return the number of dropped answers
+	 * Returns the number of responses that did not match their attempt or arrived after
+	 * it had ended.
+	 * @return the number of dropped responses
 	 */
 	public long droppedResponseCount() {
 		return this.droppedResponseCount;
 	}
 
 	/**
-	 * Returns how many requests wait for a target.
+	 * Returns the number of requests that wait for a target.
 	 * @return the number of requests
 	 */
 	public int queuedRequestCount() {
@@ -286,8 +293,8 @@
 	}
 
 	@Override
-	public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
-		this.duty.put(new TrafficMessage.AttemptEnded(attempt, how, tokensDelivered));
+	public void onEnd(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) {
+		this.duty.put(new TrafficMessage.AttemptEnded(attempt, outcome, tokensDelivered));
 	}
 
 	@Override
@@ -296,7 +303,8 @@
 		execute(this.core.onTick(nowNanos));
 		execute(this.limitShares.update(nowNanos, this.core));
 		this.targetMonitor.refresh(nowNanos);
-		// Quarantines expire by the wall clock, without a record.
+		// Quarantines expire by the wall clock without a new record, so they are
+		// evaluated again periodically.
 		if (nowNanos - this.quarantinesRefreshedAtNanos >= QUARANTINE_REFRESH_NANOS) {
 			refreshQuarantines(nowNanos);
 		}
@@ -328,22 +336,22 @@
 		else if (message instanceof TrafficMessage.PeerDemandReceived peer) {
 			this.limitShares.onPeerDemand(nowNanos, peer);
 		}
-		else if (message instanceof TrafficMessage.ClaimDecided claimed) {
-			handleClaimResult(nowNanos, claimed);
+		else if (message instanceof TrafficMessage.ClaimDecided decided) {
+			handleClaimResult(nowNanos, decided);
 		}
-		else if (message instanceof TrafficMessage.CallerDisconnected gone) {
-			execute(this.core.onCallerDisconnected(nowNanos, gone.requestId()));
+		else if (message instanceof TrafficMessage.CallerDisconnected disconnected) {
+			execute(this.core.onCallerDisconnected(nowNanos, disconnected.requestId()));
 		}
-		else if (message instanceof TrafficMessage.ManifestChanged configured) {
-			execute(this.core.onManifest(nowNanos, configured.manifest()));
+		else if (message instanceof TrafficMessage.ManifestChanged manifestChange) {
+			execute(this.core.onManifest(nowNanos, manifestChange.manifest()));
 		}
 		else if (message instanceof TrafficMessage.TargetsChanged targets) {
 			execute(this.core.onTargets(nowNanos, targets.targets()));
 		}
-		else if (message instanceof TrafficMessage.FleetStateChanged agreed) {
-			final boolean changed = agreed.state().quarantines() != this.fleetState.quarantines()
-					|| agreed.state().suspicions() != this.fleetState.suspicions();
-			this.fleetState = agreed.state();
+		else if (message instanceof TrafficMessage.FleetStateChanged fleetChange) {
+			final boolean changed = fleetChange.state().quarantines() != this.fleetState.quarantines()
+					|| fleetChange.state().suspicions() != this.fleetState.suspicions();
+			this.fleetState = fleetChange.state();
 			if (changed) {
 				refreshQuarantines(nowNanos);
 			}
@@ -360,9 +368,9 @@
 	}
 
 	private void handleAttemptEnd(long nowNanos, TrafficMessage.AttemptEnded ended) {
-		final boolean answered = ended.outcome() == AttemptOutcome.COMPLETE
+		final boolean hasResponse = ended.outcome() == AttemptOutcome.COMPLETE
 				|| ended.outcome() == AttemptOutcome.MISMATCHED;
-		if (ended.outcome() == AttemptOutcome.MISMATCHED || (answered && !this.core.isLive(ended.attempt()))) {
+		if (ended.outcome() == AttemptOutcome.MISMATCHED || (hasResponse && !this.core.isLive(ended.attempt()))) {
 			this.droppedResponseCount++;
 			Events.log(EventId.ANSWER_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.outcome());
 		}
@@ -373,11 +381,11 @@
 		execute(this.core.onAttemptEnd(nowNanos, ended.attempt(), ended.outcome(), ended.tokensDelivered()));
 	}
 
-	private void handleClaimResult(long nowNanos, TrafficMessage.ClaimDecided claimed) {
-		this.runner.onClaimResult(claimed);
-		execute(this.core.onClaim(nowNanos, claimed.requestId(), claimed.result().verdict(),
-				claimed.result().claimOffset()));
-		this.runner.removeOutcome(claimed.requestId());
+	private void handleClaimResult(long nowNanos, TrafficMessage.ClaimDecided decided) {
+		this.runner.onClaimResult(decided);
+		execute(this.core.onClaim(nowNanos, decided.requestId(), decided.result().verdict(),
+				decided.result().claimOffset()));
+		this.runner.removeOutcome(decided.requestId());
 	}
 
 	private void execute(List<TrafficAction> actions) {
@@ -387,7 +395,7 @@
 	}
 
 	/**
-	 * Returns how many requests ended with a failure, for metrics and operators.
+	 * Returns the numbers of failed requests, for metrics and operators.
 	 * @return the counts
 	 */
 	public FailureCounts failureCounts() {
@@ -395,11 +403,11 @@
 	}
 
 	/**
-	 * Stores the outcome of a claimed request before its answer is given.
+	 * Stores the outcome of a claimed request. Called before its response is sent.
 	 * @param exchange the request
 	 * @param status the target's HTTP status
-	 * @param contentType the answer's content type
-	 * @param body the answer's body
+	 * @param contentType the response's content type
+	 * @param body the response's body
 	 */
 	void settle(Exchange exchange, int status, String contentType, String body) {
 		this.runner.settle(exchange, status, contentType, body);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -16,7 +16,7 @@
 import org.pistachioline.daemon.claims.ClaimResult;
 
 /**
- * A message to the traffic duty.
+ * A message in the ring of the traffic duty.
  */
 sealed interface TrafficMessage {
 
@@ -29,10 +29,10 @@
 	}
 
 	/**
-	 * An attempt gave its first token.
+	 * An attempt delivered tokens, or its caller reads slowly.
 	 *
 	 * @param attempt the attempt
-	 * @param tokensDelivered the tokens that the caller has
+	 * @param tokensDelivered the total number of tokens delivered for the request
 	 */
 	record AttemptProgressed(AttemptId attempt, int tokensDelivered) implements TrafficMessage {
 	}
@@ -41,8 +41,8 @@
 	 * An attempt ended.
 	 *
 	 * @param attempt the attempt
-	 * @param outcome how it ended
-	 * @param tokensDelivered the tokens that the caller has
+	 * @param outcome how the attempt ended
+	 * @param tokensDelivered the total number of tokens delivered for the request
 	 */
 	record AttemptEnded(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) implements TrafficMessage {
 	}
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * A caller went away.
+	 * A caller disconnected.
 	 *
 	 * @param requestId the request
 	 */
@@ -81,7 +81,7 @@
 	}
 
 	/**
-	 * The agreed state of the fleet changed.
+	 * The replicated state of the fleet changed.
 	 *
 	 * @param state the state
 	 */
@@ -89,36 +89,36 @@
 	}
 
 	/**
-	 * An engine told of its prefix cache.
+	 * The contents of an engine's prefix cache changed.
 	 *
-	 * @param events what it told
+	 * @param events the changes
 	 */
 	record CacheChanged(CacheEvents events) implements TrafficMessage {
 	}
 
 	/**
-	 * A target's answer said something of its limit.
+	 * A response stated a rate limit, or no longer does.
 	 *
 	 * @param instanceId the instance
-	 * @param sentAtNanos when the answer's request was sent
-	 * @param requestsPerSecond the limit that it names; empty where it names none
+	 * @param sentAtNanos when the request of the response was sent
+	 * @param requestsPerSecond the stated limit; empty if the response states none
 	 */
 	record LimitReceived(String instanceId, long sentAtNanos,
 			OptionalDouble requestsPerSecond) implements TrafficMessage {
 	}
 
 	/**
-	 * A target's answer asked for no requests for a while.
+	 * A response asked for no requests for some time.
 	 *
 	 * @param instanceId the instance
-	 * @param receivedAtNanos when the answer came
-	 * @param forNanos for how long
+	 * @param receivedAtNanos when the response arrived
+	 * @param forNanos the length of the backoff
 	 */
 	record BackoffReceived(String instanceId, long receivedAtNanos, long forNanos) implements TrafficMessage {
 	}
 
 	/**
-	 * A target's answer said that it leaves.
+	 * A response stated that its instance is shutting down.
 	 *
 	 * @param instanceId the instance
 	 */
@@ -126,23 +126,23 @@
 	}
 
 	/**
-	 * Another daemon told of targets' limits.
+	 * Another daemon sent the limits that it learned from targets.
 	 *
-	 * @param limits what the targets said
+	 * @param limits the limits that the targets stated
 	 */
 	record PeerLimitsReceived(List<StatedLimit> limits) implements TrafficMessage {
 	}
 
 	/**
-	 * A target died.
+	 * A target crashed.
 	 *
-	 * @param crash the target, and what it was running for this daemon
+	 * @param crash the target, and the requests that it was running for this daemon
 	 */
 	record TargetCrashed(TargetCrash crash) implements TrafficMessage {
 	}
 
 	/**
-	 * Another daemon told of requests under which targets died.
+	 * Another daemon sent the requests that were running when targets crashed.
 	 *
 	 * @param requests the requests
 	 */
@@ -150,17 +150,17 @@
 	}
 
 	/**
-	 * The daemon leaves.
+	 * The daemon is shutting down and refuses new requests from now on.
 	 */
 	record StopAdmission() implements TrafficMessage {
 	}
 
 	/**
-	 * A peer told its demand.
+	 * A peer sent its demand in a heartbeat.
 	 *
 	 * @param daemonId the peer
-	 * @param leaving whether it is about to stop
-	 * @param demand its requests a second, by workspace
+	 * @param leaving whether the peer is shutting down
+	 * @param demand its requests per second, by workspace
 	 */
 	record PeerDemandReceived(String daemonId, boolean leaving, Map<String, Double> demand) implements TrafficMessage {
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests in flight: the decision core's thread and the streams between callers and
+ * Active requests: the thread of the traffic core and the streams between callers and
  * targets.
  */
 package org.pistachioline.daemon.traffic;
