--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
@@ -86,43 +86,44 @@
 		this.system.terminate();
 	}
 
-	// The group under a stream dies after three tokens. The caller's answer goes on from
-	// another group, and reads as if nothing had happened.
+	// The group that serves a stream crashes after three tokens. The response must
+	// continue on another group without a lost, duplicated or changed token.
 	@Test
 	void aStreamWhoseGroupCrashesIsResumedInTheSameResponse() {
 		final List<String> resumedFrom = new ArrayList<>();
-		final CompletableFuture<ByteString> death = new CompletableFuture<>();
-		final String dying = serve((request) -> events(
-				tokens(attempt(request), 0, TOKENS_BEFORE_CRASH).concat(Source.completionStage(death)), false));
+		final CompletableFuture<ByteString> crash = new CompletableFuture<>();
+		final String crashing = serve((request) -> events(
+				tokens(attempt(request), 0, TOKENS_BEFORE_CRASH).concat(Source.completionStage(crash)), false));
 		final String healthy = serve((request) -> {
 			final int from = Integer.parseInt(header(request, "Pistachioline-Resume-From"));
 			resumedFrom.add(Integer.toString(from));
 			return events(tokens(attempt(request), from, TOKENS).concat(end(attempt(request))), false);
 		});
-		this.traffic.onTargets(List.of(model("a@1", dying, true), model("b@1", healthy, true)));
-		final StringBuilder seen = new StringBuilder();
+		this.traffic.onTargets(List.of(model("a@1", crashing, true), model("b@1", healthy, true)));
+		final StringBuilder received = new StringBuilder();
 		this.exchanges.startCompletion(completion(1), "r-1", body(), true)
-			.thenCompose((answer) -> answer.entity().getDataBytes().runForeach((bytes) -> {
-				seen.append(bytes.utf8String());
-				if (seen.indexOf(data(TOKENS_BEFORE_CRASH - 1)) >= 0) {
-					death.completeExceptionally(new IllegalStateException("the group died"));
+			.thenCompose((response) -> response.entity().getDataBytes().runForeach((bytes) -> {
+				received.append(bytes.utf8String());
+				if (received.indexOf(data(TOKENS_BEFORE_CRASH - 1)) >= 0) {
+					crash.completeExceptionally(new IllegalStateException("the group crashed"));
 				}
 			}, this.system))
 			.join();
-		assertThat(seen.toString()).isEqualTo(expected(TOKENS));
+		assertThat(received.toString()).isEqualTo(expected(TOKENS));
 		assertThat(resumedFrom).containsExactly(Integer.toString(TOKENS_BEFORE_CRASH));
 	}
 
-	// A whole answer is put together from the same events; its last one must not be lost
-	// to the end of the attempt, which is reported from another thread.
+	// A buffered response is assembled from the events of the attempts. The end of an
+	// attempt is reported from another thread, possibly before its last event is
+	// consumed, which must not lose that event.
 	@Test
 	void aBufferedResponseHasEveryTokenAfterAResume() {
-		final String dying = serve((request) -> events(tokens(attempt(request), 0, TOKENS_BEFORE_CRASH), true));
+		final String crashing = serve((request) -> events(tokens(attempt(request), 0, TOKENS_BEFORE_CRASH), true));
 		final String healthy = serve((request) -> {
 			final int from = Integer.parseInt(header(request, "Pistachioline-Resume-From"));
 			return events(tokens(attempt(request), from, TOKENS).concat(end(attempt(request))), false);
 		});
-		this.traffic.onTargets(List.of(model("a@1", dying, true), model("b@1", healthy, true)));
+		this.traffic.onTargets(List.of(model("a@1", crashing, true), model("b@1", healthy, true)));
 		final String content = Json.tree(complete(1, false).getBytes(StandardCharsets.UTF_8))
 			.path("choices")
 			.path(0)
@@ -132,22 +133,21 @@
 		assertThat(content).isEqualTo("w0w1w2w3w4w5w6w7");
 	}
 
-	// An engine's connection carries the answer to another shop's request. Nothing of it
-	// reaches this caller; it is counted, and another group answers.
+	// An engine sends the response to another caller's request. None of it may reach this
+	// caller: it is dropped and counted, and another group serves the request.
 	@Test
 	void aResponseToAnotherRequestIsDroppedAndCounted() {
-		final String confused = serve((request) -> events(tokens("77-1", 0, TOKENS).concat(end("77-1")), false));
+		final String misdirecting = serve((request) -> events(tokens("77-1", 0, TOKENS).concat(end("77-1")), false));
 		final String healthy = serve(
 				(request) -> events(tokens(attempt(request), 0, TOKENS).concat(end(attempt(request))), false));
-		this.traffic.onTargets(List.of(model("a@1", confused, true), model("b@1", healthy, true)));
+		this.traffic.onTargets(List.of(model("a@1", misdirecting, true), model("b@1", healthy, true)));
 		assertThat(complete(1, true)).isEqualTo(expected(TOKENS));
 		assertThat(this.traffic.droppedResponseCount()).isEqualTo(1);
 	}
 
-	// A caller hangs up in the middle of its answer. The engine's work for it is
-	// cancelled;
-	// otherwise callers that give up and ask again would fill the engines with work that
-	// nobody reads.
+	// A caller disconnects in the middle of its response. The engine's work must be
+	// cancelled; otherwise callers that time out and retry would fill the engines with
+	// work whose output nobody reads.
 	@Test
 	void theEngineRequestIsCancelledWhenTheCallerDisconnects() {
 		final CompletableFuture<String> cancelled = new CompletableFuture<>();
@@ -164,13 +164,14 @@
 				.withEntity(HttpEntities.createChunked(ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), events));
 		});
 		this.traffic.onTargets(List.of(model("a@1", endless, true)));
-		final HttpResponse answer = this.exchanges.startCompletion(completion(1), "r-1", body(), true).join();
-		answer.entity().getDataBytes().take(1).runWith(Sink.ignore(), this.system);
+		final HttpResponse response = this.exchanges.startCompletion(completion(1), "r-1", body(), true).join();
+		response.entity().getDataBytes().take(1).runWith(Sink.ignore(), this.system);
 		assertThat(cancelled.join()).isEqualTo("cancelled");
 	}
 
-	// The service takes a booking and breaks the connection before it answers. The caller
-	// is told that it may have run, and its repeat is told the same: one run, no second.
+	// The service runs a non-idempotent call and breaks the connection before it
+	// responds. The caller learns that the call may have run, and a retry with the same
+	// key must not run it again.
 	@Test
 	void aNonIdempotentCallWhoseResponseIsLostRunsOnceDespiteRetries() {
 		final String service = serve((request) -> {
@@ -190,9 +191,9 @@
 		assertThat(this.runs).containsExactly(Map.entry("k", 1));
 	}
 
-	// An instance of the service is gone but still listed. No connection is made there,
-	// so
-	// nothing was sent, and the booking may go to the next one.
+	// An instance of the service has stopped but is still listed. The connection is
+	// refused, so nothing was sent, and the non-idempotent call may be sent to another
+	// instance.
 	@Test
 	void aNonIdempotentCallThatWasNeverSentGoesToAnotherInstance() {
 		final String service = serve((request) -> {
@@ -201,15 +202,15 @@
 		});
 		this.traffic.onTargets(List.of(service("gone", closedAddress()), service("s2", service)));
 		for (int i = 1; i < 5; i++) {
-			final HttpResponse answer = call(i, "k" + i);
-			assertThat(answer.status().intValue()).isEqualTo(200);
+			final HttpResponse response = call(i, "k" + i);
+			assertThat(response.status().intValue()).isEqualTo(200);
 		}
 		assertThat(this.runs).containsExactly(Map.entry("k", 4));
 	}
 
 	private String complete(long requestId, boolean stream) {
 		return this.exchanges.startCompletion(completion(requestId), "r-" + requestId, body(), stream)
-			.thenCompose((answer) -> answer.entity()
+			.thenCompose((response) -> response.entity()
 				.getDataBytes()
 				.runFold(ByteString.emptyByteString(), ByteString::concat, this.system))
 			.join()
@@ -259,7 +260,7 @@
 
 	private static HttpResponse events(Source<ByteString, NotUsed> events, boolean breaks) {
 		final Source<ByteString, NotUsed> sent = breaks
-				? events.concat(Source.failed(new IllegalStateException("the group died"))) : events;
+				? events.concat(Source.failed(new IllegalStateException("the group crashed"))) : events;
 		return HttpResponse.create()
 			.withEntity(HttpEntities.createChunked(ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), sent));
 	}
@@ -288,10 +289,10 @@
 		return serve(handler, false);
 	}
 
-	private String serve(Function<HttpRequest, HttpResponse> handler, boolean cutsOnFailure) {
+	private String serve(Function<HttpRequest, HttpResponse> handler, boolean breaksOnFailure) {
 		final ServerBinding binding = Http.get(this.system).newServerAt("127.0.0.1", 0).bind((HttpRequest request) -> {
 			request.discardEntityBytes(this.system);
-			if (!cutsOnFailure) {
+			if (!breaksOnFailure) {
 				return CompletableFuture.completedFuture(handler.apply(request));
 			}
 			try {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/RelayStageTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/RelayStageTests.java
@@ -37,8 +37,8 @@
 		system.terminate();
 	}
 
-	// The network cuts an answer into pieces anywhere. Whatever the pieces, the caller
-	// gets each token once, in order, and the end mark.
+	// The network splits a response into chunks at any byte. For every split, the caller
+	// must receive each token once, in order, and the end marker.
 	@Property(seed = "7203", tries = 200, shrinking = ShrinkingMode.OFF)
 	void chunkBoundariesDoNotChangeTheResponse(@ForAll long seed) {
 		final Relayed relayed = relay(1, 0, randomChunks(new Random(seed), response(1, 0)), false);
@@ -46,14 +46,14 @@
 		assertThat(relayed.ends).containsExactly("1-1 COMPLETE " + TOKENS);
 	}
 
-	// A group dies in the middle of an answer, at any byte. The next attempt goes on from
-	// the count that was reported, and the caller sees one answer without a lost or
-	// doubled token.
+	// A group crashes in the middle of a response, at any byte. The next attempt resumes
+	// from the reported count, and the caller must receive one response without a lost or
+	// duplicated token.
 	@Property(seed = "7204", tries = 200, shrinking = ShrinkingMode.OFF)
 	void aResponseCutAnywhereIsResumedWithoutALostOrDuplicatedToken(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final byte[] whole = response(1, 0);
-		final byte[] cut = Arrays.copyOf(whole, random.nextInt(whole.length));
+		final byte[] complete = response(1, 0);
+		final byte[] cut = Arrays.copyOf(complete, random.nextInt(complete.length));
 		final Relayed first = relay(1, 0, randomChunks(random, cut), random.nextBoolean());
 		if (first.end == AttemptOutcome.COMPLETE) {
 			assertThat(first.text).isEqualTo(expected(0, TOKENS) + endOfResponse());
@@ -64,33 +64,33 @@
 		assertThat(first.text + second.text).isEqualTo(expected(0, TOKENS) + endOfResponse());
 	}
 
-	// On a connection that was used before, an event of another attempt arrives; or an
-	// event comes twice, is left out, or is not one. Another shop's proof must never
-	// stand in this answer: what was right is kept, the rest dropped, and it is reported.
+	// On a reused connection an event of another attempt arrives, or an event is
+	// duplicated, missing or malformed. No such event may reach the caller: the events
+	// before it are kept, the rest is dropped, and the attempt ends as mismatched.
 	@Property(seed = "7205", tries = 300, shrinking = ShrinkingMode.OFF)
 	void onlyTheNextTokenOfTheAttemptIsForwarded(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final int at = random.nextInt(TOKENS);
+		final int position = random.nextInt(TOKENS);
 		final List<String> events = new ArrayList<>();
 		for (int i = 0; i < TOKENS; i++) {
 			events.add(token(1, i));
 		}
-		events.set(at, unexpectedEvent(random, at));
+		events.set(position, unexpectedEvent(random, position));
 		final Relayed relayed = relay(1, 0, randomChunks(random, join(events).getBytes(StandardCharsets.UTF_8)), false);
 		assertThat(relayed.end).isEqualTo(AttemptOutcome.MISMATCHED);
-		assertThat(relayed.text).isEqualTo(expected(0, at));
-		assertThat(relayed.tokens).isEqualTo(at);
+		assertThat(relayed.text).isEqualTo(expected(0, position));
+		assertThat(relayed.tokens).isEqualTo(position);
 	}
 
-	private static String unexpectedEvent(Random random, int at) {
+	private static String unexpectedEvent(Random random, int position) {
 		return switch (random.nextInt(7)) {
-			case 0 -> "id: 99-1:" + at + "\ndata: foreign\n\n";
-			case 1 -> token(2, at);
-			case 2 -> token(1, at + 1);
-			case 3 -> (at > 0) ? token(1, at - 1) : token(1, 7);
+			case 0 -> "id: 99-1:" + position + "\ndata: foreign\n\n";
+			case 1 -> token(2, position);
+			case 2 -> token(1, position + 1);
+			case 3 -> (position > 0) ? token(1, position - 1) : token(1, 7);
 			case 4 -> "data: no id\n\n";
 			case 5 -> "id: 1-1:\ndata: no position\n\n";
-			default -> "id: 1-1:" + at + "\ndata: " + "x".repeat(300 * 1024) + "\n\n";
+			default -> "id: 1-1:" + position + "\ndata: " + "x".repeat(300 * 1024) + "\n\n";
 		};
 	}
 
@@ -125,20 +125,20 @@
 	}
 
 	private static List<ByteString> randomChunks(Random random, byte[] bytes) {
-		final List<ByteString> pieces = new ArrayList<>();
+		final List<ByteString> chunks = new ArrayList<>();
 		int start = 0;
 		while (start < bytes.length) {
 			final int end = Math.min(bytes.length, start + 1 + random.nextInt(40));
-			pieces.add(ByteString.fromArray(bytes, start, end - start));
+			chunks.add(ByteString.fromArray(bytes, start, end - start));
 			start = end;
 		}
-		return pieces;
+		return chunks;
 	}
 
-	private static Relayed relay(int attempt, int from, List<ByteString> pieces, boolean fails) {
+	private static Relayed relay(int attempt, int from, List<ByteString> chunks, boolean fails) {
 		final Relayed relayed = new Relayed();
 		final Source<ByteString, ?> upstream = fails
-				? Source.from(pieces).concat(Source.failed(new IllegalStateException("reset"))) : Source.from(pieces);
+				? Source.from(chunks).concat(Source.failed(new IllegalStateException("reset"))) : Source.from(chunks);
 		relayed.text = upstream.via(new RelayStage(new AttemptId(1, attempt), from, relayed))
 			.runFold(ByteString.emptyByteString(), ByteString::concat, system)
 			.toCompletableFuture()
@@ -163,9 +163,9 @@
 		}
 
 		@Override
-		public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
-			this.ends.add(attempt.wireForm() + " " + how + " " + tokensDelivered);
-			this.end = how;
+		public void onEnd(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) {
+			this.ends.add(attempt.wireForm() + " " + outcome + " " + tokensDelivered);
+			this.end = outcome;
 			this.tokens = tokensDelivered;
 		}
 
