--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/InstanceListener.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/InstanceListener.java
@@ -1,20 +1,20 @@
 package org.pistachioline.daemon.port;
 
 /**
- * Hears what instances want of this daemon, whatever it was that they answered. It must
- * not block.
+ * Receives the backoffs and shutdowns that instances state in responses of any kind.
+ * Implementations must not block.
  */
 public interface InstanceListener {
 
 	/**
-	 * Called for each answer that asks this daemon for no requests for a while.
+	 * Called for each response that asks this daemon to send no requests for some time.
 	 * @param instanceId the instance
-	 * @param forMillis for how long
+	 * @param forMillis the length of the backoff
 	 */
 	void onBackoff(String instanceId, long forMillis);
 
 	/**
-	 * Called where an answer says that its instance leaves.
+	 * Called for each response that states that its instance is shutting down.
 	 * @param instanceId the instance
 	 */
 	void onLeaving(String instanceId);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/OrderSender.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/OrderSender.java
@@ -7,29 +7,29 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * Gives orders to instances.
+ * Sends replica orders and liveness probes to instances.
  */
 public interface OrderSender {
 
 	/**
-	 * Gives an order.
+	 * Sends an order to its instance.
 	 * @param order the order
-	 * @param fencingToken the number of the lease under which it is given
-	 * @return what came of it; it never fails
+	 * @param fencingToken the term of the lease under which the order is sent
+	 * @return the outcome of the order; the future never completes exceptionally
 	 */
 	CompletableFuture<OrderOutcome> send(ReplicaOrder order, long fencingToken);
 
 	/**
-	 * Sets what hears of instances that leave or want nothing for a while, from their
-	 * answers to orders and questions; called before the start.
-	 * @param listener hears it
+	 * Sets the receiver of the backoffs and shutdowns that instances state in their
+	 * responses to orders and probes. Must be called before the start.
+	 * @param listener the receiver
 	 */
 	void setInstanceListener(InstanceListener listener);
 
 	/**
-	 * Asks an instance whether it lives.
+	 * Probes whether an instance is alive.
 	 * @param instance the instance
-	 * @return whether it answered; it never fails
+	 * @return whether the instance responded; the future never completes exceptionally
 	 */
 	CompletableFuture<Boolean> probe(ServingInstance instance);
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/PlannerLease.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/PlannerLease.java
@@ -6,26 +6,29 @@
 import org.pistachioline.daemon.Lifecycle;
 
 /**
- * A lease that at most one daemon holds: only its holder gives orders.
+ * A lease that is held by at most one daemon at a time; only its holder may send orders
+ * to instances.
  */
 public interface PlannerLease extends Lifecycle {
 
 	/**
-	 * Returns the lease's number, if this daemon holds it for certain. The number rises
-	 * with each change of the holder, and is the fencing token of every order.
+	 * Returns the lease's term if this daemon certainly holds the lease. The term
+	 * increases with each change of the holder and serves as the fencing token of every
+	 * order.
 	 * @param nowNanos the monotonic time
-	 * @return the number; empty where the lease is not held or may have lapsed
+	 * @return the term; empty if the lease is not held or may have expired
 	 */
 	Optional<Long> term(long nowNanos);
 
 	/**
-	 * Sets who asks for the lease; whoever holds it keeps it until it is lost.
-	 * @param isCandidate returns whether this daemon asks; it must not block
+	 * Sets the condition under which this daemon requests the lease. A daemon that holds
+	 * the lease keeps it even if the condition no longer applies.
+	 * @param isCandidate returns whether this daemon requests the lease; must not block
 	 */
 	void setCandidacy(BooleanSupplier isCandidate);
 
 	/**
-	 * Gives the lease up, so that another daemon need not wait until it lapses.
+	 * Releases the lease, so that another daemon can acquire it before it expires.
 	 */
 	void release();
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RelayProtocol.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RelayProtocol.java
@@ -11,65 +11,68 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * Reads and writes the headers of callers and targets.
+ * Reads and writes the platform-specific headers of requests and responses.
  */
 public interface RelayProtocol {
 
 	/**
-	 * Reads a caller's request.
+	 * Reads the headers of a caller's request.
 	 * @param headers its header fields
-	 * @return what it says
+	 * @return the metadata of the request
 	 * @throws org.pistachioline.core.error.PistachiolineException with
-	 * {@code MALFORMED_REQUEST} where its headers cannot be understood
+	 * {@code MALFORMED_REQUEST} if its headers cannot be parsed
 	 */
 	RequestMetadata readRequest(HeaderFields headers);
 
 	/**
-	 * Writes the request that goes to a target.
-	 * @param call the caller's request
+	 * Creates the request that is sent to a target.
+	 * @param request the caller's request
 	 * @param target the target
-	 * @param leftMillis how long the caller still waits
-	 * @param lastEventId the last event that the caller has; empty where it has none
+	 * @param remainingMillis how long the caller will still wait
+	 * @param lastEventId the last event that the caller received; empty if it has
+	 * received none
 	 * @return the request
 	 */
-	WebRequest toTargetRequest(RelayedRequest call, TargetView target, long leftMillis, Optional<String> lastEventId);
+	WebRequest toTargetRequest(RelayedRequest request, TargetView target, long remainingMillis,
+			Optional<String> lastEventId);
 
 	/**
-	 * Judges the head of a target's answer.
-	 * @param call the caller's request
-	 * @param answer the answer's head
+	 * Classifies a target's response by its head.
+	 * @param request the caller's request
+	 * @param head the head of the response
 	 * @return the verdict
 	 */
-	ResponseVerdict classify(RelayedRequest call, AnswerHead answer);
+	ResponseVerdict classify(RelayedRequest request, AnswerHead head);
 
 	/**
-	 * Reads the limit that a target names on an answer.
-	 * @param answer the answer's head
-	 * @return how many requests a second it takes from all daemons together; empty where
-	 * it names no limit
+	 * Reads the rate limit that a target states in a response.
+	 * @param head the head of the response
+	 * @return the requests per second that it accepts from all daemons together; empty if
+	 * it states no limit
 	 */
-	OptionalDouble requestLimit(AnswerHead answer);
+	OptionalDouble requestLimit(AnswerHead head);
 
 	/**
-	 * Reads for how long a target wants no requests of this daemon.
-	 * @param answer the answer's head
-	 * @return the time in milliseconds; empty where it does not ask for any
+	 * Reads the backoff that a target asks of this daemon in a response.
+	 * @param head the head of the response
+	 * @return the length of the backoff, in milliseconds; empty if it asks for none
 	 */
-	OptionalLong backoffMillis(AnswerHead answer);
+	OptionalLong backoffMillis(AnswerHead head);
 
 	/**
-	 * Reads whether a target says that it leaves.
-	 * @param answer the answer's head
-	 * @return whether it does; never on an answer that may be another instance's
+	 * Returns whether a target states in a response that it is shutting down.
+	 * @param head the head of the response
+	 * @return whether it is shutting down; false if the response may be another
+	 * instance's
 	 */
-	boolean isLeaving(AnswerHead answer);
+	boolean isLeaving(AnswerHead head);
 
 	/**
-	 * Reads what a target says of its load on an answer.
-	 * @param answer the answer's head
+	 * Reads the load that a target reports in a response.
+	 * @param head the head of the response
 	 * @param nowNanos the monotonic time
-	 * @return the load; empty where it says nothing
+	 * @return the load; empty if it reports none
 	 */
-	Optional<LoadReport> load(AnswerHead answer, long nowNanos);
+	Optional<LoadReport> load(AnswerHead head, long nowNanos);
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RequestMetadata.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RequestMetadata.java
@@ -4,23 +4,24 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller said of its request beside the path and the body.
+ * What a caller's headers state about its request.
  *
- * @param requestId the id that the caller gave this attempt
- * @param timeoutMillis how long the caller waits; empty where it did not say
- * @param apiKey the caller's key; empty where it sent none
- * @param model the model that is asked for; empty where the request names none
+ * @param requestId the id that the caller assigned to this attempt
+ * @param timeoutMillis how long the caller waits for the response; empty if not stated
+ * @param apiKey the caller's API key; empty if it sent none
+ * @param model the requested model; empty if the request names none
  * @param promptTokens the length of the prompt, in tokens
- * @param maxOutputTokens the most tokens that may be generated
- * @param lastEventId the last event that the caller has; empty where the stream begins
+ * @param maxOutputTokens the maximum number of tokens that may be generated
+ * @param lastEventId the last event that the caller received; empty at the beginning of a
+ * stream
  */
 public record RequestMetadata(String requestId, OptionalLong timeoutMillis, Optional<String> apiKey,
 		Optional<String> model, int promptTokens, int maxOutputTokens, Optional<String> lastEventId) {
 
 	@Override
 	public String toString() {
-		// The key must not get into a log.
-		return "CallHead[" + this.requestId + "]";
+		// The API key must not be logged.
+		return "RequestMetadata[" + this.requestId + "]";
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/ResponseVerdict.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/ResponseVerdict.java
@@ -1,20 +1,25 @@
 package org.pistachioline.daemon.port;
 
 /**
- * What the head of a target's answer is worth.
+ * The classification of a target's response by its head.
  */
 public enum ResponseVerdict {
 
-	/** It is the target's own answer to this request and goes to the caller as it is. */
+	/**
+	 * The response is the target's own response to this request and is forwarded
+	 * unchanged.
+	 */
 	VALID,
 
 	/** The target ran the request and failed. */
 	FAILURE,
 
-	/** The target says that it has not run the request and will not. */
+	/** The target states that it has not run the request and never will. */
 	DECLINED,
 
-	/** It is not an answer to this request, or cannot be shown to be one. */
+	/**
+	 * The response belongs to another request, or cannot be proven to belong to this one.
+	 */
 	MISMATCHED
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RouteSource.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RouteSource.java
@@ -8,24 +8,24 @@
 import org.pistachioline.daemon.Lifecycle;
 
 /**
- * Follows the operators' configuration. A version is told as a whole, and never one that
- * is older than one told before.
+ * Follows the operators' configuration. Each version is delivered completely, and never
+ * after a newer one.
  */
 public interface RouteSource extends Lifecycle {
 
 	/**
-	 * Sets what takes each new configuration; called before the start.
-	 * @param receiver takes it; it must not block
+	 * Sets the receiver of each new configuration. Must be called before the start.
+	 * @param receiver receives the routes; must not block
 	 */
 	void setRouteListener(Consumer<RouteTable> receiver);
 
 	/**
-	 * Sets what tells of the other daemons; called before the start. Where there are many
-	 * of them each asks the platform more seldom, and whoever hears that another has a
-	 * newer version asks at once.
-	 * @param daemons returns how many daemons live, this one included
-	 * @param newestVersion returns the newest version that is in force on another
+	 * Sets the view of the other daemons. Must be called before the start. The more
+	 * daemons are live, the less often each one polls the platform; a daemon that learns
+	 * of a newer version on another daemon reads it at once.
+	 * @param liveDaemons returns the number of live daemons, this one included
+	 * @param newestVersion returns the newest version that is in force on another daemon
 	 */
-	void setFleetView(IntSupplier daemons, LongSupplier newestVersion);
+	void setFleetView(IntSupplier liveDaemons, LongSupplier newestVersion);
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What a daemon that relays by routes needs from the platform it runs on.
+ * Interfaces between a daemon that relays requests by routes and the platform that it
+ * runs on.
  */
 package org.pistachioline.daemon.port;
