--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceNews.java
@@ -20,7 +20,7 @@
 	@Override
 	public void onLeaving(String instanceId) {
 		this.traffic.onLeaving(instanceId);
-		this.replicas.leaving(instanceId);
+		this.replicas.onInstanceLeaving(instanceId);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -11,11 +11,11 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.endpoints.EndpointSelector;
-import org.pistachioline.core.endpoints.WarmUpRule;
+import org.pistachioline.core.endpoints.WarmUpPolicy;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.peer.PeerStatus;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.replica.PlannerCandidates;
 import org.pistachioline.core.replica.ServingInstance;
 import org.pistachioline.core.route.RouteTable;
@@ -129,7 +129,7 @@
 		final InstanceNews news = new InstanceNews(this.traffic, this.replicas);
 		ports.orders().setInstanceListener(news);
 		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.table, this.traffic,
-				this.replicas::loaded, news, () -> this.leaving);
+				this.replicas::onLoadReport, news, () -> this.leaving);
 		this.parts.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing, ports.lease(),
 				new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
 		connect();
@@ -138,24 +138,24 @@
 	private TrafficPolicies policies() {
 		final long seed = this.incarnation ^ ((long) this.settings.daemonId().hashCode() << Integer.SIZE);
 		return RoutingPolicies.create(this.settings.availabilityZone(), seed, this.settings.retryBudget(),
-				this::daemonCount, new SharedDeaths());
+				this::daemonCount, new GossipQuarantine());
 	}
 
 	private void connect() {
 		this.ports.routes().setRouteListener((next) -> {
 			this.table = next;
-			this.replicas.configured(next);
+			this.replicas.configure(next);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
 		});
 		this.ports.routes().setFleetView(() -> this.peers.others().size() + 1, this.peers::newestConfigVersion);
 		this.ports.lease().setCandidacy(this::isPlannerCandidate);
 		this.peers.onListingFrame(this.listing::onFrame);
 		this.traffic.setStallListener((targetId) -> {
-			this.replicas.stalled(targetId);
+			this.replicas.onTargetStalled(targetId);
 			this.peers.tellStalled(targetId);
 		});
 		this.peers.onLimits(this.traffic::latestLimits, this.traffic::onPeerLimits);
-		this.peers.onStalled(this.replicas::stalled);
+		this.peers.onStalled(this.replicas::onTargetStalled);
 		final CrashMonitor crashes = this.traffic.crashMonitor();
 		this.peers.suspects().bind(crashes::gossipSample, crashes::knownSuspects, crashes::onPeerReports);
 		crashes.setBroadcaster(this.peers::tellSuspects);
@@ -179,7 +179,7 @@
 
 	private void listed(List<ServingInstance> instances) {
 		this.listed = true;
-		this.replicas.listed(instances);
+		this.replicas.updateInstances(instances);
 	}
 
 	// A daemon that has just started counts few others; the most it has ever seen is a
@@ -240,7 +240,7 @@
 	 * @return whether they can
 	 */
 	public boolean mayHoldBack() {
-		return WarmUpRule.mayHoldBack(status(), this.peers.others());
+		return WarmUpPolicy.shouldWarmUp(status(), this.peers.others());
 	}
 
 	/**
@@ -275,7 +275,7 @@
 	 * @return the addresses, the best first
 	 */
 	public List<String> endpoints(String availabilityZone) {
-		final List<String> chosen = EndpointSelector.choose(daemons(), availabilityZone, this.lookups.getAndIncrement())
+		final List<String> chosen = EndpointSelector.select(daemons(), availabilityZone, this.lookups.getAndIncrement())
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
@@ -304,7 +304,7 @@
 	 * @return the number of targets
 	 */
 	public int servingTargets() {
-		return this.replicas.servingCount();
+		return this.replicas.servingTargetCount();
 	}
 
 	/**
@@ -330,7 +330,7 @@
 		if (!this.relay.listening()) {
 			return Optional.of("callers are not served yet");
 		}
-		if (!this.table.known()) {
+		if (!this.table.isKnown()) {
 			return Optional.of("no configuration is known");
 		}
 		if (!this.listed) {
@@ -359,11 +359,11 @@
 				Map.of("held", this.traffic.activeRequestCount(), "queued", this.traffic.queuedRequestCount()));
 		dump.put("listing",
 				Map.of("age_millis", this.listing.ageMillis(), "reads_for_others", this.listing.readsForOthers()));
-		dump.put("serving_targets", this.replicas.servingCount());
+		dump.put("serving_targets", this.replicas.servingTargetCount());
 		dump.put("limited_targets", this.traffic.limitReports());
 		dump.put("backoff_targets", this.traffic.backoffReports());
 		dump.put("crash_suspects", this.traffic.crashMonitor().reports());
-		dump.put("planned_groups", this.replicas.groups());
+		dump.put("planned_groups", this.replicas.plannedGroups());
 		dump.put("peers", daemons());
 		return dump;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
@@ -193,7 +193,7 @@
 
 	private HttpResponse endpoints(HttpRequest request) {
 		final String zone = request.getUri().query().get("availability_zone").orElse("");
-		final List<PeerStatus> chosen = EndpointSelector.choose(this.daemon.daemons(), zone,
+		final List<PeerStatus> chosen = EndpointSelector.select(this.daemon.daemons(), zone,
 				this.nextEndpointsAnswer.getAndIncrement());
 		final List<Map<String, Object>> endpoints = chosen.stream()
 			.map((peer) -> Map.<String, Object>of("address", peer.callerAddress(), "availability_zone",
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayStack.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayStack.java
@@ -6,7 +6,7 @@
 
 import org.apache.pekko.actor.typed.ActorSystem;
 
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.retry.RetryBudget;
 import org.pistachioline.core.route.RouteTable;
 import org.pistachioline.core.traffic.RoutingPolicies;
@@ -48,8 +48,10 @@
 	public RelayStack(ActorSystem<?> system, String callerAddress, RelayProtocol dialect, RouteTable table,
 			List<TargetView> targets) {
 		this.targets = List.copyOf(targets);
-		this.traffic = new TrafficDuty(system, new TrafficCore(RoutingPolicies.create("", 1,
-				new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1, new SharedDeaths())),
+		this.traffic = new TrafficDuty(system,
+				new TrafficCore(RoutingPolicies.create("", 1,
+						new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1,
+						new GossipQuarantine())),
 				new NoClaims(), new LimitShareUpdater(SELF, () -> Set.of(SELF), HEARTBEAT_MILLIS),
 				(suspect, nowMillis) -> {
 					// Nothing crashes these targets.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.quarantine.DeathReport;
+import org.pistachioline.core.quarantine.CrashReport;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
 import org.pistachioline.core.traffic.TrafficCore;
@@ -22,7 +22,7 @@
 	/** Maximum age of the reports that operators and starting daemons receive. */
 	private static final long SNAPSHOT_INTERVAL_NANOS = 500_000_000L;
 
-	private volatile List<DeathReport> reports = List.of();
+	private volatile List<CrashReport> reports = List.of();
 
 	private volatile List<SuspectedRequest> gossipSample = List.of();
 
@@ -83,8 +83,8 @@
 	 * @return whether this brought a request into quarantine
 	 */
 	boolean applyCrash(long nowNanos, TargetCrash crash, TrafficCore core) {
-		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.beginning().size(), "under_way",
-				crash.underWay().size());
+		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.startingFingerprints().size(),
+				"under_way", crash.inProgressFingerprints().size());
 		final boolean quarantinedMore = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
 		takeSnapshot(nowNanos, core);
 		sendReports(nowNanos, core);
@@ -176,7 +176,7 @@
 	 * Returns the requests that were running when targets crashed, for operators.
 	 * @return the requests, and whether each is quarantined
 	 */
-	public List<DeathReport> reports() {
+	public List<CrashReport> reports() {
 		return this.reports;
 	}
 
@@ -185,7 +185,7 @@
 	 * @return the number of requests
 	 */
 	public int quarantinedCount() {
-		return (int) this.reports.stream().filter(DeathReport::quarantined).count();
+		return (int) this.reports.stream().filter(CrashReport::quarantined).count();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitMonitor.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 
 import org.pistachioline.core.event.EventId;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.daemon.event.Events;
 
@@ -19,7 +19,7 @@
 
 	private volatile Set<String> latestLimitIds = Set.of();
 
-	private volatile List<StatedLimit> latestLimits = List.of();
+	private volatile List<AdvertisedLimit> latestLimits = List.of();
 
 	private volatile List<LimitReport> reports = List.of();
 
@@ -36,7 +36,7 @@
 		return requestsPerSecond.isPresent() || this.latestLimitIds.contains(instanceId);
 	}
 
-	void logChange(StatedLimit limit, boolean reportedByPeer) {
+	void logChange(AdvertisedLimit limit, boolean reportedByPeer) {
 		if (limit.requestsPerSecond().isPresent()) {
 			Events.log(EventId.TARGET_LIMITED, "instance", limit.instanceId(), "requests_per_second",
 					limit.requestsPerSecond().getAsDouble(), "told_by_peer", reportedByPeer);
@@ -50,11 +50,11 @@
 		this.reports = core.targetLimits().reports(nowNanos);
 		this.latestLimits = core.targetLimits().latestLimits(nowNanos);
 		this.latestLimitIds = this.latestLimits.stream()
-			.map(StatedLimit::instanceId)
+			.map(AdvertisedLimit::instanceId)
 			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	List<StatedLimit> latestLimits() {
+	List<AdvertisedLimit> latestLimits() {
 		return this.latestLimits;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitShareUpdater.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitShareUpdater.java
@@ -72,7 +72,7 @@
 	}
 
 	void onPeerDemand(long nowNanos, TrafficMessage.PeerDemandReceived peer) {
-		this.shares.onPeer(nowNanos, peer.daemonId(), peer.leaving(), peer.demand());
+		this.shares.onPeerDemand(nowNanos, peer.daemonId(), peer.leaving(), peer.demand());
 	}
 
 	List<TrafficAction> update(long nowNanos, TrafficCore core) {
@@ -83,7 +83,7 @@
 		this.demand = core.demand(nowNanos);
 		this.shares.onDemand(this.demand);
 		final Set<String> live = this.liveIds.get();
-		live.stream().filter((id) -> !id.equals(this.selfId)).forEach((id) -> this.shares.onAlive(nowNanos, id));
+		live.stream().filter((id) -> !id.equals(this.selfId)).forEach((id) -> this.shares.onPeerAlive(nowNanos, id));
 		final List<String> workspaces = core.manifest().workspaces().stream().map(WorkspaceSpec::name).toList();
 		this.shareRatios = Map.copyOf(this.shares.shareRatios(nowNanos, workspaces));
 		return core.onShares(nowNanos, LiveDaemons.of(this.selfId, live), this.shareRatios);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LogSuspectReporter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LogSuspectReporter.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.record.RecordBody;
 import org.pistachioline.core.record.RequestQuarantine;
 import org.pistachioline.core.record.RequestSuspicion;
@@ -46,7 +46,7 @@
 	}
 
 	static RecordBody toRecord(TrafficAction.ReportSuspect suspect, long nowMillis) {
-		final long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(DeathCounter.LIFETIME_MINUTES);
+		final long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(LogBasedQuarantine.QUARANTINE_MINUTES);
 		final String targetId = suspect.target().targetId();
 		if (suspect.quarantine()) {
 			return new RequestQuarantine(suspect.fingerprint(), untilMillis,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetMonitor.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
@@ -70,10 +70,11 @@
 		return this.core.targetLimits()
 			.onResponse(nowNanos, received.sentAtNanos(), received.instanceId(), received.requestsPerSecond())
 				&& onLimitsChanged(nowNanos,
-						List.of(new StatedLimit(received.instanceId(), received.requestsPerSecond(), nowNanos)), false);
+						List.of(new AdvertisedLimit(received.instanceId(), received.requestsPerSecond(), nowNanos)),
+						false);
 	}
 
-	private boolean onLimitsChanged(long nowNanos, List<StatedLimit> changed, boolean reportedByPeer) {
+	private boolean onLimitsChanged(long nowNanos, List<AdvertisedLimit> changed, boolean reportedByPeer) {
 		changed.forEach((limit) -> this.limits.logChange(limit, reportedByPeer));
 		if (!changed.isEmpty()) {
 			this.limits.refresh(nowNanos, this.core);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -13,8 +13,8 @@
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.event.EventId;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.state.FleetState;
@@ -225,7 +225,7 @@
 	 * ring is full; the next heartbeat repeats them.
 	 * @param limits the limits that the targets stated
 	 */
-	public void onPeerLimits(List<StatedLimit> limits) {
+	public void onPeerLimits(List<AdvertisedLimit> limits) {
 		this.duty.offer(new TrafficMessage.PeerLimitsReceived(limits));
 	}
 
@@ -233,7 +233,7 @@
 	 * Returns the limits to be sent to other daemons.
 	 * @return the last statement of each instance, the newest first
 	 */
-	public List<StatedLimit> latestLimits() {
+	public List<AdvertisedLimit> latestLimits() {
 		return this.targetMonitor.limits().latestLimits();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.quarantine.SuspectedRequest;
@@ -130,7 +130,7 @@
 	 *
 	 * @param limits the limits that the targets stated
 	 */
-	record PeerLimitsReceived(List<StatedLimit> limits) implements TrafficMessage {
+	record PeerLimitsReceived(List<AdvertisedLimit> limits) implements TrafficMessage {
 	}
 
 	/**
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
@@ -31,7 +31,7 @@
 import org.pistachioline.adapters.http.Json;
 import org.pistachioline.core.admission.AdmitAll;
 import org.pistachioline.core.placement.LeastInFlight;
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.queueing.FifoQueue;
 import org.pistachioline.core.retry.BudgetedRetry;
 import org.pistachioline.core.traffic.ClaimRequirement;
@@ -71,7 +71,7 @@
 		final ClaimService claims = new ClaimService(this.system, this.log, appender, "claims", 1);
 		this.traffic = new TrafficDuty(this.system,
 				new TrafficCore(new TrafficPolicies(new AdmitAll(), new FifoQueue(100), new LeastInFlight(),
-						new BudgetedRetry(), new DeathCounter())),
+						new BudgetedRetry(), new LogBasedQuarantine())),
 				claims, new LimitShareUpdater("d", Set::of, 500), new LogSuspectReporter(appender, "fleet"),
 				new TraceRecorder(false));
 		this.exchanges = new ExchangeStarter(new HttpCaller(this.system), this.traffic);
