--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -16,7 +16,7 @@
 import org.pistachioline.daemon.claims.ClaimResult;
 
 /**
- * A message to the traffic duty.
+ * A message in the ring of the traffic duty.
  */
 sealed interface TrafficMessage {
 
@@ -25,26 +25,26 @@
 	 *
 	 * @param exchange the request
 	 */
-	record Arrived(Exchange exchange) implements TrafficMessage {
+	record RequestArrived(Exchange exchange) implements TrafficMessage {
 	}
 
 	/**
-	 * An attempt gave its first token.
+	 * An attempt delivered tokens, or its caller reads slowly.
 	 *
 	 * @param attempt the attempt
-	 * @param tokensDelivered the tokens that the caller has
+	 * @param tokensDelivered the total number of tokens delivered for the request
 	 */
-	record Progressed(AttemptId attempt, int tokensDelivered) implements TrafficMessage {
+	record AttemptProgressed(AttemptId attempt, int tokensDelivered) implements TrafficMessage {
 	}
 
 	/**
 	 * An attempt ended.
 	 *
 	 * @param attempt the attempt
-	 * @param outcome how it ended
-	 * @param tokensDelivered the tokens that the caller has
+	 * @param outcome how the attempt ended
+	 * @param tokensDelivered the total number of tokens delivered for the request
 	 */
-	record Ended(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) implements TrafficMessage {
+	record AttemptEnded(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) implements TrafficMessage {
 	}
 
 	/**
@@ -53,15 +53,15 @@
 	 * @param requestId the request
 	 * @param result the result
 	 */
-	record Claimed(long requestId, ClaimResult result) implements TrafficMessage {
+	record ClaimDecided(long requestId, ClaimResult result) implements TrafficMessage {
 	}
 
 	/**
-	 * A caller went away.
+	 * A caller disconnected.
 	 *
 	 * @param requestId the request
 	 */
-	record CallerGone(long requestId) implements TrafficMessage {
+	record CallerDisconnected(long requestId) implements TrafficMessage {
 	}
 
 	/**
@@ -69,7 +69,7 @@
 	 *
 	 * @param manifest the manifest
 	 */
-	record Configured(Manifest manifest) implements TrafficMessage {
+	record ManifestChanged(Manifest manifest) implements TrafficMessage {
 	}
 
 	/**
@@ -77,91 +77,92 @@
 	 *
 	 * @param targets every target
 	 */
-	record Targets(List<TargetView> targets) implements TrafficMessage {
+	record TargetsChanged(List<TargetView> targets) implements TrafficMessage {
 	}
 
 	/**
-	 * The agreed state of the fleet changed.
+	 * The replicated state of the fleet changed.
 	 *
 	 * @param state the state
 	 */
-	record Fleet(FleetState state) implements TrafficMessage {
+	record FleetStateChanged(FleetState state) implements TrafficMessage {
 	}
 
 	/**
-	 * An engine told of its prefix cache.
+	 * The contents of an engine's prefix cache changed.
 	 *
-	 * @param events what it told
+	 * @param events the changes
 	 */
-	record Cached(CacheEvents events) implements TrafficMessage {
+	record CacheChanged(CacheEvents events) implements TrafficMessage {
 	}
 
 	/**
-	 * A target's answer said something of its limit.
+	 * A response stated a rate limit, or no longer does.
 	 *
 	 * @param instanceId the instance
-	 * @param sentAtNanos when the answer's request was sent
-	 * @param requestsPerSecond the limit that it names; empty where it names none
+	 * @param sentAtNanos when the request of the response was sent
+	 * @param requestsPerSecond the stated limit; empty if the response states none
 	 */
-	record LimitHeard(String instanceId, long sentAtNanos, OptionalDouble requestsPerSecond) implements TrafficMessage {
+	record LimitReceived(String instanceId, long sentAtNanos,
+			OptionalDouble requestsPerSecond) implements TrafficMessage {
 	}
 
 	/**
-	 * A target's answer asked for no requests for a while.
+	 * A response asked for no requests for some time.
 	 *
 	 * @param instanceId the instance
-	 * @param receivedAtNanos when the answer came
-	 * @param forNanos for how long
+	 * @param receivedAtNanos when the response arrived
+	 * @param forNanos the length of the backoff
 	 */
-	record BackoffHeard(String instanceId, long receivedAtNanos, long forNanos) implements TrafficMessage {
+	record BackoffReceived(String instanceId, long receivedAtNanos, long forNanos) implements TrafficMessage {
 	}
 
 	/**
-	 * A target's answer said that it leaves.
+	 * A response stated that its instance is shutting down.
 	 *
 	 * @param instanceId the instance
 	 */
-	record LeavingHeard(String instanceId) implements TrafficMessage {
+	record LeavingReceived(String instanceId) implements TrafficMessage {
 	}
 
 	/**
-	 * Another daemon told of targets' limits.
+	 * Another daemon sent the limits that it learned from targets.
 	 *
-	 * @param limits what the targets said
+	 * @param limits the limits that the targets stated
 	 */
-	record LimitsTold(List<AdvertisedLimit> limits) implements TrafficMessage {
+	record PeerLimitsReceived(List<AdvertisedLimit> limits) implements TrafficMessage {
 	}
 
 	/**
-	 * A target died.
+	 * A target crashed.
 	 *
-	 * @param crash the target, and what it was running for this daemon
+	 * @param crash the target, and the requests that it was running for this daemon
 	 */
 	record TargetCrashed(TargetCrash crash) implements TrafficMessage {
 	}
 
 	/**
-	 * Another daemon told of requests under which targets died.
+	 * Another daemon sent the requests that were running when targets crashed.
 	 *
 	 * @param requests the requests
 	 */
-	record SuspectedTold(List<SuspectedRequest> requests) implements TrafficMessage {
+	record PeerSuspectsReceived(List<SuspectedRequest> requests) implements TrafficMessage {
 	}
 
 	/**
-	 * The daemon leaves.
+	 * The daemon is shutting down and refuses new requests from now on.
 	 */
-	record Leave() implements TrafficMessage {
+	record StopAdmission() implements TrafficMessage {
 	}
 
 	/**
-	 * A peer told its demand.
+	 * A peer sent its demand in a heartbeat.
 	 *
 	 * @param daemonId the peer
-	 * @param leaving whether it is about to stop
-	 * @param demand its requests a second, by workspace
+	 * @param leaving whether the peer is shutting down
+	 * @param demand its requests per second, by workspace
 	 */
-	record PeerDemand(String daemonId, boolean leaving, Map<String, Double> demand) implements TrafficMessage {
+	record PeerDemandReceived(String daemonId, boolean leaving, Map<String, Double> demand) implements TrafficMessage {
 	}
 
 }
