--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/AdmissionPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/AdmissionPolicy.java
@@ -32,7 +32,7 @@
 	 * @param shareRatios the share of each workspace's limits, by workspace; 1 where a
 	 * workspace is absent
 	 */
-	default void share(long nowNanos, Map<String, Double> shareRatios) {
+	default void updateShares(long nowNanos, Map<String, Double> shareRatios) {
 		// Without limits there are no shares.
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/LimitShares.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/LimitShares.java
@@ -16,27 +16,27 @@
  * of a daemon that is silent, and that did not say it leaves, stays set aside until it is
  * forgotten: it may be alive behind a cut and use that part. A share falls at once but
  * rises only after the hold time, when the others have heard of the demand and have given
- * way; so all shares together stay within {@link #BOUND_RATIO} of the limit while
+ * way; so all shares together stay within {@link #MAX_TOTAL_RATIO} of the limit while
  * messages take less than the hold time.
  */
 public final class LimitShares {
 
 	/** The most that all daemons' shares of one limit come to, by the tests. */
-	public static final double BOUND_RATIO = 1.25;
+	public static final double MAX_TOTAL_RATIO = 1.25;
 
-	private static final double EQUAL_RATIO = 0.2;
+	private static final double EQUALLY_DIVIDED_RATIO = 0.2;
 
-	private static final double LEAST_DEMAND = 1e-6;
+	private static final double MIN_DEMAND = 1e-6;
 
-	private final long silentNanos;
+	private final long silenceTimeoutNanos;
 
-	private final long forgetNanos;
+	private final long expiryNanos;
 
-	private final long holdNanos;
+	private final long increaseDelayNanos;
 
 	private final Map<String, Peer> peers = new TreeMap<>();
 
-	private final Map<String, Rise> rises = new HashMap<>();
+	private final Map<String, DelayedIncrease> increases = new HashMap<>();
 
 	private Map<String, Double> demand = Map.of();
 
@@ -47,9 +47,9 @@
 	 * @param holdNanos how long a rise is held back
 	 */
 	public LimitShares(long silentNanos, long forgetNanos, long holdNanos) {
-		this.silentNanos = silentNanos;
-		this.forgetNanos = forgetNanos;
-		this.holdNanos = holdNanos;
+		this.silenceTimeoutNanos = silentNanos;
+		this.expiryNanos = forgetNanos;
+		this.increaseDelayNanos = holdNanos;
 	}
 
 	/**
@@ -67,7 +67,7 @@
 	 * @param leaving whether it is about to stop
 	 * @param peerDemand the demand of each workspace there
 	 */
-	public void onPeer(long nowNanos, String daemonId, boolean leaving, Map<String, Double> peerDemand) {
+	public void onPeerDemand(long nowNanos, String daemonId, boolean leaving, Map<String, Double> peerDemand) {
 		if (leaving) {
 			this.peers.remove(daemonId);
 		}
@@ -81,9 +81,9 @@
 	 * @param nowNanos the monotonic time
 	 * @param daemonId the peer
 	 */
-	public void onAlive(long nowNanos, String daemonId) {
+	public void onPeerAlive(long nowNanos, String daemonId) {
 		// Its part is set aside until it tells its demand itself.
-		this.peers.putIfAbsent(daemonId, new Peer(nowNanos - this.silentNanos - 1, Map.of()));
+		this.peers.putIfAbsent(daemonId, new Peer(nowNanos - this.silenceTimeoutNanos - 1, Map.of()));
 	}
 
 	/**
@@ -93,41 +93,41 @@
 	 * @return the share of each workspace
 	 */
 	public Map<String, Double> shareRatios(long nowNanos, List<String> workspaces) {
-		this.peers.values().removeIf((peer) -> nowNanos - peer.heardAtNanos() > this.forgetNanos);
+		this.peers.values().removeIf((peer) -> nowNanos - peer.heardAtNanos() > this.expiryNanos);
 		final int count = this.peers.size() + 1;
 		final List<Peer> live = new ArrayList<>();
 		for (final Peer peer : this.peers.values()) {
-			if (nowNanos - peer.heardAtNanos() <= this.silentNanos) {
+			if (nowNanos - peer.heardAtNanos() <= this.silenceTimeoutNanos) {
 				live.add(peer);
 			}
 		}
 		final Map<String, Double> shares = new HashMap<>();
 		for (final String workspace : workspaces) {
-			shares.put(workspace, held(nowNanos, workspace, target(workspace, live, count)));
+			shares.put(workspace, delayIncrease(nowNanos, workspace, desiredShareRatio(workspace, live, count)));
 		}
-		this.rises.keySet().retainAll(shares.keySet());
+		this.increases.keySet().retainAll(shares.keySet());
 		return shares;
 	}
 
-	private double target(String workspace, List<Peer> live, int count) {
-		final double own = this.demand.getOrDefault(workspace, 0.0) + LEAST_DEMAND;
+	private double desiredShareRatio(String workspace, List<Peer> live, int count) {
+		final double own = this.demand.getOrDefault(workspace, 0.0) + MIN_DEMAND;
 		double all = own;
 		for (final Peer peer : live) {
-			all += peer.demand().getOrDefault(workspace, 0.0) + LEAST_DEMAND;
+			all += peer.demand().getOrDefault(workspace, 0.0) + MIN_DEMAND;
 		}
 		final double reachableRatio = (live.size() + 1.0) / count;
-		return EQUAL_RATIO / count + (1 - EQUAL_RATIO) * reachableRatio * own / all;
+		return EQUALLY_DIVIDED_RATIO / count + (1 - EQUALLY_DIVIDED_RATIO) * reachableRatio * own / all;
 	}
 
-	private double held(long nowNanos, String workspace, double target) {
-		final Rise rise = this.rises.computeIfAbsent(workspace, (key) -> new Rise(target));
-		return rise.next(nowNanos, target, this.holdNanos);
+	private double delayIncrease(long nowNanos, String workspace, double target) {
+		final DelayedIncrease rise = this.increases.computeIfAbsent(workspace, (key) -> new DelayedIncrease(target));
+		return rise.next(nowNanos, target, this.increaseDelayNanos);
 	}
 
 	private record Peer(long heardAtNanos, Map<String, Double> demand) {
 	}
 
-	private static final class Rise {
+	private static final class DelayedIncrease {
 
 		private double share;
 
@@ -135,7 +135,7 @@
 
 		private long pendingSinceNanos;
 
-		Rise(double share) {
+		DelayedIncrease(double share) {
 			this.share = share;
 			this.pending = share;
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/Refusal.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/Refusal.java
@@ -10,7 +10,7 @@
  */
 public record Refusal(ErrorKind kind, long retryAfterMillis) {
 
-	private static final long SPREAD_PARTS = 16;
+	private static final long JITTER_STEPS = 16;
 
 	/**
 	 * Refuses one of many requests, such that callers who are refused together do not all
@@ -21,8 +21,8 @@
 	 * @param mostMillis the most that any of them is told
 	 * @return the refusal
 	 */
-	public static Refusal spread(ErrorKind kind, long requestId, double millis, long mostMillis) {
-		final double factor = 1 + (double) (requestId % SPREAD_PARTS) / SPREAD_PARTS;
+	public static Refusal withJitter(ErrorKind kind, long requestId, double millis, long mostMillis) {
+		final double factor = 1 + (double) (requestId % JITTER_STEPS) / JITTER_STEPS;
 		return new Refusal(kind, Math.min(mostMillis, Math.round(millis * factor)));
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/admission/WorkspaceLimits.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/admission/WorkspaceLimits.java
@@ -27,7 +27,7 @@
 
 	private static final long TOKENS_RETRY_MILLIS = 1_000;
 
-	private static final double DEMAND_SECONDS = 2;
+	private static final double DEMAND_WINDOW_SECONDS = 2;
 
 	private final Map<String, Usage> usages = new HashMap<>();
 
@@ -36,7 +36,7 @@
 		final Map<String, Usage> next = new HashMap<>();
 		for (final WorkspaceSpec workspace : manifest.workspaces()) {
 			final Usage usage = this.usages.getOrDefault(workspace.name(), new Usage());
-			usage.limit(nowNanos, workspace);
+			usage.setLimits(nowNanos, workspace);
 			next.put(workspace.name(), usage);
 		}
 		this.usages.clear();
@@ -44,8 +44,8 @@
 	}
 
 	@Override
-	public void share(long nowNanos, Map<String, Double> shareRatios) {
-		this.usages.forEach((name, usage) -> usage.share(nowNanos, shareRatios.getOrDefault(name, 1.0)));
+	public void updateShares(long nowNanos, Map<String, Double> shareRatios) {
+		this.usages.forEach((name, usage) -> usage.setShare(nowNanos, shareRatios.getOrDefault(name, 1.0)));
 	}
 
 	@Override
@@ -80,60 +80,60 @@
 
 		private double credit;
 
-		private long creditedAtNanos;
+		private long refilledAtNanos;
 
-		private long limitTokens;
+		private long maxTokensInFlight;
 
 		private long tokensInFlight;
 
-		private double arrivals;
+		private double decayedArrivals;
 
 		private long arrivalsAtNanos;
 
-		void limit(long nowNanos, WorkspaceSpec workspace) {
+		void setLimits(long nowNanos, WorkspaceSpec workspace) {
 			final boolean fresh = this.ratePerSecond == 0;
 			this.ratePerSecond = workspace.requestsPerSecond();
-			this.limitTokens = workspace.tokensInFlight();
+			this.maxTokensInFlight = workspace.tokensInFlight();
 			if (fresh) {
-				this.credit = mostCredit();
-				this.creditedAtNanos = nowNanos;
+				this.credit = maxCredit();
+				this.refilledAtNanos = nowNanos;
 			}
 		}
 
-		void share(long nowNanos, double ratio) {
-			earn(nowNanos);
+		void setShare(long nowNanos, double ratio) {
+			refill(nowNanos);
 			this.shareRatio = ratio;
-			this.credit = Math.min(this.credit, mostCredit());
+			this.credit = Math.min(this.credit, maxCredit());
 		}
 
 		private double rate() {
 			return this.ratePerSecond * this.shareRatio;
 		}
 
-		private double mostCredit() {
+		private double maxCredit() {
 			return Math.max(1, rate() * BURST_SECONDS);
 		}
 
-		private void earn(long nowNanos) {
-			final double earned = (nowNanos - this.creditedAtNanos) / NANOS_PER_SECOND * rate();
-			this.credit = Math.min(mostCredit(), this.credit + earned);
-			this.creditedAtNanos = nowNanos;
+		private void refill(long nowNanos) {
+			final double earned = (nowNanos - this.refilledAtNanos) / NANOS_PER_SECOND * rate();
+			this.credit = Math.min(maxCredit(), this.credit + earned);
+			this.refilledAtNanos = nowNanos;
 		}
 
 		double demand(long nowNanos) {
 			final double seconds = (nowNanos - this.arrivalsAtNanos) / NANOS_PER_SECOND;
-			return this.arrivals * Math.exp(-seconds / DEMAND_SECONDS) / DEMAND_SECONDS;
+			return this.decayedArrivals * Math.exp(-seconds / DEMAND_WINDOW_SECONDS) / DEMAND_WINDOW_SECONDS;
 		}
 
 		Optional<Refusal> admit(long nowNanos, RequestInfo info) {
-			this.arrivals = demand(nowNanos) * DEMAND_SECONDS + 1;
+			this.decayedArrivals = demand(nowNanos) * DEMAND_WINDOW_SECONDS + 1;
 			this.arrivalsAtNanos = nowNanos;
-			earn(nowNanos);
+			refill(nowNanos);
 			if (this.credit < 1) {
 				final long waitMillis = (long) Math.ceil((1 - this.credit) / rate() * 1_000);
 				return Optional.of(new Refusal(ErrorKind.RATE_LIMITED, waitMillis));
 			}
-			final double most = this.limitTokens * this.shareRatio;
+			final double most = this.maxTokensInFlight * this.shareRatio;
 			if (this.tokensInFlight > 0 && this.tokensInFlight + info.costTokens() > most) {
 				return Optional.of(new Refusal(ErrorKind.TOKENS_LIMITED, TOKENS_RETRY_MILLIS));
 			}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEventPage.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/CacheEventPage.java
@@ -23,7 +23,7 @@
 	 * @param fromSequence the first sequence that was asked for
 	 * @return what the cache holds and gave up, and whether changes were lost
 	 */
-	public CacheEvents since(String targetId, long fromSequence) {
+	public CacheEvents summarize(String targetId, long fromSequence) {
 		final Set<Long> stored = new LinkedHashSet<>();
 		final Set<Long> evicted = new LinkedHashSet<>();
 		boolean cleared = false;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/DaemonRank.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/DaemonRank.java
@@ -43,7 +43,7 @@
 	 * @param name what it belongs to
 	 * @return the part
 	 */
-	public int equalPart(int whole, String name) {
+	public int equalShare(int whole, String name) {
 		final int turn = Math.floorMod(this.rank + name.hashCode(), this.count);
 		return whole / this.count + ((turn < whole % this.count) ? 1 : 0);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/ExpectedWaitPlacement.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/ExpectedWaitPlacement.java
@@ -27,62 +27,62 @@
  */
 public final class ExpectedWaitPlacement implements PlacementPolicy {
 
-	private static final int DRAWN = 6;
+	private static final int SAMPLED_TARGETS = 6;
 
 	/** At most this many prefixes are remembered: 64 tokens each, about 8 MB in all. */
 	private static final int MAX_PREFIXES = 65_536;
 
 	/** What a full target costs: batches grow, and the next request may find no slot. */
-	private static final double FULL_MILLIS = 60;
+	private static final double FULL_TARGET_PENALTY_MILLIS = 60;
 
 	private static final double PREFILL_TOKENS_PER_MILLI = 10;
 
 	/** One way between two availability zones and back. */
-	private static final double OTHER_ZONE_MILLIS = 3;
+	private static final double CROSS_ZONE_ROUND_TRIP_MILLIS = 3;
 
 	/** How many tokens a caller waits for before it can begin to read. */
-	private static final double FIRST_TOKENS = 32;
+	private static final double INITIAL_OUTPUT_TOKENS = 32;
 
 	/** How far a prefix's home counts as a holder of it before it is known to be one. */
-	private static final double HOME_TRUST_RATIO = 0.9;
+	private static final double ASSIGNED_HIT_RATIO = 0.9;
 
 	/**
 	 * How far another holder counts: each use there keeps a second copy in a small cache,
 	 * which costs some other prefix its place.
 	 */
-	private static final double STRAY_TRUST_RATIO = 0.5;
+	private static final double OTHER_HOLDER_HIT_RATIO = 0.5;
 
 	/** The longest pass of an engine that reads long prompts beside its streams. */
-	private static final double USUAL_SILENCE_MILLIS = 150;
+	private static final double NORMAL_PAUSE_MILLIS = 150;
 
 	/**
 	 * What one millisecond of silence beyond the usual counts, as a dead target's ends
 	 * late.
 	 */
-	private static final double SILENCE_WEIGHT = 2;
+	private static final double STALL_WEIGHT = 2;
 
 	/**
 	 * What each failure in a row counts. A group that was closed declines everything
 	 * until the list shows it, about a second later; each request that is sent there uses
 	 * up one of its attempts.
 	 */
-	private static final double FAILURE_MILLIS = 300;
+	private static final double FAILURE_PENALTY_MILLIS = 300;
 
-	private static final int MAX_HOMES = 8_192;
+	private static final int MAX_ASSIGNMENTS = 8_192;
 
 	private static final double NANOS_PER_MILLI = 1e6;
 
 	private final String availabilityZone;
 
-	private final boolean groupsBreakOften;
+	private final boolean frequentGroupFailures;
 
 	private final UniformRandomProvider random;
 
 	private final PrefixIndex prefixes = new PrefixIndex(MAX_PREFIXES);
 
-	private final PrefixHomes homes = new PrefixHomes(MAX_HOMES);
+	private final PrefixAssignments assignments = new PrefixAssignments(MAX_ASSIGNMENTS);
 
-	private final PrefixIndex.Found found = new PrefixIndex.Found();
+	private final PrefixIndex.Matches prefixMatches = new PrefixIndex.Matches();
 
 	/**
 	 * Creates a policy.
@@ -101,25 +101,26 @@
 	 * refusals count then, and a new group is at its full speed at once
 	 */
 	public ExpectedWaitPlacement(String availabilityZone, long seed, boolean groupsBreakOften) {
-		this.groupsBreakOften = groupsBreakOften;
+		this.frequentGroupFailures = groupsBreakOften;
 		this.availabilityZone = availabilityZone;
 		this.random = RandomSource.SPLIT_MIX_64.create(seed);
 	}
 
 	@Override
 	public Optional<TargetLoad> choose(long nowNanos, RequestInfo info, TargetSet targets, Set<String> triedTargetIds) {
-		final int count = targets.open().size();
+		final int count = targets.available().size();
 		if (count == 0) {
 			return Optional.empty();
 		}
-		this.prefixes.find(info.prefixHashes(), this.found);
-		final TargetLoad home = home(info, targets);
+		this.prefixes.findMatches(info.prefixHashes(), this.prefixMatches);
+		final TargetLoad home = assignedTarget(info, targets);
 		TargetLoad best = null;
 		double bestMillis = Double.MAX_VALUE;
-		for (int i = 0; i <= DRAWN + this.found.count(); i++) {
+		for (int i = 0; i <= SAMPLED_TARGETS + this.prefixMatches.count(); i++) {
 			final TargetLoad load = candidate(i, targets, home);
-			if (load != null && targets.isOpen(load) && !triedTargetIds.contains(load.view().targetId())) {
-				final double waitMillis = waitMillis(info, targets, load, load == home) + troubleMillis(nowNanos, load);
+			if (load != null && targets.isAvailable(load) && !triedTargetIds.contains(load.view().targetId())) {
+				final double waitMillis = expectedWaitMillis(info, targets, load, load == home)
+						+ faultPenaltyMillis(nowNanos, load);
 				if (waitMillis < bestMillis) {
 					best = load;
 					bestMillis = waitMillis;
@@ -129,7 +130,7 @@
 		return (best != null) ? Optional.of(best) : firstUntried(targets, triedTargetIds);
 	}
 
-	private TargetLoad home(RequestInfo info, TargetSet targets) {
+	private TargetLoad assignedTarget(RequestInfo info, TargetSet targets) {
 		if (info.prefixHashes().isEmpty()) {
 			return null;
 		}
@@ -138,49 +139,54 @@
 		final TargetLoad second = targets.byHash(root, true);
 		final String firstId = first.view().targetId();
 		final String secondId = second.view().targetId();
-		return this.homes.second(root, firstId, secondId, this.found.blocksAt(firstId) > 0,
-				this.found.blocksAt(secondId) > 0) ? second : first;
+		return this.assignments.prefersSecond(root, firstId, secondId, this.prefixMatches.cachedBlocks(firstId) > 0,
+				this.prefixMatches.cachedBlocks(secondId) > 0) ? second : first;
 	}
 
 	private TargetLoad candidate(int index, TargetSet targets, TargetLoad home) {
-		if (index < DRAWN) {
-			return targets.open().get(this.random.nextInt(targets.open().size()));
+		if (index < SAMPLED_TARGETS) {
+			return targets.available().get(this.random.nextInt(targets.available().size()));
 		}
-		if (index < DRAWN + this.found.count()) {
-			return targets.byId(this.found.targetId(index - DRAWN));
+		if (index < SAMPLED_TARGETS + this.prefixMatches.count()) {
+			return targets.byId(this.prefixMatches.targetId(index - SAMPLED_TARGETS));
 		}
 		return home;
 	}
 
-	private double waitMillis(RequestInfo info, TargetSet targets, TargetLoad load, boolean isHome) {
-		final int heldBlocks = this.found.blocksAt(load.view().targetId());
-		final double trusted = isHome ? HOME_TRUST_RATIO * info.prefixHashes().size() : STRAY_TRUST_RATIO * heldBlocks;
+	private double expectedWaitMillis(RequestInfo info, TargetSet targets, TargetLoad load, boolean isHome) {
+		final int heldBlocks = this.prefixMatches.cachedBlocks(load.view().targetId());
+		final double trusted = isHome ? ASSIGNED_HIT_RATIO * info.prefixHashes().size()
+				: OTHER_HOLDER_HIT_RATIO * heldBlocks;
 		final double heldTokens = trusted * PrefixHashes.BLOCK_TOKENS;
 		final double prefillMillis = Math.max(0, info.promptTokens() - heldTokens) / PREFILL_TOKENS_PER_MILLI;
-		final double full = load.fullRatio(targets.daemonCount());
-		final double tokenNanos = (load.pace().samples() > 0) ? load.pace().meanNanos() : targets.medianTokenNanos();
-		final double zoneMillis = load.view().availabilityZone().equals(this.availabilityZone) ? 0 : OTHER_ZONE_MILLIS;
-		return prefillMillis + FULL_MILLIS * full * full + FIRST_TOKENS * tokenNanos / NANOS_PER_MILLI + zoneMillis;
+		final double full = load.utilizationRatio(targets.daemonCount());
+		final double tokenNanos = (load.interTokenLatency().samples() > 0) ? load.interTokenLatency().meanNanos()
+				: targets.medianInterTokenNanos();
+		final double zoneMillis = load.view().availabilityZone().equals(this.availabilityZone) ? 0
+				: CROSS_ZONE_ROUND_TRIP_MILLIS;
+		return prefillMillis + FULL_TARGET_PENALTY_MILLIS * full * full
+				+ INITIAL_OUTPUT_TOKENS * tokenNanos / NANOS_PER_MILLI + zoneMillis;
 	}
 
-	private static double silenceMillis(long nowNanos, TargetLoad load) {
+	private static double stallPenaltyMillis(long nowNanos, TargetLoad load) {
 		if (load.inFlight() == 0) {
 			return 0;
 		}
 		final double silentMillis = (nowNanos - load.progressAtNanos()) / NANOS_PER_MILLI;
-		return SILENCE_WEIGHT * Math.max(0, silentMillis - USUAL_SILENCE_MILLIS);
+		return STALL_WEIGHT * Math.max(0, silentMillis - NORMAL_PAUSE_MILLIS);
 	}
 
-	private double troubleMillis(long nowNanos, TargetLoad load) {
-		return this.groupsBreakOften ? silenceMillis(nowNanos, load) + failureMillis(nowNanos, load) : 0;
+	private double faultPenaltyMillis(long nowNanos, TargetLoad load) {
+		return this.frequentGroupFailures ? stallPenaltyMillis(nowNanos, load) + failurePenaltyMillis(nowNanos, load)
+				: 0;
 	}
 
-	private static double failureMillis(long nowNanos, TargetLoad load) {
-		return load.failedLately(nowNanos) ? FAILURE_MILLIS * load.consecutiveFailures() : 0;
+	private static double failurePenaltyMillis(long nowNanos, TargetLoad load) {
+		return load.failedRecently(nowNanos) ? FAILURE_PENALTY_MILLIS * load.consecutiveFailures() : 0;
 	}
 
 	private static Optional<TargetLoad> firstUntried(TargetSet targets, Set<String> triedTargetIds) {
-		for (final TargetLoad load : targets.open()) {
+		for (final TargetLoad load : targets.available()) {
 			if (!triedTargetIds.contains(load.view().targetId())) {
 				return Optional.of(load);
 			}
@@ -189,13 +195,13 @@
 	}
 
 	@Override
-	public boolean guardsTargets() {
+	public boolean protectsTargets() {
 		return true;
 	}
 
 	@Override
-	public boolean groupsStartWarm() {
-		return this.groupsBreakOften;
+	public boolean newGroupsSkipSlowStart() {
+		return this.frequentGroupFailures;
 	}
 
 	@Override
@@ -209,8 +215,8 @@
 	}
 
 	@Override
-	public void forget(String targetId) {
-		this.prefixes.forget(targetId);
+	public void removeTarget(String targetId) {
+		this.prefixes.removeTarget(targetId);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TokenPace.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/InterTokenLatency.java
@@ -3,7 +3,7 @@
 /**
  * The mean time between two tokens of a target.
  */
-final class TokenPace {
+final class InterTokenLatency {
 
 	/** Weighs one sample of many, so that a single slow reader does not move the mean. */
 	private static final double SAMPLE_WEIGHT = 0.2;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/LeastInFlight.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/LeastInFlight.java
@@ -13,7 +13,7 @@
 	@Override
 	public Optional<TargetLoad> choose(long nowNanos, RequestInfo info, TargetSet targets, Set<String> triedTargetIds) {
 		TargetLoad best = null;
-		for (final TargetLoad load : targets.open()) {
+		for (final TargetLoad load : targets.available()) {
 			final boolean usable = !triedTargetIds.contains(load.view().targetId());
 			if (usable && (best == null || load.inFlight() < best.inFlight())) {
 				best = load;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/OthersInFlight.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PeerInFlightEstimate.java
@@ -6,7 +6,7 @@
  * How many attempts other daemons have in flight at a target, by its reports: what it
  * said to have, without this daemon's own attempts at that time.
  */
-final class OthersInFlight {
+final class PeerInFlightEstimate {
 
 	/** Weighs one report of several, since each shows a moment only. */
 	private static final double REPORT_WEIGHT = 0.3;
@@ -23,7 +23,7 @@
 
 	private double attempts;
 
-	OthersInFlight(TargetView view, long nowNanos) {
+	PeerInFlightEstimate(TargetView view, long nowNanos) {
 		this.attempts = view.reportedRunning() + view.reportedWaiting();
 		this.reportedAtNanos = view.reportedAtNanos();
 		this.historyNanos[0] = nowNanos;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PlacementPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PlacementPolicy.java
@@ -25,7 +25,7 @@
 	 * daemons.
 	 * @return whether they are; the plain baselines do without
 	 */
-	default boolean guardsTargets() {
+	default boolean protectsTargets() {
 		return false;
 	}
 
@@ -37,7 +37,7 @@
 	 * just when the fewest groups serve.
 	 * @return whether it does; otherwise each new target starts slowly
 	 */
-	default boolean groupsStartWarm() {
+	default boolean newGroupsSkipSlowStart() {
 		return false;
 	}
 
@@ -64,7 +64,7 @@
 	 * Forgets a target that is gone.
 	 * @param targetId the target
 	 */
-	default void forget(String targetId) {
+	default void removeTarget(String targetId) {
 		// A policy without memory has nothing to forget.
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixHomes.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixAssignments.java
@@ -13,16 +13,16 @@
  * of them already holds the prefix is taken, so that daemons agree without a message. The
  * table is bounded, the least recently used home is forgotten first.
  */
-final class PrefixHomes {
+final class PrefixAssignments {
 
-	private final int maxHomes;
+	private final int maxAssignments;
 
-	private final LinkedHashMap<Long, String> homes = new LinkedHashMap<>(16, 0.75f, true);
+	private final LinkedHashMap<Long, String> targetByPrefix = new LinkedHashMap<>(16, 0.75f, true);
 
-	private final Map<String, Integer> counts = new HashMap<>();
+	private final Map<String, Integer> assignedCounts = new HashMap<>();
 
-	PrefixHomes(int maxHomes) {
-		this.maxHomes = maxHomes;
+	PrefixAssignments(int maxHomes) {
+		this.maxAssignments = maxHomes;
 	}
 
 	/**
@@ -34,8 +34,8 @@
 	 * @param secondHolds whether the second is
 	 * @return whether the second is the home
 	 */
-	boolean second(Long root, String first, String second, boolean firstHolds, boolean secondHolds) {
-		final String known = this.homes.get(root);
+	boolean prefersSecond(Long root, String first, String second, boolean firstHolds, boolean secondHolds) {
+		final String known = this.targetByPrefix.get(root);
 		final boolean isSecond;
 		if (firstHolds != secondHolds) {
 			isSecond = secondHolds;
@@ -47,32 +47,32 @@
 			isSecond = known.equals(second);
 		}
 		else {
-			isSecond = count(second) < count(first);
+			isSecond = assignedCount(second) < assignedCount(first);
 		}
-		settle(root, known, isSecond ? second : first);
+		assign(root, known, isSecond ? second : first);
 		return isSecond;
 	}
 
-	private int count(String targetId) {
-		return this.counts.getOrDefault(targetId, 0);
+	private int assignedCount(String targetId) {
+		return this.assignedCounts.getOrDefault(targetId, 0);
 	}
 
-	private void settle(Long root, String known, String home) {
+	private void assign(Long root, String known, String home) {
 		if (home.equals(known)) {
 			return;
 		}
 		if (known != null) {
-			leave(known);
+			decrementCount(known);
 		}
-		this.homes.put(root, home);
-		this.counts.merge(home, 1, Integer::sum);
-		if (this.homes.size() > this.maxHomes) {
-			leave(this.homes.remove(this.homes.keySet().iterator().next()));
+		this.targetByPrefix.put(root, home);
+		this.assignedCounts.merge(home, 1, Integer::sum);
+		if (this.targetByPrefix.size() > this.maxAssignments) {
+			decrementCount(this.targetByPrefix.remove(this.targetByPrefix.keySet().iterator().next()));
 		}
 	}
 
-	private void leave(String targetId) {
-		this.counts.computeIfPresent(targetId, (id, count) -> (count > 1) ? count - 1 : null);
+	private void decrementCount(String targetId) {
+		this.assignedCounts.computeIfPresent(targetId, (id, count) -> (count > 1) ? count - 1 : null);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixIndex.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/PrefixIndex.java
@@ -24,7 +24,7 @@
 
 	private final LinkedHashMap<Long, Holders> prefixes;
 
-	private final Map<String, Long> clearedAtNanos = new HashMap<>();
+	private final Map<String, Long> invalidBeforeNanos = new HashMap<>();
 
 	PrefixIndex(int maxPrefixes) {
 		this.maxPrefixes = maxPrefixes;
@@ -39,12 +39,12 @@
 			}
 			else {
 				this.prefixes.put(hash, new Holders(nowNanos, targetId));
-				evictEldest();
+				evictLeastRecentlyUsed();
 			}
 		}
 	}
 
-	private void evictEldest() {
+	private void evictLeastRecentlyUsed() {
 		if (this.prefixes.size() > this.maxPrefixes) {
 			this.prefixes.remove(this.prefixes.keySet().iterator().next());
 		}
@@ -55,7 +55,7 @@
 		// found
 		// out by the next placement, while dropping what is known costs one a prefix.
 		if (events.cleared()) {
-			this.clearedAtNanos.put(events.targetId(), nowNanos);
+			this.invalidBeforeNanos.put(events.targetId(), nowNanos);
 		}
 		add(nowNanos, events.storedHashes(), events.targetId());
 		for (final Long hash : events.evictedHashes()) {
@@ -66,10 +66,10 @@
 		}
 	}
 
-	void forget(String targetId) {
-		this.clearedAtNanos.put(targetId, Long.MAX_VALUE);
-		if (this.clearedAtNanos.size() > this.maxPrefixes) {
-			this.clearedAtNanos.clear();
+	void removeTarget(String targetId) {
+		this.invalidBeforeNanos.put(targetId, Long.MAX_VALUE);
+		if (this.invalidBeforeNanos.size() > this.maxPrefixes) {
+			this.invalidBeforeNanos.clear();
 		}
 	}
 
@@ -78,13 +78,13 @@
 	 * @param hashes the prompt's prefixes, the shortest first
 	 * @param found takes the targets, the one that holds most first
 	 */
-	void find(List<Long> hashes, Found found) {
+	void findMatches(List<Long> hashes, Matches found) {
 		found.count = 0;
 		for (int i = hashes.size() - 1; i >= 0 && found.count < MAX_HOLDERS; i--) {
 			final Holders holders = this.prefixes.get(hashes.get(i));
 			if (holders != null) {
 				for (int j = 0; j < holders.count; j++) {
-					if (holders.seenAtNanos[j] >= this.clearedAtNanos.getOrDefault(holders.targetIds[j],
+					if (holders.seenAtNanos[j] >= this.invalidBeforeNanos.getOrDefault(holders.targetIds[j],
 							Long.MIN_VALUE)) {
 						found.add(holders.targetIds[j], i + 1);
 					}
@@ -100,7 +100,7 @@
 	/**
 	 * The result of a search, used again for the next one.
 	 */
-	static final class Found {
+	static final class Matches {
 
 		private final String[] targetIds = new String[MAX_HOLDERS];
 
@@ -109,7 +109,7 @@
 		private int count;
 
 		private void add(String targetId, int heldBlocks) {
-			if (this.count < MAX_HOLDERS && blocksAt(targetId) == 0) {
+			if (this.count < MAX_HOLDERS && cachedBlocks(targetId) == 0) {
 				this.targetIds[this.count] = targetId;
 				this.blocks[this.count] = heldBlocks;
 				this.count++;
@@ -124,7 +124,7 @@
 			return this.targetIds[index];
 		}
 
-		int blocksAt(String targetId) {
+		int cachedBlocks(String targetId) {
 			for (int i = 0; i < this.count; i++) {
 				if (this.targetIds[i].equals(targetId)) {
 					return this.blocks[i];
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/RoundRobin.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/RoundRobin.java
@@ -18,7 +18,7 @@
 		final List<TargetLoad> members = targets.members();
 		for (int i = 0; i < members.size(); i++) {
 			final TargetLoad load = members.get(Math.floorMod(this.next++, members.size()));
-			if (load.place().isOpen() && !triedTargetIds.contains(load.view().targetId())) {
+			if (load.setEntry().isAvailable() && !triedTargetIds.contains(load.view().targetId())) {
 				return Optional.of(load);
 			}
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/StragglerEjector.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/StragglerEjector.java
@@ -22,83 +22,83 @@
 	private static final double SLOW_RATIO = 2.5;
 
 	/** A measurement of fewer samples than this is not acted on. */
-	static final int LEAST_SAMPLES = 2;
+	static final int MIN_SAMPLES = 2;
 
-	private static final int MOST_FAILURES = 3;
+	private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-	private static final int POOL_PARTS = 3;
+	private static final int MAX_EJECTED_DIVISOR = 3;
 
-	private static final long BASE_NANOS = 10_000_000_000L;
+	private static final long BASE_EJECTION_NANOS = 10_000_000_000L;
 
-	private static final int MOST_DOUBLINGS = 4;
+	private static final int MAX_DOUBLINGS = 4;
 
-	private static final long STALL_NANOS = 2_000_000_000L;
+	private static final long MIN_STALL_NANOS = 2_000_000_000L;
 
 	/**
 	 * A target is silent for this many of the pool's token times before it is stalled.
 	 */
 	private static final double STALL_TOKENS = 100;
 
-	private static final long FORGIVE_NANOS = 30_000_000_000L;
+	private static final long EJECTION_DECAY_NANOS = 30_000_000_000L;
 
-	private double[] scratch = new double[0];
+	private double[] sortBuffer = new double[0];
 
-	private double medianTokenNanos;
+	private double medianInterTokenNanos;
 
-	private long forgivenAtNanos;
+	private long decayedAtNanos;
 
 	void eject(long nowNanos, List<TargetLoad> members) {
-		this.medianTokenNanos = median(members);
+		this.medianInterTokenNanos = median(members);
 		int out = 0;
 		for (final TargetLoad load : members) {
-			out += load.ejected(nowNanos) ? 1 : 0;
+			out += load.isEjected(nowNanos) ? 1 : 0;
 		}
-		int left = members.size() / POOL_PARTS - out;
+		int left = members.size() / MAX_EJECTED_DIVISOR - out;
 		for (final TargetLoad load : members) {
-			if (left > 0 && load.view().serving() && !load.ejected(nowNanos) && bad(nowNanos, load)) {
-				load.eject(nowNanos, BASE_NANOS, MOST_DOUBLINGS);
+			if (left > 0 && load.view().serving() && !load.isEjected(nowNanos) && isOutlier(nowNanos, load)) {
+				load.eject(nowNanos, BASE_EJECTION_NANOS, MAX_DOUBLINGS);
 				left--;
 			}
 		}
-		if (nowNanos - this.forgivenAtNanos >= FORGIVE_NANOS) {
-			this.forgivenAtNanos = nowNanos;
-			members.stream().filter((load) -> !load.ejected(nowNanos)).forEach(TargetLoad::forgive);
+		if (nowNanos - this.decayedAtNanos >= EJECTION_DECAY_NANOS) {
+			this.decayedAtNanos = nowNanos;
+			members.stream().filter((load) -> !load.isEjected(nowNanos)).forEach(TargetLoad::decayEjections);
 		}
 	}
 
-	private boolean bad(long nowNanos, TargetLoad load) {
-		if (load.consecutiveFailures() >= MOST_FAILURES) {
+	private boolean isOutlier(long nowNanos, TargetLoad load) {
+		if (load.consecutiveFailures() >= MAX_CONSECUTIVE_FAILURES) {
 			return true;
 		}
-		if (this.medianTokenNanos == 0) {
+		if (this.medianInterTokenNanos == 0) {
 			return false;
 		}
-		final long stallNanos = Math.max(STALL_NANOS, (long) (STALL_TOKENS * this.medianTokenNanos));
+		final long stallNanos = Math.max(MIN_STALL_NANOS, (long) (STALL_TOKENS * this.medianInterTokenNanos));
 		final boolean stalled = load.inFlight() > 0 && nowNanos - load.progressAtNanos() > stallNanos;
-		final boolean slow = load.pace().samples() >= LEAST_SAMPLES
-				&& load.pace().meanNanos() > SLOW_RATIO * this.medianTokenNanos;
+		final boolean slow = load.interTokenLatency().samples() >= MIN_SAMPLES
+				&& load.interTokenLatency().meanNanos() > SLOW_RATIO * this.medianInterTokenNanos;
 		return stalled || slow;
 	}
 
 	private double median(List<TargetLoad> members) {
-		if (this.scratch.length < members.size()) {
-			this.scratch = new double[members.size()];
+		if (this.sortBuffer.length < members.size()) {
+			this.sortBuffer = new double[members.size()];
 		}
 		int measured = 0;
 		for (final TargetLoad load : members) {
-			if (load.pace().samples() >= LEAST_SAMPLES) {
-				this.scratch[measured++] = load.pace().meanNanos();
+			if (load.interTokenLatency().samples() >= MIN_SAMPLES) {
+				this.sortBuffer[measured++] = load.interTokenLatency().meanNanos();
 			}
 		}
 		if (measured == 0) {
-			return this.medianTokenNanos;
+			return this.medianInterTokenNanos;
 		}
-		Arrays.sort(this.scratch, 0, measured);
-		return this.scratch[(measured - 1) / 2];
+		Arrays.sort(this.sortBuffer, 0, measured);
+		return this.sortBuffer[(measured - 1) / 2];
 	}
 
-	double medianTokenNanos() {
-		return this.medianTokenNanos;
+	double medianInterTokenNanos() {
+		return this.medianInterTokenNanos;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
@@ -1,6 +1,6 @@
 package org.pistachioline.core.placement;
 
-import org.pistachioline.core.backoff.BackoffBook;
+import org.pistachioline.core.backoff.BackoffRegistry;
 import org.pistachioline.core.backoff.InstanceBackoff;
 import org.pistachioline.core.limit.InstanceLimit;
 import org.pistachioline.core.traffic.AttemptOutcome;
@@ -19,10 +19,10 @@
  */
 public final class TargetLoad {
 
-	private static final long REPORT_TRUST_NANOS = 3_000_000_000L;
+	private static final long REPORT_VALIDITY_NANOS = 3_000_000_000L;
 
 	/** By then the list shows a group that was closed, and a failure says little. */
-	private static final long FAILURE_TRUST_NANOS = 1_500_000_000L;
+	private static final long FAILURE_VALIDITY_NANOS = 1_500_000_000L;
 
 	/** A target that just came takes its full share of work only after this time. */
 	private static final long SLOW_START_NANOS = 4_000_000_000L;
@@ -31,11 +31,11 @@
 
 	private final InstanceBackoff backoff;
 
-	private final OthersInFlight others;
+	private final PeerInFlightEstimate peerInFlight;
 
-	private final SetPlace place = new SetPlace();
+	private final TargetSetEntry setEntry = new TargetSetEntry();
 
-	private final TokenPace pace = new TokenPace();
+	private final InterTokenLatency interTokenLatency = new InterTokenLatency();
 
 	private TargetView view;
 
@@ -64,7 +64,7 @@
 	 */
 	public TargetLoad(TargetView view, long nowNanos) {
 		this(view, nowNanos, new InstanceLimit(view.instanceId(), LiveDaemons.ALONE),
-				new BackoffBook().of(view.instanceId()));
+				new BackoffRegistry().getOrCreate(view.instanceId()));
 	}
 
 	/**
@@ -80,7 +80,7 @@
 		this.view = view;
 		this.servingSinceNanos = nowNanos;
 		this.progressAtNanos = nowNanos;
-		this.others = new OthersInFlight(view, nowNanos);
+		this.peerInFlight = new PeerInFlightEstimate(view, nowNanos);
 	}
 
 	/**
@@ -92,14 +92,14 @@
 		if (newView.serving() && !this.view.serving()) {
 			this.servingSinceNanos = nowNanos;
 		}
-		this.others.update(newView, nowNanos, this.inFlight);
+		this.peerInFlight.update(newView, nowNanos, this.inFlight);
 		this.view = newView;
 	}
 
 	/**
 	 * Skips the slow start, for a target that is at its full speed already.
 	 */
-	public void warm() {
+	public void skipSlowStart() {
 		this.servingSinceNanos -= SLOW_START_NANOS;
 	}
 
@@ -131,8 +131,8 @@
 		if (first || tokens <= 0) {
 			return;
 		}
-		this.pace.add((double) (nowNanos - sinceNanos) / tokens);
-		if (this.pace.samples() >= StragglerEjector.LEAST_SAMPLES && this.onProbation) {
+		this.interTokenLatency.add((double) (nowNanos - sinceNanos) / tokens);
+		if (this.interTokenLatency.samples() >= StragglerEjector.MIN_SAMPLES && this.onProbation) {
 			this.onProbation = false;
 			this.servingSinceNanos = nowNanos;
 		}
@@ -168,13 +168,13 @@
 	 */
 	int limit(long nowNanos, DaemonRank daemons) {
 		final int slots = this.view.slots();
-		final int equal = daemons.equalPart(slots, this.view.targetId());
-		final double unused = slots - this.others.attempts() - ((this.others.attempts() > 0) ? 1 : 0);
+		final int equal = daemons.equalShare(slots, this.view.targetId());
+		final double unused = slots - this.peerInFlight.attempts() - ((this.peerInFlight.attempts() > 0) ? 1 : 0);
 		// An engine that queues has more than its slots already, whatever the figures
 		// say.
 		final double left = (this.view.reportedWaiting() > 0) ? equal : Math.max(equal, unused);
 		final double trustRatio = Math.max(0,
-				1 - (double) (nowNanos - this.view.reportedAtNanos()) / REPORT_TRUST_NANOS);
+				1 - (double) (nowNanos - this.view.reportedAtNanos()) / REPORT_VALIDITY_NANOS);
 		final double limit = equal + trustRatio * (left - equal);
 		if (this.onProbation) {
 			return 1;
@@ -190,19 +190,19 @@
 	 * @return the free slots
 	 */
 	int freeSlots(long nowNanos, DaemonRank daemons) {
-		if (!this.view.serving() || ejected(nowNanos)) {
+		if (!this.view.serving() || isEjected(nowNanos)) {
 			return 0;
 		}
 		// Whoever may start one where a limit holds may have no part of the slots.
-		final int most = this.limit.isLimited() ? limitedMost() : limit(nowNanos, daemons);
-		return withinLimit(nowNanos, most - this.inFlight);
+		final int most = this.limit.isLimited() ? maxAttemptsUnderLimit() : limit(nowNanos, daemons);
+		return clampToLimit(nowNanos, most - this.inFlight);
 	}
 
-	private int limitedMost() {
+	private int maxAttemptsUnderLimit() {
 		return this.onProbation ? 1 : this.view.slots();
 	}
 
-	private int withinLimit(long nowNanos, int free) {
+	private int clampToLimit(long nowNanos, int free) {
 		final int most = this.limit.isLimited() ? 1 : Integer.MAX_VALUE;
 		return mayStart(nowNanos) ? Math.max(0, Math.min(most, free)) : 0;
 	}
@@ -214,7 +214,7 @@
 	 * @return whether it may be started then, as far as is known
 	 */
 	public boolean mayStart(long atNanos) {
-		return this.limit.mayStart(atNanos) && !this.backoff.holds(atNanos);
+		return this.limit.mayStart(atNanos) && !this.backoff.isActive(atNanos);
 	}
 
 	/**
@@ -222,8 +222,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it names a limit or wants nothing for a while, or any more
 	 */
-	boolean isPaced(long nowNanos) {
-		return this.limit.isLimited() || this.backoff.holds(nowNanos);
+	boolean isThrottled(long nowNanos) {
+		return this.limit.isLimited() || this.backoff.isActive(nowNanos);
 	}
 
 	/**
@@ -232,11 +232,12 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether one may
 	 */
-	boolean mayTakeOne(long nowNanos) {
-		final boolean usable = this.view.serving() && !ejected(nowNanos) && !this.onProbation && !isPaced(nowNanos);
-		final boolean heardFull = nowNanos - this.view.reportedAtNanos() < REPORT_TRUST_NANOS
+	boolean acceptsExcessAttempt(long nowNanos) {
+		final boolean usable = this.view.serving() && !isEjected(nowNanos) && !this.onProbation
+				&& !isThrottled(nowNanos);
+		final boolean heardFull = nowNanos - this.view.reportedAtNanos() < REPORT_VALIDITY_NANOS
 				&& this.view.reportedRunning() + this.view.reportedWaiting() >= this.view.slots();
-		return usable && this.inFlight == 0 && !heardFull && !failedLately(nowNanos);
+		return usable && this.inFlight == 0 && !heardFull && !failedRecently(nowNanos);
 	}
 
 	/**
@@ -245,8 +246,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether they did
 	 */
-	boolean failedLately(long nowNanos) {
-		return this.consecutiveFailures > 0 && nowNanos - this.lastFailureNanos < FAILURE_TRUST_NANOS;
+	boolean failedRecently(long nowNanos) {
+		return this.consecutiveFailures > 0 && nowNanos - this.lastFailureNanos < FAILURE_VALIDITY_NANOS;
 	}
 
 	/**
@@ -255,7 +256,7 @@
 	 * @param daemons the daemons that share the target
 	 * @return the number of attempts
 	 */
-	int beyondLimit(long nowNanos, DaemonRank daemons) {
+	int excessAttempts(long nowNanos, DaemonRank daemons) {
 		return this.limit.isLimited() ? 0 : Math.max(0, this.inFlight - limit(nowNanos, daemons));
 	}
 
@@ -265,7 +266,7 @@
 	 * @return the free slots
 	 */
 	int freeSlots(long nowNanos) {
-		return this.view.serving() ? withinLimit(nowNanos, this.view.slots() - this.inFlight) : 0;
+		return this.view.serving() ? clampToLimit(nowNanos, this.view.slots() - this.inFlight) : 0;
 	}
 
 	/**
@@ -293,7 +294,7 @@
 	void eject(long nowNanos, long baseNanos, int mostDoublings) {
 		this.ejectedUntilNanos = nowNanos + (baseNanos << Math.min(mostDoublings, this.ejections));
 		this.ejections++;
-		this.pace.reset();
+		this.interTokenLatency.reset();
 		this.consecutiveFailures = 0;
 		// The way back begins with one attempt at a time: while it is not known whether
 		// the target is well again, each further one would be another caller who waits.
@@ -304,7 +305,7 @@
 	/**
 	 * Forgives one ejection, for a target that has behaved since.
 	 */
-	void forgive() {
+	void decayEjections() {
 		this.ejections = Math.max(0, this.ejections - 1);
 	}
 
@@ -313,7 +314,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it is ejected
 	 */
-	public boolean ejected(long nowNanos) {
+	public boolean isEjected(long nowNanos) {
 		return this.ejectedUntilNanos != 0 && nowNanos < this.ejectedUntilNanos;
 	}
 
@@ -337,8 +338,8 @@
 	 * Returns the time between two tokens, as this daemon saw it.
 	 * @return the pace since the target was last taken out of use
 	 */
-	TokenPace pace() {
-		return this.pace;
+	InterTokenLatency interTokenLatency() {
+		return this.interTokenLatency;
 	}
 
 	/**
@@ -346,10 +347,10 @@
 	 * @param daemonCount how many daemons share the target
 	 * @return its own and the others' attempts for each slot
 	 */
-	double fullRatio(int daemonCount) {
+	double utilizationRatio(int daemonCount) {
 		// What others have is known late; that they do as this daemon does is a guess
 		// without noise. Half of each keeps the small differences exact.
-		final double byReport = this.inFlight + this.others.attempts();
+		final double byReport = this.inFlight + this.peerInFlight.attempts();
 		final double byOwn = (double) this.inFlight * daemonCount;
 		return (byReport + byOwn) / 2 / this.view.slots();
 	}
@@ -358,8 +359,8 @@
 	 * Returns where the target stands in its set; the set keeps it.
 	 * @return the place
 	 */
-	SetPlace place() {
-		return this.place;
+	TargetSetEntry setEntry() {
+		return this.setEntry;
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetSet.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetSet.java
@@ -27,35 +27,35 @@
 	private static final long REFRESH_NANOS = 200_000_000L;
 
 	/** One attempt in so many of the fair share may go beyond this daemon's parts. */
-	private static final double BEYOND_PART = 8;
+	private static final double EXCESS_DIVISOR = 8;
 
-	private static final long SECOND_HASH = 0x9E3779B97F4A7C15L;
+	private static final long SECOND_HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
 	private final StragglerEjector ejector = new StragglerEjector();
 
-	private final boolean guarded;
+	private final boolean protectsTargets;
 
-	private final List<TargetLoad> open = new ArrayList<>();
+	private final List<TargetLoad> available = new ArrayList<>();
 
-	private final List<TargetLoad> openView = Collections.unmodifiableList(this.open);
+	private final List<TargetLoad> availableView = Collections.unmodifiableList(this.available);
 
-	private final List<TargetLoad> spare = new ArrayList<>();
+	private final List<TargetLoad> excessCandidates = new ArrayList<>();
 
-	private final List<TargetLoad> spareView = Collections.unmodifiableList(this.spare);
+	private final List<TargetLoad> excessCandidatesView = Collections.unmodifiableList(this.excessCandidates);
 
-	private final List<TargetLoad> paced = new ArrayList<>();
+	private final List<TargetLoad> throttled = new ArrayList<>();
 
 	private final Map<String, TargetLoad> byId = new HashMap<>();
 
 	private List<TargetLoad> members = List.of();
 
-	private boolean filled;
+	private boolean initialized;
 
 	private int freeSlots;
 
-	private int beyond;
+	private int excessAttempts;
 
-	private int mostBeyond;
+	private int maxExcessAttempts;
 
 	private int daemonCount = 1;
 
@@ -67,7 +67,7 @@
 	 * daemons; the plain baselines do without
 	 */
 	public TargetSet(boolean guarded) {
-		this.guarded = guarded;
+		this.protectsTargets = guarded;
 	}
 
 	/**
@@ -77,15 +77,15 @@
 	 * @param daemons the daemons that share them
 	 */
 	public void replace(long nowNanos, List<TargetLoad> newMembers, DaemonRank daemons) {
-		if (!this.filled) {
+		if (!this.initialized) {
 			// A daemon that starts finds targets that were warm before it.
-			newMembers.forEach(TargetLoad::warm);
-			this.filled = true;
+			newMembers.forEach(TargetLoad::skipSlowStart);
+			this.initialized = true;
 		}
-		this.members.forEach((load) -> load.place().leave());
-		this.open.clear();
+		this.members.forEach((load) -> load.setEntry().reset());
+		this.available.clear();
 		this.freeSlots = 0;
-		this.beyond = 0;
+		this.excessAttempts = 0;
 		this.byId.clear();
 		this.members = newMembers;
 		newMembers.forEach((load) -> this.byId.put(load.view().targetId(), load));
@@ -99,13 +99,13 @@
 	 */
 	public void onTick(long nowNanos, DaemonRank daemons) {
 		if (nowNanos - this.refreshedAtNanos >= REFRESH_NANOS) {
-			if (this.guarded) {
+			if (this.protectsTargets) {
 				this.ejector.eject(nowNanos, this.members);
 			}
 			refresh(nowNanos, daemons);
 		}
 		else {
-			this.paced.forEach((load) -> refresh(nowNanos, daemons, load));
+			this.throttled.forEach((load) -> refresh(nowNanos, daemons, load));
 		}
 	}
 
@@ -117,28 +117,28 @@
 	public void refresh(long nowNanos, DaemonRank daemons) {
 		this.daemonCount = daemons.count();
 		this.refreshedAtNanos = nowNanos;
-		this.paced.clear();
+		this.throttled.clear();
 		int slots = 0;
 		for (final TargetLoad load : this.members) {
 			refresh(nowNanos, daemons, load);
-			if (load.isPaced(nowNanos)) {
-				this.paced.add(load);
+			if (load.isThrottled(nowNanos)) {
+				this.throttled.add(load);
 			}
 			slots += load.view().serving() ? load.view().slots() : 0;
 		}
-		this.mostBeyond = this.guarded
-				? (int) Math.max(1, Math.round(slots / (BEYOND_PART * Math.max(1, daemons.count())))) : 0;
-		fillSpare(nowNanos);
+		this.maxExcessAttempts = this.protectsTargets
+				? (int) Math.max(1, Math.round(slots / (EXCESS_DIVISOR * Math.max(1, daemons.count())))) : 0;
+		collectExcessCandidates(nowNanos);
 	}
 
-	private void fillSpare(long nowNanos) {
-		this.spare.clear();
-		if (!this.guarded) {
+	private void collectExcessCandidates(long nowNanos) {
+		this.excessCandidates.clear();
+		if (!this.protectsTargets) {
 			return;
 		}
 		for (final TargetLoad load : this.members) {
-			if (!load.place().isOpen() && load.mayTakeOne(nowNanos)) {
-				this.spare.add(load);
+			if (!load.setEntry().isAvailable() && load.acceptsExcessAttempt(nowNanos)) {
+				this.excessCandidates.add(load);
 			}
 		}
 	}
@@ -152,31 +152,31 @@
 	public void refresh(long nowNanos, DaemonRank daemons, TargetLoad load) {
 		// A target that left the set may still have attempts in flight that end later.
 		if (this.byId.get(load.view().targetId()) != load) {
-			load.place().leave();
+			load.setEntry().reset();
 			return;
 		}
-		final int freed = this.guarded ? load.freeSlots(nowNanos, daemons) : load.freeSlots(nowNanos);
-		this.freeSlots += load.place().countSlots(freed);
-		if (this.guarded) {
-			this.beyond += load.place().countBeyond(load.beyondLimit(nowNanos, daemons));
-			this.spare.removeIf((each) -> each == load && !load.mayTakeOne(nowNanos));
+		final int freed = this.protectsTargets ? load.freeSlots(nowNanos, daemons) : load.freeSlots(nowNanos);
+		this.freeSlots += load.setEntry().updateFreeSlots(freed);
+		if (this.protectsTargets) {
+			this.excessAttempts += load.setEntry().updateExcessAttempts(load.excessAttempts(nowNanos, daemons));
+			this.excessCandidates.removeIf((each) -> each == load && !load.acceptsExcessAttempt(nowNanos));
 		}
-		place(load, freed > 0);
+		updateAvailability(load, freed > 0);
 	}
 
-	private void place(TargetLoad load, boolean room) {
-		final SetPlace place = load.place();
-		if (room && !place.isOpen()) {
-			place.open(this.open.size());
-			this.open.add(load);
+	private void updateAvailability(TargetLoad load, boolean room) {
+		final TargetSetEntry place = load.setEntry();
+		if (room && !place.isAvailable()) {
+			place.setAvailableIndex(this.available.size());
+			this.available.add(load);
 		}
-		else if (!room && place.isOpen()) {
-			final TargetLoad last = this.open.remove(this.open.size() - 1);
+		else if (!room && place.isAvailable()) {
+			final TargetLoad last = this.available.remove(this.available.size() - 1);
 			if (last != load) {
-				this.open.set(place.openIndex(), last);
-				last.place().open(place.openIndex());
+				this.available.set(place.availableIndex(), last);
+				last.setEntry().setAvailableIndex(place.availableIndex());
 			}
-			place.shut();
+			place.clearAvailableIndex();
 		}
 	}
 
@@ -187,7 +187,7 @@
 	 */
 	public int freeSlots() {
 		return (this.freeSlots > 0) ? this.freeSlots
-				: Math.max(0, Math.min(this.spare.size(), this.mostBeyond - this.beyond));
+				: Math.max(0, Math.min(this.excessCandidates.size(), this.maxExcessAttempts - this.excessAttempts));
 	}
 
 	/**
@@ -195,12 +195,12 @@
 	 * has room; where it has none, those that may take one beyond its parts.
 	 * @return a view that follows the set
 	 */
-	public List<TargetLoad> open() {
-		return goesBeyond() ? this.spareView : this.openView;
+	public List<TargetLoad> available() {
+		return usesExcessAttempts() ? this.excessCandidatesView : this.availableView;
 	}
 
-	private boolean goesBeyond() {
-		return this.open.isEmpty() && this.beyond < this.mostBeyond;
+	private boolean usesExcessAttempts() {
+		return this.available.isEmpty() && this.excessAttempts < this.maxExcessAttempts;
 	}
 
 	/**
@@ -208,8 +208,8 @@
 	 * @param load the target
 	 * @return whether it is among the open ones
 	 */
-	boolean isOpen(TargetLoad load) {
-		return goesBeyond() ? this.spare.contains(load) : load.place().isOpen();
+	boolean isAvailable(TargetLoad load) {
+		return usesExcessAttempts() ? this.excessCandidates.contains(load) : load.setEntry().isAvailable();
 	}
 
 	/**
@@ -231,7 +231,7 @@
 		if (this.members.isEmpty()) {
 			return null;
 		}
-		final long mixed = second ? Long.rotateLeft(hash, Integer.SIZE) * SECOND_HASH : hash;
+		final long mixed = second ? Long.rotateLeft(hash, Integer.SIZE) * SECOND_HASH_MULTIPLIER : hash;
 		return this.members.get((int) Long.remainderUnsigned(mixed, this.members.size()));
 	}
 
@@ -243,8 +243,8 @@
 	 * Returns the usual time between two tokens.
 	 * @return the median over the targets, in nanoseconds; 0 where it is not known
 	 */
-	public double medianTokenNanos() {
-		return this.ejector.medianTokenNanos();
+	public double medianInterTokenNanos() {
+		return this.ejector.medianInterTokenNanos();
 	}
 
 	/**
@@ -254,8 +254,8 @@
 	 * @return what they take; empty where some target takes all that it has room for, or
 	 * none serves
 	 */
-	public Optional<PacedSupply> pacedSupply(long nowNanos) {
-		return this.paced.isEmpty() ? Optional.empty() : PacedSupply.of(nowNanos, this.members);
+	public Optional<ThrottledCapacity> throttledCapacity(long nowNanos) {
+		return this.throttled.isEmpty() ? Optional.empty() : ThrottledCapacity.of(nowNanos, this.members);
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/PacedSupply.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/ThrottledCapacity.java
@@ -8,13 +8,16 @@
 /**
  * What targets take that all name limits or want nothing for a while.
  *
- * @param nextWaitNanos how long until this daemon may start the next attempt at a target
- * that names a limit
- * @param ownPerSecond how many attempts a second this daemon may start at those
- * @param allPerSecond how many attempts a second all daemons may start at those together
- * @param openWaitNanos how long until a target that names no limit wants requests again
+ * @param nextStartWaitNanos how long until this daemon may start the next attempt at a
+ * target that names a limit
+ * @param ownStartsPerSecond how many attempts a second this daemon may start at those
+ * @param totalStartsPerSecond how many attempts a second all daemons may start at those
+ * together
+ * @param backoffWaitNanos how long until a target that names no limit wants requests
+ * again
  */
-public record PacedSupply(long nextWaitNanos, double ownPerSecond, double allPerSecond, long openWaitNanos) {
+public record ThrottledCapacity(long nextStartWaitNanos, double ownStartsPerSecond, double totalStartsPerSecond,
+		long backoffWaitNanos) {
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -27,7 +30,7 @@
 	 * @return the sums; empty where some target that serves takes all that it has room
 	 * for, or none serves
 	 */
-	static Optional<PacedSupply> of(long nowNanos, Collection<TargetLoad> members) {
+	static Optional<ThrottledCapacity> of(long nowNanos, Collection<TargetLoad> members) {
 		long nextNanos = NEVER_NANOS;
 		long openNanos = NEVER_NANOS;
 		double own = 0;
@@ -37,22 +40,22 @@
 			if (!load.view().serving()) {
 				continue;
 			}
-			if (!load.isPaced(nowNanos)) {
+			if (!load.isThrottled(nowNanos)) {
 				return Optional.empty();
 			}
 			any = true;
 			final InstanceLimit limit = load.limit();
-			final long restNanos = load.backoff().leftNanos(nowNanos);
+			final long restNanos = load.backoff().remainingNanos(nowNanos);
 			if (limit.isLimited()) {
 				nextNanos = Math.min(nextNanos, Math.max(restNanos, waitNanos(nowNanos, limit)));
-				own += limit.ownPerSecond();
-				all += limit.perSecond();
+				own += limit.ownRequestsPerSecond();
+				all += limit.requestsPerSecond();
 			}
 			else {
 				openNanos = Math.min(openNanos, restNanos);
 			}
 		}
-		return any ? Optional.of(new PacedSupply(nextNanos, own, all, openNanos)) : Optional.empty();
+		return any ? Optional.of(new ThrottledCapacity(nextNanos, own, all, openNanos)) : Optional.empty();
 	}
 
 	// Without a permit the next attempt is put off by each word of the target.
@@ -60,7 +63,7 @@
 		if (limit.mayStart(nowNanos)) {
 			return 0;
 		}
-		return (limit.ownPerSecond() > 0) ? limit.nextStartNanos() - nowNanos : NEVER_NANOS;
+		return (limit.ownRequestsPerSecond() > 0) ? limit.nextStartNanos() - nowNanos : NEVER_NANOS;
 	}
 
 	/**
@@ -70,9 +73,9 @@
 	 * at most and others wait for it
 	 */
 	public double waitNanos(int ahead) {
-		final double limitedNanos = this.nextWaitNanos
-				+ ((ahead > 0) ? ahead / this.ownPerSecond * NANOS_PER_SECOND : 0);
-		return Math.min(this.openWaitNanos, limitedNanos);
+		final double limitedNanos = this.nextStartWaitNanos
+				+ ((ahead > 0) ? ahead / this.ownStartsPerSecond * NANOS_PER_SECOND : 0);
+		return Math.min(this.backoffWaitNanos, limitedNanos);
 	}
 
 	/**
@@ -81,9 +84,9 @@
 	 * @param ahead how many requests wait before it
 	 * @return the time, in nanoseconds; infinite where no target takes anything
 	 */
-	public double returnNanos(int ahead) {
-		final double limitedNanos = (ahead + 1) / this.allPerSecond * NANOS_PER_SECOND;
-		return Math.min(this.openWaitNanos, limitedNanos);
+	public double retryAfterNanos(int ahead) {
+		final double limitedNanos = (ahead + 1) / this.totalStartsPerSecond * NANOS_PER_SECOND;
+		return Math.min(this.backoffWaitNanos, limitedNanos);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/DeadlineOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/DeadlineOrder.java
@@ -5,10 +5,10 @@
 /**
  * The most urgent goes next, and among equals the one whose deadline is nearest.
  */
-public final class DeadlineOrder implements WaitingOrder {
+public final class DeadlineOrder implements QueueOrder {
 
 	@Override
-	public Waiting next(long nowNanos, long firstTokenNanos, NavigableSet<Waiting> queue) {
+	public QueuedRequest next(long nowNanos, long firstTokenNanos, NavigableSet<QueuedRequest> queue) {
 		return queue.first();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/FairQueue.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/FairQueue.java
@@ -31,30 +31,30 @@
 
 	private static final double NANOS_PER_MILLI = 1e6;
 
-	private static final long LEAST_RETRY_MILLIS = 1_000;
+	private static final long MIN_RETRY_MILLIS = 1_000;
 
-	private static final long MOST_RETRY_MILLIS = 60_000;
+	private static final long MAX_RETRY_MILLIS = 60_000;
 
 	/** How many prompt tokens take an engine as long as one output token. */
 	private static final double PROMPT_TOKENS_PER_OUTPUT = 100;
 
 	private final int maxRequests;
 
-	private final WaitingOrder order;
+	private final QueueOrder order;
 
-	private final OutputEstimates estimates = new OutputEstimates();
+	private final OutputLengthEstimator outputLengths = new OutputLengthEstimator();
 
-	private final Map<String, Lane> lanes = new LinkedHashMap<>();
+	private final Map<String, StartTimeFairQueue> queues = new LinkedHashMap<>();
 
-	private final Map<Long, Waiting> waiting = new HashMap<>();
+	private final Map<Long, QueuedRequest> queuedById = new HashMap<>();
 
-	private final Map<Long, Double> running = new HashMap<>();
+	private final Map<Long, Double> chargedCosts = new HashMap<>();
 
-	private final Map<String, Integer> counts = new HashMap<>();
+	private final Map<String, Integer> queuedCounts = new HashMap<>();
 
 	private Map<String, WorkspaceSpec> workspaces = Map.of();
 
-	private long sequence;
+	private long nextSequence;
 
 	/**
 	 * Creates an empty queue in which deadlines decide within a workspace.
@@ -69,7 +69,7 @@
 	 * @param maxRequests how many requests may wait in all
 	 * @param order who goes first within a workspace
 	 */
-	public FairQueue(int maxRequests, WaitingOrder order) {
+	public FairQueue(int maxRequests, QueueOrder order) {
 		this.maxRequests = maxRequests;
 		this.order = order;
 	}
@@ -79,28 +79,29 @@
 		final Map<String, WorkspaceSpec> next = new HashMap<>();
 		manifest.workspaces().forEach((workspace) -> next.put(workspace.name(), workspace));
 		this.workspaces = next;
-		this.lanes.values().forEach((lane) -> {
-			lane.retain(next.keySet());
-			lane.reweigh(this::weight);
+		this.queues.values().forEach((lane) -> {
+			lane.retainWorkspaces(next.keySet());
+			lane.updateWeights(this::weight);
 		});
 	}
 
 	@Override
 	public Optional<Refusal> offer(long nowNanos, RequestInfo info) {
-		final Lane lane = this.lanes.computeIfAbsent(laneName(info), (name) -> new Lane());
-		if (this.running.remove(info.requestId()) != null) {
-			lane.onStopped(nowNanos, info.workspace());
+		final StartTimeFairQueue lane = this.queues.computeIfAbsent(queueName(info),
+				(name) -> new StartTimeFairQueue());
+		if (this.chargedCosts.remove(info.requestId()) != null) {
+			lane.onFinished(nowNanos, info.workspace());
 		}
 		final double waitNanos = lane.expectedWaitNanos(info.workspace(), weight(info.workspace()));
 		final WorkspaceSpec workspace = this.workspaces.get(info.workspace());
 		final int most = (workspace != null) ? Math.min(workspace.queuedRequests(), this.maxRequests)
 				: this.maxRequests;
-		if (this.counts.getOrDefault(info.workspace(), 0) >= most || this.waiting.size() >= this.maxRequests) {
+		if (this.queuedCounts.getOrDefault(info.workspace(), 0) >= most || this.queuedById.size() >= this.maxRequests) {
 			return Optional.of(refusal(ErrorKind.QUEUE_FULL, info, waitNanos));
 		}
 		final long budgetNanos = info.firstTokenDeadlineNanos() - nowNanos;
 		final double allowedNanos = lane.allowedWaitNanos(nowNanos, info.workspace(), budgetNanos)
-				- lane.firstTokenNanos(budgetNanos);
+				- lane.expectedFirstTokenNanos(budgetNanos);
 		if (waitNanos > 0 && waitNanos > allowedNanos) {
 			return Optional.of(refusal(ErrorKind.DEADLINE_UNREACHABLE, info, waitNanos - allowedNanos));
 		}
@@ -108,48 +109,48 @@
 		return Optional.empty();
 	}
 
-	private void add(long nowNanos, RequestInfo info, Lane lane) {
-		final Waiting entry = new Waiting(info, this.sequence++, nowNanos,
-				cost(info, this.estimates.outputTokens(info)));
-		this.waiting.put(info.requestId(), entry);
-		this.counts.merge(info.workspace(), 1, Integer::sum);
+	private void add(long nowNanos, RequestInfo info, StartTimeFairQueue lane) {
+		final QueuedRequest entry = new QueuedRequest(info, this.nextSequence++, nowNanos,
+				cost(info, this.outputLengths.estimateTokens(info)));
+		this.queuedById.put(info.requestId(), entry);
+		this.queuedCounts.merge(info.workspace(), 1, Integer::sum);
 		lane.add(nowNanos, entry, weight(info.workspace()));
 	}
 
 	private static Refusal refusal(ErrorKind kind, RequestInfo info, double waitNanos) {
-		return Refusal.spread(kind, info.requestId(), Math.max(LEAST_RETRY_MILLIS, waitNanos / NANOS_PER_MILLI),
-				MOST_RETRY_MILLIS);
+		return Refusal.withJitter(kind, info.requestId(), Math.max(MIN_RETRY_MILLIS, waitNanos / NANOS_PER_MILLI),
+				MAX_RETRY_MILLIS);
 	}
 
 	@Override
 	public Optional<RequestInfo> poll(long nowNanos, ToIntFunction<RequestInfo> freeSlots) {
-		for (final Lane lane : this.lanes.values()) {
+		for (final StartTimeFairQueue lane : this.queues.values()) {
 			// All requests of a lane can be placed at the same targets, so its head is
 			// asked for all: a full model costs one question and not one a request.
-			final Waiting next = lane.isEmpty() ? null
+			final QueuedRequest next = lane.isEmpty() ? null
 					: lane.dispatch(nowNanos, freeSlots.applyAsInt(lane.head().info()), this.order, this::weight);
 			if (next != null) {
-				leave(next);
-				this.running.put(next.info().requestId(), next.cost());
+				unregister(next);
+				this.chargedCosts.put(next.info().requestId(), next.cost());
 				return Optional.of(next.info());
 			}
 		}
 		return Optional.empty();
 	}
 
-	private void leave(Waiting entry) {
-		this.waiting.remove(entry.info().requestId());
-		this.counts.computeIfPresent(entry.info().workspace(), (name, count) -> (count > 1) ? count - 1 : null);
+	private void unregister(QueuedRequest entry) {
+		this.queuedById.remove(entry.info().requestId());
+		this.queuedCounts.computeIfPresent(entry.info().workspace(), (name, count) -> (count > 1) ? count - 1 : null);
 	}
 
 	@Override
 	public List<RequestInfo> expire(long nowNanos) {
-		if (this.waiting.isEmpty()) {
+		if (this.queuedById.isEmpty()) {
 			return List.of();
 		}
 		final List<RequestInfo> expired = new ArrayList<>();
-		for (final Lane lane : this.lanes.values()) {
-			for (final Waiting late : lane.late(nowNanos)) {
+		for (final StartTimeFairQueue lane : this.queues.values()) {
+			for (final QueuedRequest late : lane.expired(nowNanos)) {
 				remove(late.info().requestId());
 				expired.add(late.info());
 			}
@@ -159,16 +160,16 @@
 
 	@Override
 	public void remove(long requestId) {
-		final Waiting entry = this.waiting.get(requestId);
+		final QueuedRequest entry = this.queuedById.get(requestId);
 		if (entry != null) {
-			this.lanes.get(laneName(entry.info())).remove(entry, weight(entry.info().workspace()));
-			leave(entry);
+			this.queues.get(queueName(entry.info())).remove(entry, weight(entry.info().workspace()));
+			unregister(entry);
 		}
 	}
 
 	@Override
 	public void onFirstToken(long nowNanos, RequestInfo info, long sinceStartNanos) {
-		final Lane lane = this.lanes.get(laneName(info));
+		final StartTimeFairQueue lane = this.queues.get(queueName(info));
 		if (lane != null) {
 			lane.onFirstToken(sinceStartNanos);
 		}
@@ -176,17 +177,17 @@
 
 	@Override
 	public void onEnded(long nowNanos, RequestInfo info, boolean complete, int outputTokens, long sinceStartNanos) {
-		final Double charged = this.running.remove(info.requestId());
-		final Lane lane = this.lanes.get(laneName(info));
+		final Double charged = this.chargedCosts.remove(info.requestId());
+		final StartTimeFairQueue lane = this.queues.get(queueName(info));
 		if (charged == null || lane == null) {
 			return;
 		}
-		lane.onStopped(nowNanos, info.workspace());
+		lane.onFinished(nowNanos, info.workspace());
 		if (complete) {
-			this.estimates.learn(info, outputTokens);
+			this.outputLengths.addSample(info, outputTokens);
 			final double cost = cost(info, outputTokens);
-			lane.onServed(info.workspace(), cost, sinceStartNanos);
-			lane.correct(info.workspace(), cost - charged, weight(info.workspace()));
+			lane.onCompleted(info.workspace(), cost, sinceStartNanos);
+			lane.adjustCharge(info.workspace(), cost - charged, weight(info.workspace()));
 		}
 	}
 
@@ -199,13 +200,13 @@
 		return (spec != null && spec.weight() > 0) ? spec.weight() : 1;
 	}
 
-	private static String laneName(RequestInfo info) {
+	private static String queueName(RequestInfo info) {
 		return (info.targetKind() == TargetKind.MODEL) ? info.name() : "service:" + info.name();
 	}
 
 	@Override
 	public int size() {
-		return this.waiting.size();
+		return this.queuedById.size();
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/Flow.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/Flow.java
@@ -13,41 +13,41 @@
 final class Flow {
 
 	/** Who goes first between workspaces. */
-	static final Comparator<Flow> BY_START = Comparator.comparingDouble((Flow flow) -> flow.startTag)
+	static final Comparator<Flow> BY_START_TAG = Comparator.comparingDouble((Flow flow) -> flow.startTag)
 		.thenComparing((flow) -> flow.workspace);
 
 	private static final long STANDING_NANOS = 2_000_000_000L;
 
 	/** The part of its deadline that a request may wait in a standing queue. */
-	private static final double STANDING_RATIO = 0.25;
+	private static final double STANDING_WAIT_RATIO = 0.25;
 
 	final String workspace;
 
-	final TreeSet<Waiting> queue = new TreeSet<>(Waiting.BY_URGENCY);
+	final TreeSet<QueuedRequest> queue = new TreeSet<>(QueuedRequest.BY_URGENCY);
 
 	double startTag;
 
 	double finishTag;
 
-	double cost;
+	double queuedCost;
 
-	double lastCost;
+	double lastQueuedCost;
 
 	int running;
 
-	private double demandMean;
+	private double meanDemand;
 
-	private double serviceNanos;
+	private double meanServiceNanos;
 
 	private long observedAtNanos;
 
 	private long lateSinceNanos;
 
 	/** A queue whose head waited less than this part of its deadline stands no more. */
-	private static final double DRAINED_RATIO = 0.05;
+	private static final double DRAINED_WAIT_RATIO = 0.05;
 
 	/** The time over which demand is averaged. */
-	private static final double DEMAND_NANOS = 10e9;
+	private static final double DEMAND_WINDOW_NANOS = 10e9;
 
 	private static final double SAMPLE_WEIGHT = 0.1;
 
@@ -59,8 +59,8 @@
 	 * Averages how many requests of the workspace want to run at once.
 	 * @param nowNanos the monotonic time
 	 */
-	void observe(long nowNanos) {
-		this.demandMean = demand(nowNanos);
+	void updateDemand(long nowNanos) {
+		this.meanDemand = demand(nowNanos);
 		this.observedAtNanos = nowNanos;
 	}
 
@@ -71,26 +71,26 @@
 	 */
 	double demand(long nowNanos) {
 		final double wanted = this.running + this.queue.size();
-		return wanted + (this.demandMean - wanted) * Math.exp(-(nowNanos - this.observedAtNanos) / DEMAND_NANOS);
+		return wanted + (this.meanDemand - wanted) * Math.exp(-(nowNanos - this.observedAtNanos) / DEMAND_WINDOW_NANOS);
 	}
 
-	void onServed(long sinceStartNanos) {
-		this.serviceNanos = (this.serviceNanos == 0) ? sinceStartNanos
-				: this.serviceNanos + SAMPLE_WEIGHT * (sinceStartNanos - this.serviceNanos);
+	void onCompleted(long sinceStartNanos) {
+		this.meanServiceNanos = (this.meanServiceNanos == 0) ? sinceStartNanos
+				: this.meanServiceNanos + SAMPLE_WEIGHT * (sinceStartNanos - this.meanServiceNanos);
 	}
 
 	/**
 	 * Returns how long one request of the workspace holds a slot.
 	 * @return the mean, in nanoseconds; 0 where it is not known
 	 */
-	double serviceNanos() {
-		return this.serviceNanos;
+	double meanServiceNanos() {
+		return this.meanServiceNanos;
 	}
 
-	void onDispatch(long nowNanos, Waiting waiting) {
+	void onDispatch(long nowNanos, QueuedRequest waiting) {
 		final long budgetNanos = waiting.info().firstTokenDeadlineNanos() - waiting.queuedAtNanos();
-		final boolean late = nowNanos - waiting.queuedAtNanos() > STANDING_RATIO * budgetNanos;
-		if (nowNanos - waiting.queuedAtNanos() < DRAINED_RATIO * budgetNanos) {
+		final boolean late = nowNanos - waiting.queuedAtNanos() > STANDING_WAIT_RATIO * budgetNanos;
+		if (nowNanos - waiting.queuedAtNanos() < DRAINED_WAIT_RATIO * budgetNanos) {
 			this.lateSinceNanos = 0;
 		}
 		else if (late && this.lateSinceNanos == 0) {
@@ -101,7 +101,7 @@
 	double allowedWaitNanos(long nowNanos, long budgetNanos) {
 		final boolean standing = !this.queue.isEmpty() && this.lateSinceNanos != 0
 				&& nowNanos - this.lateSinceNanos > STANDING_NANOS;
-		return standing ? STANDING_RATIO * budgetNanos : budgetNanos;
+		return standing ? STANDING_WAIT_RATIO * budgetNanos : budgetNanos;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OnTimeFirstOrder.java
@@ -10,20 +10,20 @@
  * served, and everybody late. An answer that comes late is worth a fraction of one on
  * time to its caller, while those who are late already lose little by waiting on.
  */
-public final class OnTimeFirstOrder implements WaitingOrder {
+public final class OnTimeFirstOrder implements QueueOrder {
 
 	/** Bounds the search where hundreds are late; they go by deadline then. */
-	private static final int MOST_LOOKED_AT = 128;
+	private static final int MAX_SCANNED = 128;
 
 	@Override
-	public Waiting next(long nowNanos, long firstTokenNanos, NavigableSet<Waiting> queue) {
+	public QueuedRequest next(long nowNanos, long firstTokenNanos, NavigableSet<QueuedRequest> queue) {
 		int looked = 0;
-		for (final Waiting waiting : queue) {
+		for (final QueuedRequest waiting : queue) {
 			if (nowNanos + firstTokenNanos <= waiting.info().softDeadlineNanos()) {
 				return waiting;
 			}
 			looked++;
-			if (looked >= MOST_LOOKED_AT) {
+			if (looked >= MAX_SCANNED) {
 				break;
 			}
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OutputEstimates.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/OutputLengthEstimator.java
@@ -13,21 +13,21 @@
  * mean is kept for each power of two of the maximum, since callers with short and long
  * work in one workspace mostly differ there; that also bounds the memory.
  */
-final class OutputEstimates {
+final class OutputLengthEstimator {
 
 	private static final double SAMPLE_WEIGHT = 0.05;
 
-	private static final double FIRST_GUESS_RATIO = 0.5;
+	private static final double INITIAL_RATIO = 0.5;
 
 	private final Map<Key, Mean> means = new HashMap<>();
 
-	double outputTokens(RequestInfo info) {
+	double estimateTokens(RequestInfo info) {
 		final Mean mean = this.means.get(Key.of(info));
-		final double guess = info.maxOutputTokens() * FIRST_GUESS_RATIO;
+		final double guess = info.maxOutputTokens() * INITIAL_RATIO;
 		return Math.max(1, Math.min(info.maxOutputTokens(), (mean != null) ? mean.tokens : guess));
 	}
 
-	void learn(RequestInfo info, int outputTokens) {
+	void addSample(RequestInfo info, int outputTokens) {
 		final Mean mean = this.means.computeIfAbsent(Key.of(info), (key) -> new Mean());
 		mean.samples++;
 		mean.tokens += Math.max(SAMPLE_WEIGHT, 1.0 / mean.samples) * (outputTokens - mean.tokens);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/WaitingOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueueOrder.java
@@ -5,7 +5,7 @@
 /**
  * Which request of a workspace goes next.
  */
-public interface WaitingOrder {
+public interface QueueOrder {
 
 	/**
 	 * Chooses a request.
@@ -15,6 +15,6 @@
 	 * @param queue the requests that wait, by priority and then by deadline; at least one
 	 * @return one of them
 	 */
-	Waiting next(long nowNanos, long firstTokenNanos, NavigableSet<Waiting> queue);
+	QueuedRequest next(long nowNanos, long firstTokenNanos, NavigableSet<QueuedRequest> queue);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/Waiting.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/QueuedRequest.java
@@ -12,16 +12,17 @@
  * @param queuedAtNanos when it came, by the monotonic clock
  * @param cost its estimated cost, in output tokens
  */
-public record Waiting(RequestInfo info, long sequence, long queuedAtNanos, double cost) {
+public record QueuedRequest(RequestInfo info, long sequence, long queuedAtNanos, double cost) {
 
 	/** Who goes first within a workspace. */
-	static final Comparator<Waiting> BY_URGENCY = Comparator.comparingInt((Waiting waiting) -> -waiting.info.priority())
+	static final Comparator<QueuedRequest> BY_URGENCY = Comparator
+		.comparingInt((QueuedRequest waiting) -> -waiting.info.priority())
 		.thenComparingLong((waiting) -> waiting.info.firstTokenDeadlineNanos())
-		.thenComparingLong(Waiting::sequence);
+		.thenComparingLong(QueuedRequest::sequence);
 
 	/** Who is late first. */
-	static final Comparator<Waiting> BY_DEADLINE = Comparator
-		.comparingLong((Waiting waiting) -> waiting.info.firstTokenDeadlineNanos())
-		.thenComparingLong(Waiting::sequence);
+	static final Comparator<QueuedRequest> BY_DEADLINE = Comparator
+		.comparingLong((QueuedRequest waiting) -> waiting.info.firstTokenDeadlineNanos())
+		.thenComparingLong(QueuedRequest::sequence);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/SlotReserve.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/SlotReserve.java
@@ -18,12 +18,12 @@
  */
 final class SlotReserve {
 
-	private static final double SHORT_RATIO = 0.04;
+	private static final double SHORT_WORK_RESERVE_RATIO = 0.04;
 
-	private static final double DEVIATIONS = 2;
+	private static final double DEVIATION_FACTOR = 2;
 
 	/** Demand below this many requests at once counts as none. */
-	private static final double LEAST_DEMAND = 0.02;
+	private static final double MIN_DEMAND = 0.02;
 
 	/**
 	 * Returns how many slots a workspace must leave free.
@@ -35,12 +35,12 @@
 	 * @param weights the weights of workspaces
 	 * @return the number of slots
 	 */
-	double against(long nowNanos, Flow flow, boolean holdsLong, int slots, Collection<Flow> flows,
+	double reservedSlots(long nowNanos, Flow flow, boolean holdsLong, int slots, Collection<Flow> flows,
 			ToDoubleFunction<String> weights) {
 		double activeWeight = 0;
 		boolean light = false;
 		for (final Flow other : flows) {
-			if (other == flow || other.demand(nowNanos) >= LEAST_DEMAND) {
+			if (other == flow || other.demand(nowNanos) >= MIN_DEMAND) {
 				activeWeight += weights.applyAsDouble(other.workspace);
 				light |= other != flow && other.queue.isEmpty();
 			}
@@ -50,18 +50,18 @@
 			return 0;
 		}
 		if (!holdsLong) {
-			return light ? Math.floor(SHORT_RATIO * slots) : 0;
+			return light ? Math.floor(SHORT_WORK_RESERVE_RATIO * slots) : 0;
 		}
-		return againstLong(nowNanos, flow, slotsByWeight, flows, weights);
+		return reservedForOthers(nowNanos, flow, slotsByWeight, flows, weights);
 	}
 
-	private static double againstLong(long nowNanos, Flow flow, double slotsByWeight, Collection<Flow> flows,
+	private static double reservedForOthers(long nowNanos, Flow flow, double slotsByWeight, Collection<Flow> flows,
 			ToDoubleFunction<String> weights) {
 		double kept = 0;
 		for (final Flow other : flows) {
 			final double demand = other.demand(nowNanos);
-			if (other != flow && demand >= LEAST_DEMAND) {
-				final double wanted = demand + DEVIATIONS * Math.sqrt(demand);
+			if (other != flow && demand >= MIN_DEMAND) {
+				final double wanted = demand + DEVIATION_FACTOR * Math.sqrt(demand);
 				final double share = slotsByWeight * weights.applyAsDouble(other.workspace);
 				kept += Math.max(0, Math.min(share, wanted) - other.running);
 			}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/queueing/Lane.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/queueing/StartTimeFairQueue.java
@@ -16,25 +16,25 @@
  * that starts first goes first. One that was idle starts at the present, so it goes next
  * and has saved up nothing.
  */
-final class Lane {
+final class StartTimeFairQueue {
 
 	/** Work that holds a slot for longer is not to fill all slots. */
-	private static final double LONG_NANOS = 10e9;
+	private static final double LONG_SERVICE_NANOS = 10e9;
 
-	private static final double DECAY = 0.98;
+	private static final double SERVED_DECAY_RATIO = 0.98;
 
 	private static final double SAMPLE_WEIGHT = 0.1;
 
-	private static final double DEVIATIONS = 2;
+	private static final double DEVIATION_FACTOR = 2;
 
 	/** The part of a deadline that is kept for the first token at most. */
-	private static final double FIRST_TOKEN_MOST_RATIO = 0.5;
+	private static final double MAX_FIRST_TOKEN_RATIO = 0.5;
 
 	private final Map<String, Flow> flows = new HashMap<>();
 
-	private final TreeSet<Flow> backlogged = new TreeSet<>(Flow.BY_START);
+	private final TreeSet<Flow> backlogged = new TreeSet<>(Flow.BY_START_TAG);
 
-	private final TreeSet<Waiting> byDeadline = new TreeSet<>(Waiting.BY_DEADLINE);
+	private final TreeSet<QueuedRequest> byDeadline = new TreeSet<>(QueuedRequest.BY_DEADLINE);
 
 	private final SlotReserve reserve = new SlotReserve();
 
@@ -54,37 +54,37 @@
 
 	private double firstTokenDeviationNanos;
 
-	private boolean isLong(Flow flow) {
-		final double nanos = (flow.serviceNanos() > 0 || this.servedCost == 0) ? flow.serviceNanos()
-				: flow.lastCost * this.servedNanos / this.servedCost;
-		return nanos >= LONG_NANOS;
+	private boolean hasLongService(Flow flow) {
+		final double nanos = (flow.meanServiceNanos() > 0 || this.servedCost == 0) ? flow.meanServiceNanos()
+				: flow.lastQueuedCost * this.servedNanos / this.servedCost;
+		return nanos >= LONG_SERVICE_NANOS;
 	}
 
 	boolean isEmpty() {
 		return this.backlogged.isEmpty();
 	}
 
-	int waiting(String workspace) {
+	int queuedCount(String workspace) {
 		final Flow flow = this.flows.get(workspace);
 		return (flow != null) ? flow.queue.size() : 0;
 	}
 
-	void add(long nowNanos, Waiting waiting, double weight) {
+	void add(long nowNanos, QueuedRequest waiting, double weight) {
 		final Flow flow = this.flows.computeIfAbsent(waiting.info().workspace(), Flow::new);
 		if (flow.queue.isEmpty()) {
 			flow.startTag = Math.max(this.virtualTime, flow.finishTag);
 			this.backlogged.add(flow);
 			this.backloggedWeight += weight;
 		}
-		flow.observe(nowNanos);
-		flow.lastCost = waiting.cost();
+		flow.updateDemand(nowNanos);
+		flow.lastQueuedCost = waiting.cost();
 		flow.queue.add(waiting);
-		flow.cost += waiting.cost();
+		flow.queuedCost += waiting.cost();
 		this.backloggedCost += waiting.cost();
 		this.byDeadline.add(waiting);
 	}
 
-	Waiting head() {
+	QueuedRequest head() {
 		return this.backlogged.first().queue.first();
 	}
 
@@ -96,12 +96,12 @@
 	 * @param weights the weights of workspaces
 	 * @return the request; null where none may start
 	 */
-	Waiting dispatch(long nowNanos, int freeSlots, WaitingOrder order, ToDoubleFunction<String> weights) {
+	QueuedRequest dispatch(long nowNanos, int freeSlots, QueueOrder order, ToDoubleFunction<String> weights) {
 		if (freeSlots <= 0) {
 			return null;
 		}
 		for (final Flow flow : this.backlogged) {
-			if (freeSlots > this.reserve.against(nowNanos, flow, isLong(flow), freeSlots + this.running,
+			if (freeSlots > this.reserve.reservedSlots(nowNanos, flow, hasLongService(flow), freeSlots + this.running,
 					this.flows.values(), weights)) {
 				return dispatch(nowNanos, flow, order, weights.applyAsDouble(flow.workspace));
 			}
@@ -109,16 +109,16 @@
 		return null;
 	}
 
-	private Waiting dispatch(long nowNanos, Flow flow, WaitingOrder order, double weight) {
+	private QueuedRequest dispatch(long nowNanos, Flow flow, QueueOrder order, double weight) {
 		this.backlogged.remove(flow);
-		flow.observe(nowNanos);
-		final Waiting waiting = order.next(nowNanos, (long) this.firstTokenMeanNanos, flow.queue);
+		flow.updateDemand(nowNanos);
+		final QueuedRequest waiting = order.next(nowNanos, (long) this.firstTokenMeanNanos, flow.queue);
 		flow.queue.remove(waiting);
 		this.virtualTime = Math.max(this.virtualTime, flow.startTag);
 		flow.finishTag = flow.startTag + waiting.cost() / weight;
 		flow.startTag = flow.finishTag;
 		flow.onDispatch(nowNanos, waiting);
-		takeOut(flow, waiting);
+		subtractFromTotals(flow, waiting);
 		if (flow.queue.isEmpty()) {
 			this.backloggedWeight -= weight;
 		}
@@ -130,20 +130,20 @@
 		return waiting;
 	}
 
-	void remove(Waiting waiting, double weight) {
+	void remove(QueuedRequest waiting, double weight) {
 		final Flow flow = this.flows.get(waiting.info().workspace());
 		if (flow == null || !flow.queue.remove(waiting)) {
 			return;
 		}
-		takeOut(flow, waiting);
+		subtractFromTotals(flow, waiting);
 		if (flow.queue.isEmpty()) {
 			this.backlogged.remove(flow);
 			this.backloggedWeight -= weight;
 		}
 	}
 
-	private void takeOut(Flow flow, Waiting waiting) {
-		flow.cost = flow.queue.isEmpty() ? 0 : flow.cost - waiting.cost();
+	private void subtractFromTotals(Flow flow, QueuedRequest waiting) {
+		flow.queuedCost = flow.queue.isEmpty() ? 0 : flow.queuedCost - waiting.cost();
 		this.byDeadline.remove(waiting);
 		this.backloggedCost = this.byDeadline.isEmpty() ? 0 : this.backloggedCost - waiting.cost();
 	}
@@ -154,7 +154,7 @@
 	 * @param missingCost what it cost more than it was charged; negative where less
 	 * @param weight the workspace's weight
 	 */
-	void correct(String workspace, double missingCost, double weight) {
+	void adjustCharge(String workspace, double missingCost, double weight) {
 		final Flow flow = this.flows.get(workspace);
 		if (flow == null) {
 			return;
@@ -168,22 +168,22 @@
 		}
 	}
 
-	void onStopped(long nowNanos, String workspace) {
+	void onFinished(long nowNanos, String workspace) {
 		this.running--;
 		final Flow flow = this.flows.get(workspace);
 		if (flow != null) {
-			flow.observe(nowNanos);
+			flow.updateDemand(nowNanos);
 			flow.running--;
 		}
 	}
 
-	void onServed(String workspace, double cost, long sinceStartNanos) {
+	void onCompleted(String workspace, double cost, long sinceStartNanos) {
 		final Flow flow = this.flows.get(workspace);
 		if (flow != null) {
-			flow.onServed(sinceStartNanos);
+			flow.onCompleted(sinceStartNanos);
 		}
-		this.servedNanos = this.servedNanos * DECAY + sinceStartNanos;
-		this.servedCost = this.servedCost * DECAY + cost;
+		this.servedNanos = this.servedNanos * SERVED_DECAY_RATIO + sinceStartNanos;
+		this.servedCost = this.servedCost * SERVED_DECAY_RATIO + cost;
 	}
 
 	void onFirstToken(long sinceStartNanos) {
@@ -210,13 +210,13 @@
 		final Flow flow = this.flows.get(workspace);
 		final boolean queued = flow != null && !flow.queue.isEmpty();
 		final double weights = queued ? this.backloggedWeight : this.backloggedWeight + weight;
-		final double ownCost = queued ? flow.cost : 0;
+		final double ownCost = queued ? flow.queuedCost : 0;
 		return Math.min(this.backloggedCost, ownCost * weights / weight) / costPerNano;
 	}
 
-	double firstTokenNanos(long budgetNanos) {
-		return Math.min(FIRST_TOKEN_MOST_RATIO * budgetNanos,
-				this.firstTokenMeanNanos + DEVIATIONS * this.firstTokenDeviationNanos);
+	double expectedFirstTokenNanos(long budgetNanos) {
+		return Math.min(MAX_FIRST_TOKEN_RATIO * budgetNanos,
+				this.firstTokenMeanNanos + DEVIATION_FACTOR * this.firstTokenDeviationNanos);
 	}
 
 	double allowedWaitNanos(long nowNanos, String workspace, long budgetNanos) {
@@ -224,11 +224,11 @@
 		return (flow != null) ? flow.allowedWaitNanos(nowNanos, budgetNanos) : budgetNanos;
 	}
 
-	List<Waiting> late(long nowNanos) {
-		final List<Waiting> late = new ArrayList<>();
-		for (final Waiting waiting : this.byDeadline) {
+	List<QueuedRequest> expired(long nowNanos) {
+		final List<QueuedRequest> late = new ArrayList<>();
+		for (final QueuedRequest waiting : this.byDeadline) {
 			final long deadlineNanos = waiting.info().firstTokenDeadlineNanos();
-			if (nowNanos + firstTokenNanos(deadlineNanos - waiting.queuedAtNanos()) < deadlineNanos) {
+			if (nowNanos + expectedFirstTokenNanos(deadlineNanos - waiting.queuedAtNanos()) < deadlineNanos) {
 				break;
 			}
 			late.add(waiting);
@@ -236,12 +236,12 @@
 		return late;
 	}
 
-	void retain(Set<String> workspaces) {
+	void retainWorkspaces(Set<String> workspaces) {
 		this.flows.values()
 			.removeIf((flow) -> flow.queue.isEmpty() && flow.running == 0 && !workspaces.contains(flow.workspace));
 	}
 
-	void reweigh(ToDoubleFunction<String> weights) {
+	void updateWeights(ToDoubleFunction<String> weights) {
 		this.backloggedWeight = this.backlogged.stream()
 			.mapToDouble((flow) -> weights.applyAsDouble(flow.workspace))
 			.sum();
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/DepartedInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/DelistedInstances.java
@@ -16,36 +16,36 @@
  * who their head was and where, to ask it before it takes them. Every daemon keeps this
  * memory, as any may become the planner.
  */
-public final class DepartedInstances {
+public final class DelistedInstances {
 
 	/**
 	 * Longer than any head was seen to serve on without the store, several times over.
 	 */
-	private static final long KEPT_NANOS = 60_000_000_000L;
+	private static final long RETENTION_NANOS = 60_000_000_000L;
 
 	private final Map<String, ServingInstance> listed = new HashMap<>();
 
-	private final Map<String, Departed> departed = new HashMap<>();
+	private final Map<String, Delisted> delisted = new HashMap<>();
 
 	/**
 	 * Takes the list.
 	 * @param nowNanos the monotonic time
 	 * @param instances all listed instances
 	 */
-	public void note(long nowNanos, Collection<ServingInstance> instances) {
+	public void update(long nowNanos, Collection<ServingInstance> instances) {
 		final Set<String> now = new HashSet<>();
 		instances.forEach((instance) -> {
 			now.add(instance.id());
-			this.departed.remove(instance.id());
+			this.delisted.remove(instance.id());
 		});
 		this.listed.forEach((id, instance) -> {
 			if (!now.contains(id)) {
-				this.departed.put(id, new Departed(instance, nowNanos));
+				this.delisted.put(id, new Delisted(instance, nowNanos));
 			}
 		});
 		this.listed.clear();
 		instances.forEach((instance) -> this.listed.put(instance.id(), instance));
-		this.departed.values().removeIf((gone) -> nowNanos - gone.sinceNanos() > KEPT_NANOS);
+		this.delisted.values().removeIf((gone) -> nowNanos - gone.sinceNanos() > RETENTION_NANOS);
 	}
 
 	/**
@@ -54,11 +54,11 @@
 	 */
 	public List<ServingInstance> instances() {
 		final List<ServingInstance> instances = new ArrayList<>();
-		this.departed.values().forEach((gone) -> instances.add(gone.instance()));
+		this.delisted.values().forEach((gone) -> instances.add(gone.instance()));
 		return instances;
 	}
 
-	private record Departed(ServingInstance instance, long sinceNanos) {
+	private record Delisted(ServingInstance instance, long sinceNanos) {
 
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/EndedGroups.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/EndedGroups.java
@@ -16,16 +16,16 @@
 final class EndedGroups {
 
 	/** By then the list shows how the group ended. */
-	private static final long SHOWN_NANOS = 1_000_000_000L;
+	private static final long END_VISIBLE_NANOS = 1_000_000_000L;
 
-	private final Map<GroupId, End> ends = new HashMap<>();
+	private final Map<GroupId, EndedGroup> endedGroups = new HashMap<>();
 
-	void add(long nowNanos, GroupRecord known) {
-		this.ends.put(known.group, new End(nowNanos, known.left));
+	void add(long nowNanos, TrackedGroup known) {
+		this.endedGroups.put(known.id, new EndedGroup(nowNanos, known.headLeft));
 	}
 
 	void clear() {
-		this.ends.clear();
+		this.endedGroups.clear();
 	}
 
 	/**
@@ -33,40 +33,41 @@
 	 * @param nowNanos the monotonic time
 	 * @param reported the groups with the members that report them
 	 */
-	void removeFrom(long nowNanos, Map<GroupId, List<ServingInstance>> reported) {
-		this.ends.keySet().retainAll(reported.keySet());
-		this.ends.entrySet().removeIf((entry) -> entry.getValue().isUndone(nowNanos, reported.get(entry.getKey())));
-		reported.keySet().removeAll(this.ends.keySet());
+	void removeEnded(long nowNanos, Map<GroupId, List<ServingInstance>> reported) {
+		this.endedGroups.keySet().retainAll(reported.keySet());
+		this.endedGroups.entrySet()
+			.removeIf((entry) -> entry.getValue().isRevived(nowNanos, reported.get(entry.getKey())));
+		reported.keySet().removeAll(this.endedGroups.keySet());
 	}
 
 	/**
 	 * How a group ended, and what its head has shown since.
 	 */
-	private static final class End {
+	private static final class EndedGroup {
 
-		private final long atNanos;
+		private final long endedAtNanos;
 
 		private final boolean headLeft;
 
-		private boolean headShownOut;
+		private boolean headSeenOutside;
 
-		End(long atNanos, boolean headLeft) {
-			this.atNanos = atNanos;
+		EndedGroup(long atNanos, boolean headLeft) {
+			this.endedAtNanos = atNanos;
 			this.headLeft = headLeft;
 		}
 
-		boolean isUndone(long nowNanos, List<ServingInstance> members) {
+		boolean isRevived(long nowNanos, List<ServingInstance> members) {
 			final Optional<MemberState> head = members.stream()
 				.map((member) -> member.membership().orElseThrow())
 				.filter((own) -> own.rank() == 0)
 				.map(Membership::state)
 				.findFirst();
-			this.headShownOut |= this.headLeft && head.isEmpty();
+			this.headSeenOutside |= this.headLeft && head.isEmpty();
 			if (head.isEmpty() || head.get() == MemberState.BROKEN) {
 				return false;
 			}
-			final boolean shown = nowNanos - this.atNanos >= SHOWN_NANOS;
-			return this.headShownOut || (shown && (this.headLeft || isServing(head.get())));
+			final boolean shown = nowNanos - this.endedAtNanos >= END_VISIBLE_NANOS;
+			return this.headSeenOutside || (shown && (this.headLeft || isServing(head.get())));
 		}
 
 		private static boolean isServing(MemberState state) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupExchange.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/GroupRebalancer.java
@@ -26,11 +26,11 @@
  * share, as survivors wait everywhere; to take from one for the other then made the one
  * with more callers the short one.
  */
-final class GroupExchange {
+final class GroupRebalancer {
 
-	private final HostWeights weights;
+	private final WeightInventory weights;
 
-	GroupExchange(HostWeights weights) {
+	GroupRebalancer(WeightInventory weights) {
 		this.weights = weights;
 	}
 
@@ -43,8 +43,8 @@
 	 * @param census how many instances serve each model
 	 * @return the groups to close; empty where nothing is gained
 	 */
-	List<GroupRecord> choose(EngineSpec engine, List<ServingInstance> free, Collection<GroupRecord> serving,
-			Map<String, ServingInstance> byId, PoolCensus census) {
+	List<TrackedGroup> selectGroupsToClose(EngineSpec engine, List<ServingInstance> free,
+			Collection<TrackedGroup> serving, Map<String, ServingInstance> byId, ModelInstanceCounts census) {
 		final Optional<EngineModel> scarce = engine.models()
 			.stream()
 			.filter((model) -> model.members() > 0)
@@ -52,11 +52,11 @@
 		if (scarce.isEmpty()) {
 			return List.of();
 		}
-		final Map<String, List<GroupRecord>> byGiver = new TreeMap<>();
+		final Map<String, List<TrackedGroup>> byGiver = new TreeMap<>();
 		serving.stream()
-			.filter((known) -> mayGive(engine, known, scarce.get(), census))
+			.filter((known) -> mayDonate(engine, known, scarce.get(), census))
 			.forEach((known) -> byGiver
-				.computeIfAbsent(known.group.model() + '\n' + byId.get(known.headId()).fabricDomain(),
+				.computeIfAbsent(known.id.model() + '\n' + byId.get(known.headId()).fabricDomain(),
 						(name) -> new ArrayList<>())
 				.add(known));
 		final Map<String, Long> holders = new HashMap<>();
@@ -65,43 +65,46 @@
 			.forEach((instance) -> holders.merge(instance.fabricDomain(), 1L, Long::sum));
 		return byGiver.values()
 			.stream()
-			.map((groups) -> cheapest(scarce.get(),
+			.map((groups) -> cheapestDonors(scarce.get(),
 					holders.getOrDefault(byId.get(groups.get(0).headId()).fabricDomain(), 0L), groups, byId))
-			.filter((groups) -> !groups.isEmpty() && evens(engine, scarce.get(), groups, census))
-			.min(Comparator.comparingInt(GroupExchange::instances))
+			.filter((groups) -> !groups.isEmpty() && improvesBalance(engine, scarce.get(), groups, census))
+			.min(Comparator.comparingInt(GroupRebalancer::countInstances))
 			.orElse(List.of());
 	}
 
-	private static boolean mayGive(EngineSpec engine, GroupRecord known, EngineModel scarce, PoolCensus census) {
-		return engine.model(known.group.model())
-			.filter((model) -> model != scarce && !census.isShort(model))
+	private static boolean mayDonate(EngineSpec engine, TrackedGroup known, EngineModel scarce,
+			ModelInstanceCounts census) {
+		return engine.model(known.id.model())
+			.filter((model) -> model != scarce && !census.isUnderprovisioned(model))
 			.isPresent();
 	}
 
 	// Whether the two models stand more evenly to their shares after the exchange.
-	private static boolean evens(EngineSpec engine, EngineModel scarce, List<GroupRecord> groups, PoolCensus census) {
-		final EngineModel giver = engine.model(groups.get(0).group.model()).orElseThrow();
+	private static boolean improvesBalance(EngineSpec engine, EngineModel scarce, List<TrackedGroup> groups,
+			ModelInstanceCounts census) {
+		final EngineModel giver = engine.model(groups.get(0).id.model()).orElseThrow();
 		final double before = census.fillRatio(giver) - census.fillRatio(scarce);
-		final double after = census.fillRatio(giver, -instances(groups)) - census.fillRatio(scarce, scarce.members());
+		final double after = census.fillRatio(giver, -countInstances(groups))
+				- census.fillRatio(scarce, scarce.members());
 		return Math.abs(after) < before;
 	}
 
-	private static int instances(List<GroupRecord> groups) {
+	private static int countInstances(List<TrackedGroup> groups) {
 		return groups.stream().mapToInt((known) -> known.memberIds.size()).sum();
 	}
 
 	// The groups whose closing completes one of the short model; empty where none does,
 	// or where none is needed because the free instances suffice.
-	private List<GroupRecord> cheapest(EngineModel scarce, long held, List<GroupRecord> groups,
+	private List<TrackedGroup> cheapestDonors(EngineModel scarce, long held, List<TrackedGroup> groups,
 			Map<String, ServingInstance> byId) {
-		final List<GroupRecord> chosen = new ArrayList<>();
+		final List<TrackedGroup> chosen = new ArrayList<>();
 		long have = held;
-		final List<GroupRecord> richest = groups.stream()
-			.sorted(Comparator.comparingLong((GroupRecord known) -> -holders(known, scarce, byId))
-				.thenComparingLong((known) -> known.group.epoch()))
+		final List<TrackedGroup> richest = groups.stream()
+			.sorted(Comparator.comparingLong((TrackedGroup known) -> -countHolders(known, scarce, byId))
+				.thenComparingLong((known) -> known.id.epoch()))
 			.toList();
-		for (final GroupRecord known : richest) {
-			final long more = holders(known, scarce, byId);
+		for (final TrackedGroup known : richest) {
+			final long more = countHolders(known, scarce, byId);
 			if (have >= scarce.members() || more == 0) {
 				break;
 			}
@@ -111,7 +114,7 @@
 		return (have >= scarce.members()) ? chosen : List.of();
 	}
 
-	private long holders(GroupRecord known, EngineModel scarce, Map<String, ServingInstance> byId) {
+	private long countHolders(TrackedGroup known, EngineModel scarce, Map<String, ServingInstance> byId) {
 		return known.memberIds.stream().filter((id) -> this.weights.holds(byId.get(id), scarce.name())).count();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/LeavingInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/LeavingInstances.java
@@ -15,7 +15,7 @@
 public final class LeavingInstances {
 
 	/** Ids are new with each start, so the oldest belong to instances long gone. */
-	private static final int MOST_KEPT = 4_096;
+	private static final int MAX_RETAINED = 4_096;
 
 	private final Set<String> ids = new LinkedHashSet<>();
 
@@ -24,9 +24,9 @@
 	 * @param instanceId the instance
 	 * @return whether that is news
 	 */
-	public boolean note(String instanceId) {
+	public boolean add(String instanceId) {
 		final boolean news = this.ids.add(instanceId);
-		if (this.ids.size() > MOST_KEPT) {
+		if (this.ids.size() > MAX_RETAINED) {
 			final Iterator<String> oldest = this.ids.iterator();
 			oldest.next();
 			oldest.remove();
@@ -39,7 +39,7 @@
 	 * @param listed the listed instances
 	 * @return the same instances, with those that leave shown as draining
 	 */
-	public List<ServingInstance> mark(List<ServingInstance> listed) {
+	public List<ServingInstance> markDraining(List<ServingInstance> listed) {
 		if (this.ids.isEmpty()) {
 			return listed;
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/LoadReport.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/LoadReport.java
@@ -5,9 +5,9 @@
  *
  * @param running how many requests it runs, from all daemons
  * @param waiting how many requests wait there, from all daemons
- * @param atNanos when it was heard, by the monotonic clock
+ * @param receivedAtNanos when it was heard, by the monotonic clock
  */
-public record LoadReport(int running, int waiting, long atNanos) {
+public record LoadReport(int running, int waiting, long receivedAtNanos) {
 
 	/** Nothing was told. */
 	public static final LoadReport NONE = new LoadReport(0, 0, 0);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerCandidates.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerCandidates.java
@@ -23,7 +23,7 @@
 	 * fleet no larger than this all ask, so that nobody has to leave the group again when
 	 * daemons come back.
 	 */
-	private static final int CANDIDATES = 8;
+	private static final int MAX_CANDIDATES = 8;
 
 	private static final Comparator<String> ORDER = Comparator
 		.comparingInt((String id) -> MurmurHash3.hash32x86(id.getBytes(StandardCharsets.UTF_8)))
@@ -39,7 +39,10 @@
 	 * @return whether it does
 	 */
 	public static boolean includes(String selfId, Collection<String> liveIds) {
-		return liveIds.stream().filter((id) -> ORDER.compare(id, selfId) < 0).limit(CANDIDATES).count() < CANDIDATES;
+		return liveIds.stream()
+			.filter((id) -> ORDER.compare(id, selfId) < 0)
+			.limit(MAX_CANDIDATES)
+			.count() < MAX_CANDIDATES;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerView.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/PlannerView.java
@@ -12,18 +12,18 @@
  * @param nowNanos the monotonic time
  * @param engine the service's engines
  * @param instances the service's instances, those that leave included
- * @param departed instances that the list dropped lately, as they were listed last
- * @param silentIds instances that answered nothing though other members of their group
- * did
+ * @param delisted instances that the list dropped lately, as they were listed last
+ * @param unresponsiveIds instances that answered nothing though other members of their
+ * group did
  * @param beforeTraffic whether no request has come yet, so that loads are not counted
  */
 public record PlannerView(long nowNanos, EngineSpec engine, Collection<ServingInstance> instances,
-		Collection<ServingInstance> departed, Set<String> silentIds, boolean beforeTraffic) {
+		Collection<ServingInstance> delisted, Set<String> unresponsiveIds, boolean beforeTraffic) {
 
 	public PlannerView {
 		instances = List.copyOf(instances);
-		departed = List.copyOf(departed);
-		silentIds = Set.copyOf(silentIds);
+		delisted = List.copyOf(delisted);
+		unresponsiveIds = Set.copyOf(unresponsiveIds);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaOrder.java
@@ -28,7 +28,7 @@
 	/**
 	 * An order about one group, which affects no other.
 	 */
-	sealed interface OfGroup extends ReplicaOrder {
+	sealed interface GroupOrder extends ReplicaOrder {
 
 		/**
 		 * Returns the group that it is about.
@@ -70,7 +70,7 @@
 	 * @param group the group
 	 * @param memberIds all members, the head first
 	 */
-	record Join(ServingInstance instance, GroupId group, List<String> memberIds) implements OfGroup {
+	record Join(ServingInstance instance, GroupId group, List<String> memberIds) implements GroupOrder {
 
 		public Join {
 			memberIds = List.copyOf(memberIds);
@@ -89,7 +89,7 @@
 	 * @param instance the head
 	 * @param group the group
 	 */
-	record Open(ServingInstance instance, GroupId group) implements OfGroup {
+	record Open(ServingInstance instance, GroupId group) implements GroupOrder {
 
 		@Override
 		public String verb() {
@@ -104,7 +104,7 @@
 	 * @param instance the instance
 	 * @param group the group
 	 */
-	record Leave(ServingInstance instance, GroupId group) implements OfGroup {
+	record Leave(ServingInstance instance, GroupId group) implements GroupOrder {
 
 		@Override
 		public String verb() {
@@ -118,9 +118,9 @@
 	 *
 	 * @param instance the head
 	 * @param group the group
-	 * @param dropWork whether it drops what it has instead of finishing it
+	 * @param abortRequests whether it drops what it has instead of finishing it
 	 */
-	record Close(ServingInstance instance, GroupId group, boolean dropWork) implements OfGroup {
+	record Close(ServingInstance instance, GroupId group, boolean abortRequests) implements GroupOrder {
 
 		@Override
 		public String verb() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaPlanner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ReplicaPlanner.java
@@ -27,39 +27,39 @@
 	/**
 	 * How many groups one planner may form in one term; epochs of terms do not overlap.
 	 */
-	private static final int TERM_BITS = 20;
+	private static final int EPOCH_COUNTER_BITS = 20;
 
-	private final GroupReview review;
+	private final GroupReconciler reconciler;
 
-	private final HostWeights weights = new HostWeights();
+	private final WeightInventory weights = new WeightInventory();
 
-	private final GroupFormer former = new GroupFormer(this.weights);
+	private final GroupAllocator allocator = new GroupAllocator(this.weights);
 
-	private final GroupExchange exchange = new GroupExchange(this.weights);
+	private final GroupRebalancer rebalancer = new GroupRebalancer(this.weights);
 
 	private final WeightStaging staging = new WeightStaging(this.weights);
 
-	private final LoadPacer pacer;
+	private final WeightLoadLimiter loadLimiter;
 
-	private final Map<GroupId, GroupRecord> records = new HashMap<>();
+	private final Map<GroupId, TrackedGroup> trackedGroups = new HashMap<>();
 
-	private final EndedGroups ended = new EndedGroups();
+	private final EndedGroups endedGroups = new EndedGroups();
 
-	private final UnansweredJoins unanswered = new UnansweredJoins();
+	private final UnansweredJoins unansweredJoins = new UnansweredJoins();
 
 	private long nowNanos;
 
 	private long term;
 
-	private long formedInTerm;
+	private long groupsFormedInTerm;
 
 	/**
 	 * Creates a planner that knows of no group.
 	 * @param times the times to keep to
 	 */
 	public ReplicaPlanner(PlannerTimes times) {
-		this.review = new GroupReview(times, Collections.unmodifiableSet(this.records.keySet()));
-		this.pacer = new LoadPacer(times.loadWindowNanos());
+		this.reconciler = new GroupReconciler(times, Collections.unmodifiableSet(this.trackedGroups.keySet()));
+		this.loadLimiter = new WeightLoadLimiter(times.loadWindowNanos());
 	}
 
 	/**
@@ -71,15 +71,15 @@
 	 */
 	public void beginTerm(long nowNanos, long newTerm, boolean heldBefore) {
 		if (!heldBefore) {
-			this.records.clear();
-			this.ended.clear();
-			this.pacer.takeOver(nowNanos);
-			this.unanswered.takeOver(nowNanos);
+			this.trackedGroups.clear();
+			this.endedGroups.clear();
+			this.loadLimiter.takeOver(nowNanos);
+			this.unansweredJoins.takeOver(nowNanos);
 		}
 		// A lease that lapsed while the store was away may be held again under the number
 		// that it had. Its epochs go on, as groups of that term still serve.
 		if (newTerm != this.term) {
-			this.formedInTerm = 0;
+			this.groupsFormedInTerm = 0;
 		}
 		this.term = newTerm;
 	}
@@ -91,49 +91,50 @@
 	 */
 	public List<ReplicaOrder> plan(PlannerView view) {
 		this.nowNanos = view.nowNanos();
-		this.unanswered.forgetOld(view.nowNanos());
+		this.unansweredJoins.removeExpired(view.nowNanos());
 		if (view.beforeTraffic()) {
-			this.pacer.open();
+			this.loadLimiter.ignorePreviousPlanner();
 		}
 		final Map<String, ServingInstance> byId = new HashMap<>();
 		view.instances().forEach((instance) -> byId.put(instance.id(), instance));
-		this.weights.note(view.instances());
-		learn(view);
-		this.review.begin(view.nowNanos());
-		this.records.values()
-			.forEach(
-					(known) -> known.headSilent |= known.headId() != null && view.silentIds().contains(known.headId()));
-		this.records.values().removeIf((known) -> {
-			final boolean over = this.review.review(view.nowNanos(), known, byId);
+		this.weights.update(view.instances());
+		trackReportedGroups(view);
+		this.reconciler.startPass(view.nowNanos());
+		this.trackedGroups.values()
+			.forEach((known) -> known.headUnresponsive |= known.headId() != null
+					&& view.unresponsiveIds().contains(known.headId()));
+		this.trackedGroups.values().removeIf((known) -> {
+			final boolean over = this.reconciler.reconcile(view.nowNanos(), known, byId);
 			if (over) {
-				this.ended.add(view.nowNanos(), known);
+				this.endedGroups.add(view.nowNanos(), known);
 			}
 			return over;
 		});
-		final List<ReplicaOrder> stagings = supply(view, byId);
-		final List<ReplicaOrder> orders = new ArrayList<>(this.review.orders());
+		final List<ReplicaOrder> stagings = assignFreeInstances(view, byId);
+		final List<ReplicaOrder> orders = new ArrayList<>(this.reconciler.orders());
 		orders.addAll(stagings);
 		return orders;
 	}
 
 	// Groups that another planner formed are known by their members' reports only.
-	private void learn(PlannerView view) {
+	private void trackReportedGroups(PlannerView view) {
 		final Map<GroupId, List<ServingInstance>> reported = new HashMap<>();
 		view.instances()
 			.forEach((instance) -> instance.membership()
 				.ifPresent((own) -> reported.computeIfAbsent(own.group(), (group) -> new ArrayList<>()).add(instance)));
-		this.ended.removeFrom(view.nowNanos(), reported);
+		this.endedGroups.removeEnded(view.nowNanos(), reported);
 		reported.forEach((group, members) -> {
 			final Optional<EngineModel> model = view.engine().model(group.model());
-			final GroupRecord known = this.records.get(group);
-			if (model.isPresent() && (known == null || (!known.formedHere && known.memberIds.contains(null)))) {
-				this.records.put(group, recordOf(view, group, model.get(), members, known));
+			final TrackedGroup known = this.trackedGroups.get(group);
+			if (model.isPresent()
+					&& (known == null || (!known.formedByThisPlanner && known.memberIds.contains(null)))) {
+				this.trackedGroups.put(group, reconstruct(view, group, model.get(), members, known));
 			}
 		});
 	}
 
-	private static GroupRecord recordOf(PlannerView view, GroupId group, EngineModel model,
-			Collection<ServingInstance> members, GroupRecord before) {
+	private static TrackedGroup reconstruct(PlannerView view, GroupId group, EngineModel model,
+			Collection<ServingInstance> members, TrackedGroup before) {
 		final String[] ids = new String[model.members()];
 		members.forEach((instance) -> {
 			final int rank = instance.membership().orElseThrow().rank();
@@ -141,7 +142,7 @@
 				ids[rank] = instance.id();
 			}
 		});
-		final Optional<ServingInstance> departedHead = view.departed()
+		final Optional<ServingInstance> departedHead = view.delisted()
 			.stream()
 			.filter((instance) -> instance.isMemberOf(group) && instance.membership().orElseThrow().rank() == 0)
 			.findFirst();
@@ -154,109 +155,113 @@
 				ids[rank] = (ids[rank] != null) ? ids[rank] : before.memberIds.get(rank);
 			}
 		}
-		final GroupRecord learnt = new GroupRecord(group, Arrays.asList(ids), 0, false,
-				(before != null) ? before.sinceNanos : view.nowNanos());
-		learnt.lastHead = departedHead.orElse(null);
-		learnt.opened = true;
+		final TrackedGroup learnt = new TrackedGroup(group, Arrays.asList(ids), 0, false,
+				(before != null) ? before.trackedSinceNanos : view.nowNanos());
+		learnt.lastListedHead = departedHead.orElse(null);
+		learnt.openOrdered = true;
 		if (before != null) {
-			learnt.lossNanos = before.lossNanos;
-			learnt.closed = before.closed;
-			learnt.left = before.left;
-			learnt.headSilent = before.headSilent;
-			learnt.memberLeft = before.memberLeft;
-			learnt.memberLeftNanos = before.memberLeftNanos;
+			learnt.incompleteSinceNanos = before.incompleteSinceNanos;
+			learnt.headClosed = before.headClosed;
+			learnt.headLeft = before.headLeft;
+			learnt.headUnresponsive = before.headUnresponsive;
+			learnt.followerLeft = before.followerLeft;
+			learnt.followerLeftAtNanos = before.followerLeftAtNanos;
 		}
 		return learnt;
 	}
 
-	private List<ReplicaOrder> supply(PlannerView view, Map<String, ServingInstance> byId) {
+	private List<ReplicaOrder> assignFreeInstances(PlannerView view, Map<String, ServingInstance> byId) {
 		final List<ServingInstance> free = new ArrayList<>(view.instances()
 			.stream()
-			.filter((instance) -> !instance.draining() && !this.review.isTaken(instance))
-			.filter((instance) -> !this.unanswered.mayReach(view.nowNanos(), instance, view.departed()))
+			.filter((instance) -> !instance.draining() && !this.reconciler.isReserved(instance))
+			.filter((instance) -> !this.unansweredJoins.mayReach(view.nowNanos(), instance, view.delisted()))
 			.toList());
-		this.former.note(view.nowNanos(), free);
-		this.staging.begin(view.nowNanos(), byId);
-		final boolean loadWaits = form(view, free, byId);
-		final PoolCensus census = census(view, byId);
+		this.allocator.updateIdleTimes(view.nowNanos(), free);
+		this.staging.removeFinishedLoads(view.nowNanos(), byId);
+		final boolean loadWaits = formGroups(view, free, byId);
+		final ModelInstanceCounts census = countInstances(view, byId);
 		if (!view.beforeTraffic()) {
-			this.exchange.choose(view.engine(), free, serving(byId), byId, census)
+			this.rebalancer.selectGroupsToClose(view.engine(), free, servingGroups(byId), byId, census)
 				.forEach((known) -> known.dissolving = true);
 		}
-		return (loadWaits || this.staging.unsupported()) ? List.of() : stage(view, free, census, byId);
+		return (loadWaits || this.staging.hasUnsupported()) ? List.of() : stageWeights(view, free, census, byId);
 	}
 
 	// Returns whether a group could be formed now but for the loads that it needs.
-	private boolean form(PlannerView view, List<ServingInstance> free, Map<String, ServingInstance> byId) {
-		final boolean loadsAllowed = view.beforeTraffic() || this.staging.unsupported();
-		Optional<GroupFormer.Formation> next = this.former.next(view, free, census(view, byId), loadsAllowed);
-		while (next.isPresent() && mayBegin(view, next.get(), byId)) {
-			begin(view.nowNanos(), next.get());
+	private boolean formGroups(PlannerView view, List<ServingInstance> free, Map<String, ServingInstance> byId) {
+		final boolean loadsAllowed = view.beforeTraffic() || this.staging.hasUnsupported();
+		Optional<GroupAllocator.Proposal> next = this.allocator.nextProposal(view, free, countInstances(view, byId),
+				loadsAllowed);
+		while (next.isPresent() && tryStartLoadsOf(view, next.get(), byId)) {
+			startGroup(view.nowNanos(), next.get());
 			free.removeAll(next.get().members());
-			next = this.former.next(view, free, census(view, byId), loadsAllowed);
+			next = this.allocator.nextProposal(view, free, countInstances(view, byId), loadsAllowed);
 		}
 		return next.isPresent();
 	}
 
-	private PoolCensus census(PlannerView view, Map<String, ServingInstance> byId) {
-		return new PoolCensus(view, this.records.values(), byId);
+	private ModelInstanceCounts countInstances(PlannerView view, Map<String, ServingInstance> byId) {
+		return new ModelInstanceCounts(view, this.trackedGroups.values(), byId);
 	}
 
-	private List<GroupRecord> serving(Map<String, ServingInstance> byId) {
-		return this.records.values()
+	private List<TrackedGroup> servingGroups(Map<String, ServingInstance> byId) {
+		return this.trackedGroups.values()
 			.stream()
 			.filter((known) -> !known.dissolving)
-			.filter((known) -> isServing(new GroupSight(known, byId)))
+			.filter((known) -> isServing(new GroupStatus(known, byId)))
 			.toList();
 	}
 
-	private static boolean isServing(GroupSight sight) {
-		return sight.allListed() && sight.allPrepared() && !sight.anyDraining()
+	private static boolean isServing(GroupStatus sight) {
+		return sight.allListed() && sight.allReady() && !sight.anyDraining()
 				&& sight.headState().filter((state) -> state == MemberState.OPEN).isPresent();
 	}
 
-	private List<ReplicaOrder> stage(PlannerView view, List<ServingInstance> free, PoolCensus census,
+	private List<ReplicaOrder> stageWeights(PlannerView view, List<ServingInstance> free, ModelInstanceCounts census,
 			Map<String, ServingInstance> byId) {
 		final List<ReplicaOrder> orders = new ArrayList<>();
-		Optional<ReplicaOrder.Stage> next = mayLoad(view, 1, byId) ? this.staging.next(view, census, free)
+		Optional<ReplicaOrder.Stage> next = tryStartLoads(view, 1, byId) ? this.staging.nextOrder(view, census, free)
 				: Optional.empty();
 		while (next.isPresent()) {
 			orders.add(next.get());
-			next = mayLoad(view, 1, byId) ? this.staging.next(view, census, free) : Optional.empty();
+			next = tryStartLoads(view, 1, byId) ? this.staging.nextOrder(view, census, free) : Optional.empty();
 		}
 		return orders;
 	}
 
-	private boolean mayBegin(PlannerView view, GroupFormer.Formation formation, Map<String, ServingInstance> byId) {
-		return formation.loads() == 0 || mayLoad(view, formation.loads(), byId);
+	private boolean tryStartLoadsOf(PlannerView view, GroupAllocator.Proposal formation,
+			Map<String, ServingInstance> byId) {
+		return formation.weightLoads() == 0 || tryStartLoads(view, formation.weightLoads(), byId);
 	}
 
-	private boolean mayLoad(PlannerView view, int loads, Map<String, ServingInstance> byId) {
-		if (loading(byId) >= Math.max(1, view.engine().concurrentLoads())) {
+	private boolean tryStartLoads(PlannerView view, int loads, Map<String, ServingInstance> byId) {
+		if (countLoadsInProgress(byId) >= Math.max(1, view.engine().concurrentLoads())) {
 			return false;
 		}
-		return view.beforeTraffic() || this.pacer.begin(view.nowNanos(), loads, view.engine());
+		return view.beforeTraffic() || this.loadLimiter.tryStart(view.nowNanos(), loads, view.engine());
 	}
 
 	// A group whose members had to load counts until they are prepared, and no longer
 	// when one of them is lost afterwards.
-	private int loading(Map<String, ServingInstance> byId) {
-		return this.staging.loading() + this.records.values()
+	private int countLoadsInProgress(Map<String, ServingInstance> byId) {
+		return this.staging.countLoadsInProgress() + this.trackedGroups.values()
 			.stream()
-			.filter((known) -> known.loads > 0 && new GroupSight(known, byId).anyJoining())
-			.mapToInt((known) -> known.loads)
+			.filter((known) -> known.weightLoads > 0 && new GroupStatus(known, byId).anyJoining())
+			.mapToInt((known) -> known.weightLoads)
 			.sum();
 	}
 
-	private void begin(long nowNanos, GroupFormer.Formation formation) {
-		this.formedInTerm++;
-		final GroupId group = GroupId.of(formation.model().name(), (this.term << TERM_BITS) + this.formedInTerm);
-		final GroupRecord formed = new GroupRecord(group,
-				formation.members().stream().map(ServingInstance::id).toList(), formation.loads(), true, nowNanos);
-		this.records.put(group, formed);
+	private void startGroup(long nowNanos, GroupAllocator.Proposal formation) {
+		this.groupsFormedInTerm++;
+		final GroupId group = GroupId.of(formation.model().name(),
+				(this.term << EPOCH_COUNTER_BITS) + this.groupsFormedInTerm);
+		final TrackedGroup formed = new TrackedGroup(group,
+				formation.members().stream().map(ServingInstance::id).toList(), formation.weightLoads(), true,
+				nowNanos);
+		this.trackedGroups.put(group, formed);
 		formation.members().forEach((member) -> {
-			this.review.take(member.id());
-			this.review.join(nowNanos, formed, member);
+			this.reconciler.reserve(member.id());
+			this.reconciler.orderJoin(nowNanos, formed, member);
 		});
 	}
 
@@ -268,35 +273,35 @@
 	 */
 	public void onOutcome(ReplicaOrder order, OrderOutcome outcome) {
 		if (order instanceof ReplicaOrder.Join && outcome == OrderOutcome.UNKNOWN) {
-			this.unanswered.add(this.nowNanos, order.instance());
+			this.unansweredJoins.add(this.nowNanos, order.instance());
 		}
-		if (order instanceof ReplicaOrder.OfGroup ofGroup) {
+		if (order instanceof ReplicaOrder.GroupOrder ofGroup) {
 			onGroupOutcome(ofGroup, outcome);
 		}
 		else if (outcome == OrderOutcome.INVALID) {
-			this.staging.unknownTo(order.instance().id());
+			this.staging.markUnsupported(order.instance().id());
 		}
 	}
 
-	private void onGroupOutcome(ReplicaOrder.OfGroup order, OrderOutcome outcome) {
-		final GroupRecord known = this.records.get(order.group());
+	private void onGroupOutcome(ReplicaOrder.GroupOrder order, OrderOutcome outcome) {
+		final TrackedGroup known = this.trackedGroups.get(order.group());
 		if (known != null && order instanceof ReplicaOrder.Close) {
-			known.closed |= outcome == OrderOutcome.STARTED || outcome == OrderOutcome.HOLDS;
-			known.headSilent |= outcome == OrderOutcome.UNKNOWN;
+			known.headClosed |= outcome == OrderOutcome.STARTED || outcome == OrderOutcome.HOLDS;
+			known.headUnresponsive |= outcome == OrderOutcome.UNKNOWN;
 			// One that is in no such group, or another process, holds nothing of it.
-			known.left |= outcome == OrderOutcome.UNFIT || outcome == OrderOutcome.OTHER_INSTANCE;
+			known.headLeft |= outcome == OrderOutcome.UNFIT || outcome == OrderOutcome.OTHER_INSTANCE;
 		}
 		if (known != null && order instanceof ReplicaOrder.Leave) {
 			final boolean ofHead = order.instance().id().equals(known.headId());
 			final boolean done = outcome != OrderOutcome.UNKNOWN && outcome != OrderOutcome.FENCED;
-			known.left |= ofHead && done && outcome != OrderOutcome.UNFIT;
-			known.headSilent |= ofHead && outcome == OrderOutcome.UNKNOWN;
-			known.memberLeft |= !ofHead && done;
+			known.headLeft |= ofHead && done && outcome != OrderOutcome.UNFIT;
+			known.headUnresponsive |= ofHead && outcome == OrderOutcome.UNKNOWN;
+			known.followerLeft |= !ofHead && done;
 		}
 		final boolean refused = outcome == OrderOutcome.FENCED || outcome == OrderOutcome.OTHER_INSTANCE
 				|| outcome == OrderOutcome.INVALID;
 		if (known != null && refused && order instanceof ReplicaOrder.Join) {
-			known.refused = true;
+			known.joinRefused = true;
 		}
 	}
 
@@ -312,13 +317,13 @@
 		final Set<String> grouped = new HashSet<>();
 		int forming = 0;
 		int waiting = 0;
-		for (final GroupRecord known : this.records.values()) {
-			final GroupSight sight = new GroupSight(known, byId);
+		for (final TrackedGroup known : this.trackedGroups.values()) {
+			final GroupStatus sight = new GroupStatus(known, byId);
 			final int members = (int) known.memberIds.stream().filter(byId::containsKey).count();
 			if (isServing(sight)) {
-				serving.merge(known.group.model(), 1, Integer::sum);
+				serving.merge(known.id.model(), 1, Integer::sum);
 			}
-			else if (sight.allListed() && !known.opened) {
+			else if (sight.allListed() && !known.openOrdered) {
 				forming += members;
 			}
 			else {
@@ -331,7 +336,7 @@
 			.toList();
 		final int freeWarm = (int) free.stream().filter(this.weights::holdsAny).count();
 		return new PoolSummary(byId.size(), (int) instances.stream().filter(ServingInstance::draining).count(), serving,
-				forming, waiting, freeWarm, free.size() - freeWarm, loading(byId));
+				forming, waiting, freeWarm, free.size() - freeWarm, countLoadsInProgress(byId));
 	}
 
 	/**
@@ -340,8 +345,8 @@
 	 */
 	public Map<String, List<String>> groups() {
 		final Map<String, List<String>> groups = new HashMap<>();
-		this.records.values()
-			.forEach((known) -> groups.put(known.group.name(),
+		this.trackedGroups.values()
+			.forEach((known) -> groups.put(known.id.name(),
 					known.memberIds.stream().map((id) -> (id != null) ? id : "unknown").toList()));
 		return groups;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/ServingGroups.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/ServingGroups.java
@@ -84,7 +84,7 @@
 		final LoadReport load = loads.getOrDefault(instance.id(), LoadReport.NONE);
 		return new TargetView(instance.id() + '@' + epoch, kind, name, instance.address(), epoch,
 				instance.availabilityZone(), serving, Math.max(1, instance.slots()), load.running(), load.waiting(),
-				load.atNanos());
+				load.receivedAtNanos());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/UnansweredJoins.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/UnansweredJoins.java
@@ -18,9 +18,9 @@
 final class UnansweredJoins {
 
 	/** Longer than an order was ever carried out late. */
-	private static final long LATEST_NANOS = 12_500_000_000L;
+	private static final long MAX_ORDER_DELAY_NANOS = 12_500_000_000L;
 
-	private final Map<String, Unanswered> byAddress = new HashMap<>();
+	private final Map<String, UnansweredJoin> byAddress = new HashMap<>();
 
 	private long takenOverAtNanos;
 
@@ -32,11 +32,11 @@
 	}
 
 	void add(long nowNanos, ServingInstance instance) {
-		this.byAddress.put(instance.address(), new Unanswered(instance.id(), nowNanos));
+		this.byAddress.put(instance.address(), new UnansweredJoin(instance.id(), nowNanos));
 	}
 
-	void forgetOld(long nowNanos) {
-		this.byAddress.values().removeIf((join) -> nowNanos - join.atNanos() >= LATEST_NANOS);
+	void removeExpired(long nowNanos) {
+		this.byAddress.values().removeIf((join) -> nowNanos - join.unansweredAtNanos() >= MAX_ORDER_DELAY_NANOS);
 	}
 
 	/**
@@ -47,11 +47,11 @@
 	 * @return whether one may
 	 */
 	boolean mayReach(long nowNanos, ServingInstance instance, Collection<ServingInstance> departed) {
-		final Unanswered join = this.byAddress.get(instance.address());
+		final UnansweredJoin join = this.byAddress.get(instance.address());
 		if (join != null && !join.instanceId().equals(instance.id())) {
 			return true;
 		}
-		return this.tookOver && nowNanos - this.takenOverAtNanos < LATEST_NANOS && departed.stream()
+		return this.tookOver && nowNanos - this.takenOverAtNanos < MAX_ORDER_DELAY_NANOS && departed.stream()
 			.anyMatch((gone) -> gone.address().equals(instance.address()) && !gone.id().equals(instance.id()));
 	}
 
@@ -59,9 +59,9 @@
 	 * An unanswered order.
 	 *
 	 * @param instanceId the instance that it was for
-	 * @param atNanos when it was known to be unanswered, by the monotonic clock
+	 * @param unansweredAtNanos when it was known to be unanswered, by the monotonic clock
 	 */
-	private record Unanswered(String instanceId, long atNanos) {
+	private record UnansweredJoin(String instanceId, long unansweredAtNanos) {
 
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/HostWeights.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightInventory.java
@@ -12,28 +12,28 @@
  * on its host. Instances report only the latter and the group that they are in, so the
  * model of a group that was left is remembered here.
  */
-final class HostWeights {
+final class WeightInventory {
 
-	private final Map<String, String> lastModels = new HashMap<>();
+	private final Map<String, String> lastGroupModels = new HashMap<>();
 
-	void note(Collection<ServingInstance> instances) {
+	void update(Collection<ServingInstance> instances) {
 		final Set<String> ids = instances.stream().map(ServingInstance::id).collect(Collectors.toSet());
-		this.lastModels.keySet().retainAll(ids);
+		this.lastGroupModels.keySet().retainAll(ids);
 		instances.forEach((instance) -> instance.membership()
 			.filter((own) -> own.state() != MemberState.JOINING)
-			.ifPresent((own) -> this.lastModels.put(instance.id(), own.group().model())));
+			.ifPresent((own) -> this.lastGroupModels.put(instance.id(), own.group().model())));
 	}
 
 	boolean holds(ServingInstance instance, String model) {
-		return instance.stagedModels().contains(model) || model.equals(this.lastModels.get(instance.id()));
+		return instance.stagedModels().contains(model) || model.equals(this.lastGroupModels.get(instance.id()));
 	}
 
 	boolean holdsAny(ServingInstance instance) {
-		return !instance.stagedModels().isEmpty() || this.lastModels.containsKey(instance.id());
+		return !instance.stagedModels().isEmpty() || this.lastGroupModels.containsKey(instance.id());
 	}
 
-	int count(ServingInstance instance) {
-		final String last = this.lastModels.get(instance.id());
+	int countModels(ServingInstance instance) {
+		final String last = this.lastGroupModels.get(instance.id());
 		final boolean other = last != null && !instance.stagedModels().contains(last);
 		return instance.stagedModels().size() + (other ? 1 : 0);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/replica/LoadPacer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/replica/WeightLoadLimiter.java
@@ -17,10 +17,10 @@
  * nobody would load at all; ten empty hosts were seen to wait for more than fifteen
  * seconds.
  */
-final class LoadPacer {
+final class WeightLoadLimiter {
 
 	/** The part of the rate that is used; orders that were repeated may load twice. */
-	private static final double USED_RATIO = 0.8;
+	private static final double USED_RATE_RATIO = 0.8;
 
 	private static final double NANOS_PER_MILLI = 1e6;
 
@@ -28,18 +28,18 @@
 
 	private final long windowNanos;
 
-	private final Deque<Long> begunAtNanos = new ArrayDeque<>();
+	private final Deque<Long> startedAtNanos = new ArrayDeque<>();
 
 	private boolean tookOver;
 
 	private long tookOverAtNanos;
 
-	LoadPacer(long windowNanos) {
+	WeightLoadLimiter(long windowNanos) {
 		this.windowNanos = windowNanos;
 	}
 
 	void takeOver(long nowNanos) {
-		this.begunAtNanos.clear();
+		this.startedAtNanos.clear();
 		this.tookOver = true;
 		this.tookOverAtNanos = nowNanos;
 	}
@@ -47,7 +47,7 @@
 	/**
 	 * Forgets that there was a planner before, which began nothing that counts.
 	 */
-	void open() {
+	void ignorePreviousPlanner() {
 		this.tookOver = false;
 	}
 
@@ -58,25 +58,25 @@
 	 * @param engine the rate, how many loads run at once and how long they take
 	 * @return whether they may begin
 	 */
-	boolean begin(long nowNanos, int loads, EngineSpec engine) {
-		while (!this.begunAtNanos.isEmpty() && nowNanos - this.begunAtNanos.peekFirst() > this.windowNanos) {
-			this.begunAtNanos.pollFirst();
+	boolean tryStart(long nowNanos, int loads, EngineSpec engine) {
+		while (!this.startedAtNanos.isEmpty() && nowNanos - this.startedAtNanos.peekFirst() > this.windowNanos) {
+			this.startedAtNanos.pollFirst();
 		}
-		final double allowed = USED_RATIO * engine.loadsPerSecond() * this.windowNanos / NANOS_PER_SECOND;
+		final double allowed = USED_RATE_RATIO * engine.loadsPerSecond() * this.windowNanos / NANOS_PER_SECOND;
 		final boolean lately = this.tookOver && nowNanos - this.tookOverAtNanos <= this.windowNanos;
-		final double before = lately ? mostBefore(engine) : 0;
-		if (before + this.begunAtNanos.size() + loads > allowed) {
+		final double before = lately ? maxPreviousLoads(engine) : 0;
+		if (before + this.startedAtNanos.size() + loads > allowed) {
 			return false;
 		}
 		for (int i = 0; i < loads; i++) {
-			this.begunAtNanos.addLast(nowNanos);
+			this.startedAtNanos.addLast(nowNanos);
 		}
 		return true;
 	}
 
 	// A planner begins no load while as many run as the store serves at full speed, so in
 	// one window it begins that number once for each load that fits into it.
-	private double mostBefore(EngineSpec engine) {
+	private double maxPreviousLoads(EngineSpec engine) {
 		final double shortestMillis = engine.models().stream().mapToLong(EngineModel::loadMillis).min().orElse(0);
 		final double rounds = Math.ceil(this.windowNanos / NANOS_PER_MILLI / Math.max(1, shortestMillis));
 		return Math.max(1, engine.concurrentLoads()) * rounds;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/CallerPatience.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/QueueTimeBudget.java
@@ -8,22 +8,22 @@
  * latency or eight times its longest pause, whichever is longest, however long it would
  * wait for the whole answer. A request that is kept for longer is kept for nobody, and
  * its caller, told at once, could have come back and found a place.
- * {@value #START_PERCENT} % of that time may pass in the queue; the rest is for the
+ * {@value #QUEUE_PERCENT} % of that time may pass in the queue; the rest is for the
  * target's prefill and the way back, which take some 200 to 500 ms on a busy group.
  */
-public final class CallerPatience {
+public final class QueueTimeBudget {
 
-	private static final int START_PERCENT = 70;
+	private static final int QUEUE_PERCENT = 70;
 
 	private static final int PERCENT = 100;
 
-	private static final long LEAST_STREAM_MILLIS = 2_000;
+	private static final long MIN_STREAM_SILENCE_MILLIS = 2_000;
 
-	private static final int TARGET_LATENCIES = 4;
+	private static final int TARGET_LATENCY_FACTOR = 4;
 
-	private static final int LONGEST_PAUSES = 8;
+	private static final int EVENT_GAP_FACTOR = 8;
 
-	private CallerPatience() {
+	private QueueTimeBudget() {
 	}
 
 	/**
@@ -32,12 +32,12 @@
 	 * @param waitMillis how long its caller waits for the whole answer
 	 * @return the time, in milliseconds
 	 */
-	public static long latestStartMillis(Route route, long waitMillis) {
-		final long silenceMillis = Math.max(LEAST_STREAM_MILLIS,
-				Math.max(TARGET_LATENCIES * route.targetLatencyMillis(), LONGEST_PAUSES * route.eventGapMillis()));
+	public static long maxQueueMillis(Route route, long waitMillis) {
+		final long silenceMillis = Math.max(MIN_STREAM_SILENCE_MILLIS, Math
+			.max(TARGET_LATENCY_FACTOR * route.targetLatencyMillis(), EVENT_GAP_FACTOR * route.eventGapMillis()));
 		final long patienceMillis = (route.kind() == RouteKind.STREAM) ? Math.min(waitMillis, silenceMillis)
 				: waitMillis;
-		return patienceMillis * START_PERCENT / PERCENT;
+		return patienceMillis * QUEUE_PERCENT / PERCENT;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/Route.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/Route.java
@@ -41,7 +41,7 @@
 	 * @param draw a number drawn by chance, from 0 to 1, without 1
 	 * @return the service's name
 	 */
-	public String serviceAt(double draw) {
+	public String selectService(double draw) {
 		final int total = this.services.stream().mapToInt(WeightedService::weight).sum();
 		double left = draw * total;
 		for (final WeightedService candidate : this.services) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/RouteTable.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/RouteTable.java
@@ -26,9 +26,9 @@
 
 	private final Map<String, ServiceSpec> services = new HashMap<>();
 
-	private final List<KeyHolder> keyHolders;
+	private final List<WorkspaceApiKeys> workspaceApiKeys;
 
-	private final CallerBounds bounds;
+	private final CallerBounds callerBounds;
 
 	/**
 	 * Creates a table.
@@ -38,11 +38,11 @@
 	 * @param keyHolders the workspaces with their keys
 	 * @param bounds what callers may send
 	 */
-	public RouteTable(long version, List<Route> routes, List<ServiceSpec> services, List<KeyHolder> keyHolders,
+	public RouteTable(long version, List<Route> routes, List<ServiceSpec> services, List<WorkspaceApiKeys> keyHolders,
 			CallerBounds bounds) {
 		this.version = version;
-		this.keyHolders = List.copyOf(keyHolders);
-		this.bounds = bounds;
+		this.workspaceApiKeys = List.copyOf(keyHolders);
+		this.callerBounds = bounds;
 		services.forEach((service) -> this.services.put(service.name(), service));
 		routes.forEach((route) -> this.routesByHost
 			.computeIfAbsent(route.host().toLowerCase(Locale.ROOT), (host) -> new ArrayList<>())
@@ -90,7 +90,7 @@
 	 * Returns whether a configuration is known at all.
 	 * @return whether it is
 	 */
-	public boolean known() {
+	public boolean isKnown() {
 		return this.version > 0;
 	}
 
@@ -98,8 +98,8 @@
 	 * Returns the workspaces with their keys.
 	 * @return the workspaces; empty where requests need no key
 	 */
-	public List<KeyHolder> keyHolders() {
-		return this.keyHolders;
+	public List<WorkspaceApiKeys> workspaceApiKeys() {
+		return this.workspaceApiKeys;
 	}
 
 	/**
@@ -114,8 +114,8 @@
 	 * Returns what callers may send.
 	 * @return the bounds
 	 */
-	public CallerBounds bounds() {
-		return this.bounds;
+	public CallerBounds callerBounds() {
+		return this.callerBounds;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/route/KeyHolder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/route/WorkspaceApiKeys.java
@@ -10,9 +10,9 @@
  * @param priority its rank, which goes before a route's; 0 is the most urgent; negative
  * where it has none
  */
-public record KeyHolder(String name, List<String> keySha256, int priority) {
+public record WorkspaceApiKeys(String name, List<String> keySha256, int priority) {
 
-	public KeyHolder {
+	public WorkspaceApiKeys {
 		keySha256 = List.copyOf(keySha256);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/DeadlineAdmission.java
@@ -6,8 +6,8 @@
 
 import org.pistachioline.core.admission.Refusal;
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.placement.PacedSupply;
 import org.pistachioline.core.placement.TargetSet;
+import org.pistachioline.core.placement.ThrottledCapacity;
 
 /**
  * Refuses requests that cannot start before their deadline because all of their targets
@@ -40,7 +40,7 @@
 	 * backoffs do not restrict its targets
 	 */
 	Optional<Refusal> check(long nowNanos, RequestInfo info) {
-		final Optional<PacedSupply> supply = pacedSupply(nowNanos, info);
+		final Optional<ThrottledCapacity> supply = pacedSupply(nowNanos, info);
 		if (supply.isEmpty()) {
 			return Optional.empty();
 		}
@@ -56,7 +56,7 @@
 		final Map<String, Integer> queued = queuedByName();
 		final Map<String, Integer> ahead = new HashMap<>();
 		for (final ActiveRequest request : this.activeRequests.all()) {
-			final Optional<PacedSupply> supply = request.queued ? pacedSupply(nowNanos, request.info)
+			final Optional<ThrottledCapacity> supply = request.queued ? pacedSupply(nowNanos, request.info)
 					: Optional.empty();
 			if (supply.isPresent()) {
 				final String name = nameKey(request.info);
@@ -98,9 +98,9 @@
 			.orElse(defaultMillis);
 	}
 
-	private Optional<PacedSupply> pacedSupply(long nowNanos, RequestInfo info) {
+	private Optional<ThrottledCapacity> pacedSupply(long nowNanos, RequestInfo info) {
 		final TargetSet set = this.targets.targetSet(info);
-		return (set != null) ? set.pacedSupply(nowNanos) : Optional.empty();
+		return (set != null) ? set.throttledCapacity(nowNanos) : Optional.empty();
 	}
 
 	private Map<String, Integer> queuedByName() {
@@ -119,20 +119,20 @@
 	// A request past its soft deadline is overtaken by requests that are still on time,
 	// so with others in the queue it must start by the soft deadline. The end of a
 	// backoff releases all queued requests at once, so no request is overtaken then.
-	private static Optional<Refusal> check(long nowNanos, RequestInfo info, PacedSupply supply, int ahead,
+	private static Optional<Refusal> check(long nowNanos, RequestInfo info, ThrottledCapacity supply, int ahead,
 			int othersQueued) {
 		final long halfNanos = (info.firstTokenDeadlineNanos() - nowNanos) / 2;
 		final long allowedNanos = (othersQueued > 0) ? info.softDeadlineNanos() - nowNanos : halfNanos;
-		if (supply.openWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
+		if (supply.backoffWaitNanos() <= halfNanos || supply.waitNanos(ahead) <= allowedNanos) {
 			return Optional.empty();
 		}
 		return Optional.of(refusal(info, supply, ahead));
 	}
 
-	private static Refusal refusal(RequestInfo info, PacedSupply supply, int ahead) {
+	private static Refusal refusal(RequestInfo info, ThrottledCapacity supply, int ahead) {
 		final double millis = Math.max(ActiveRequests.MIN_RETRY_AFTER_MILLIS,
-				supply.returnNanos(ahead) / NANOS_PER_MILLI);
-		return Refusal.spread(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MAX_RETRY_AFTER_MILLIS);
+				supply.retryAfterNanos(ahead) / NANOS_PER_MILLI);
+		return Refusal.withJitter(ErrorKind.DEADLINE_UNREACHABLE, info.requestId(), millis, MAX_RETRY_AFTER_MILLIS);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import org.pistachioline.core.backoff.BackoffBook;
-import org.pistachioline.core.limit.LimitBook;
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.backoff.BackoffRegistry;
+import org.pistachioline.core.limit.AdvertisedLimit;
+import org.pistachioline.core.limit.LimitRegistry;
 import org.pistachioline.core.placement.DaemonRank;
 import org.pistachioline.core.placement.LiveDaemons;
 import org.pistachioline.core.placement.PlacementPolicy;
@@ -33,9 +33,9 @@
 
 	private final Map<String, Long> notServingSinceNanos = new HashMap<>();
 
-	private final LimitBook limits = new LimitBook();
+	private final LimitRegistry limits = new LimitRegistry();
 
-	private final BackoffBook backoffs = new BackoffBook();
+	private final BackoffRegistry backoffs = new BackoffRegistry();
 
 	private DaemonRank daemonRank = DaemonRank.ALONE;
 
@@ -77,10 +77,10 @@
 	private TargetLoad loadOf(long nowNanos, TargetView view) {
 		final TargetLoad known = this.loads.get(view.targetId());
 		if (known == null) {
-			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.of(view.instanceId()),
-					this.backoffs.of(view.instanceId()));
-			if (view.kind() == TargetKind.MODEL && this.placement.groupsStartWarm()) {
-				added.warm();
+			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.getOrCreate(view.instanceId()),
+					this.backoffs.getOrCreate(view.instanceId()));
+			if (view.kind() == TargetKind.MODEL && this.placement.newGroupsSkipSlowStart()) {
+				added.skipSlowStart();
 			}
 			return added;
 		}
@@ -97,7 +97,7 @@
 				next.putIfAbsent(targetId, load);
 			}
 			else if (!next.containsKey(targetId)) {
-				this.placement.forget(targetId);
+				this.placement.removeTarget(targetId);
 			}
 		});
 	}
@@ -111,7 +111,7 @@
 			return gone;
 		});
 		byName.forEach((name, members) -> this.setsByName
-			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.guardsTargets()))
+			.computeIfAbsent(name, (key) -> new TargetSet(this.placement.protectsTargets()))
 			.replace(nowNanos, members, this.daemonRank));
 	}
 
@@ -122,21 +122,21 @@
 	}
 
 	void onLiveDaemons(long nowNanos, LiveDaemons live) {
-		this.limits.share(nowNanos, live);
+		this.limits.onLiveDaemons(nowNanos, live);
 		this.daemonRank = live.rank();
 		refresh(nowNanos);
 	}
 
 	boolean onLimit(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
-		final boolean changed = this.limits.onAnswer(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
+		final boolean changed = this.limits.onResponse(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
 		if (changed) {
 			refresh(nowNanos);
 		}
 		return changed;
 	}
 
-	List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> reported) {
-		final List<StatedLimit> changed = this.limits.onPeer(nowNanos, reported);
+	List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> reported) {
+		final List<AdvertisedLimit> changed = this.limits.onPeerLimits(nowNanos, reported);
 		if (!changed.isEmpty()) {
 			refresh(nowNanos);
 		}
@@ -174,11 +174,11 @@
 		}
 	}
 
-	BackoffBook backoffs() {
+	BackoffRegistry backoffs() {
 		return this.backoffs;
 	}
 
-	LimitBook limits() {
+	LimitRegistry limits() {
 		return this.limits;
 	}
 
@@ -204,7 +204,7 @@
 	}
 
 	boolean hasPacedTargets(long nowNanos) {
-		return this.setsByName.values().stream().anyMatch((set) -> set.pacedSupply(nowNanos).isPresent());
+		return this.setsByName.values().stream().anyMatch((set) -> set.throttledCapacity(nowNanos).isPresent());
 	}
 
 	int freeSlots(RequestInfo info) {
@@ -217,7 +217,7 @@
 
 	List<TargetLoad> availableTargets(RequestInfo info) {
 		final TargetSet set = targetSet(info);
-		return (set != null) ? set.open() : List.of();
+		return (set != null) ? set.available() : List.of();
 	}
 
 	List<TargetLoad> allTargets(RequestInfo info) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -111,7 +111,7 @@
 	 * @return the actions to carry out
 	 */
 	public List<TrafficAction> onShares(long nowNanos, LiveDaemons daemons, Map<String, Double> shareRatios) {
-		this.policies.admission().share(nowNanos, shareRatios);
+		this.policies.admission().updateShares(nowNanos, shareRatios);
 		this.targets.onLiveDaemons(nowNanos, daemons);
 		return dispatchReady(nowNanos);
 	}
@@ -125,7 +125,7 @@
 	 */
 	public List<TrafficAction> onQuarantines(long nowNanos, Set<String> quarantined,
 			Map<String, String> suspectTargetIds) {
-		this.policies.quarantine().onAgreed(nowNanos, quarantined, suspectTargetIds);
+		this.policies.quarantine().onLogState(nowNanos, quarantined, suspectTargetIds);
 		for (final ActiveRequest request : this.activeRequests.all()) {
 			if (request.liveAttempt == null && quarantined.contains(request.info.fingerprint())) {
 				this.activeRequests.fail(nowNanos, request, ErrorKind.QUARANTINED, 0);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/admission/LimitSharesTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/admission/LimitSharesTests.java
@@ -30,7 +30,7 @@
 		shares.onDemand(Map.of("shops", 100.0));
 		for (int second = 0; second < 5; second++) {
 			for (int peer = 0; peer < 7; peer++) {
-				shares.onPeer(second * SECOND_NANOS, "d" + peer, false, Map.of());
+				shares.onPeerDemand(second * SECOND_NANOS, "d" + peer, false, Map.of());
 			}
 			shares.shareRatios(second * SECOND_NANOS, SHOPS);
 		}
@@ -45,11 +45,11 @@
 	void theSidesOfACutTogetherStayWithinTheLimit() {
 		final LimitShares shares = shares();
 		for (int peer = 0; peer < 7; peer++) {
-			shares.onPeer(0, "d" + peer, false, Map.of("shops", 10.0));
+			shares.onPeerDemand(0, "d" + peer, false, Map.of("shops", 10.0));
 		}
 		shares.onDemand(Map.of("shops", 10.0));
 		for (int peer = 0; peer < 3; peer++) {
-			shares.onPeer(20 * SECOND_NANOS, "d" + peer, false, Map.of("shops", 10.0));
+			shares.onPeerDemand(20 * SECOND_NANOS, "d" + peer, false, Map.of("shops", 10.0));
 		}
 		assertThat(shares.shareRatios(20 * SECOND_NANOS, SHOPS).get("shops")).isCloseTo(0.125, within(0.001));
 	}
@@ -57,8 +57,8 @@
 	@Test
 	void aPeerThatLeavesGivesItsPartBackAtOnce() {
 		final LimitShares shares = shares();
-		shares.onPeer(0, "d1", false, Map.of());
-		shares.onPeer(0, "d1", true, Map.of());
+		shares.onPeerDemand(0, "d1", false, Map.of());
+		shares.onPeerDemand(0, "d1", true, Map.of());
 		assertThat(shares.shareRatios(0, SHOPS).get("shops")).isCloseTo(1, within(0.001));
 	}
 
@@ -88,7 +88,7 @@
 				self.onDemand(demand);
 				messages[i] = () -> all.stream()
 					.filter((peer) -> peer != self)
-					.forEach((peer) -> peer.onPeer(nowNanos, daemonId, false, demand));
+					.forEach((peer) -> peer.onPeerDemand(nowNanos, daemonId, false, demand));
 			}
 			delayed.add(messages);
 			double sum = 0;
@@ -96,7 +96,7 @@
 				sum += shares.shareRatios(nowNanos, SHOPS).get("shops");
 			}
 			if (step > 3) {
-				assertThat(sum).isLessThanOrEqualTo(LimitShares.BOUND_RATIO);
+				assertThat(sum).isLessThanOrEqualTo(LimitShares.MAX_TOTAL_RATIO);
 			}
 		}
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/CacheEventPageTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/CacheEventPageTests.java
@@ -16,7 +16,7 @@
 	void whatWasStoredAndGivenUpAgainCountsAsGivenUp() {
 		final CacheEventPage page = new CacheEventPage(7, List.of(event(4, CacheEvent.Kind.STORED, 1),
 				event(5, CacheEvent.Kind.STORED, 2), event(6, CacheEvent.Kind.EVICTED, 1)));
-		assertThat(page.since("g", 4)).isEqualTo(new CacheEvents("g", false, false, List.of(2L), List.of(1L)));
+		assertThat(page.summarize("g", 4)).isEqualTo(new CacheEvents("g", false, false, List.of(2L), List.of(1L)));
 	}
 
 	// An engine keeps few events and this daemon reads late, so some are lost. Taken for
@@ -24,9 +24,9 @@
 	@Test
 	void eventsThatWereLostShowAsAGap() {
 		final CacheEventPage page = new CacheEventPage(9, List.of(event(8, CacheEvent.Kind.STORED, 1)));
-		assertThat(page.since("g", 4).gap()).isTrue();
-		assertThat(new CacheEventPage(9, List.of()).since("g", 4).gap()).isTrue();
-		assertThat(new CacheEventPage(4, List.of()).since("g", 4).gap()).isFalse();
+		assertThat(page.summarize("g", 4).gap()).isTrue();
+		assertThat(new CacheEventPage(9, List.of()).summarize("g", 4).gap()).isTrue();
+		assertThat(new CacheEventPage(4, List.of()).summarize("g", 4).gap()).isFalse();
 	}
 
 	// An engine crashes and comes back with an empty cache. Work sent there for its
@@ -36,7 +36,7 @@
 	void whatStoodBeforeAClearedCacheIsForgotten() {
 		final CacheEventPage page = new CacheEventPage(7, List.of(event(4, CacheEvent.Kind.STORED, 1),
 				event(5, CacheEvent.Kind.CLEARED, 0), event(6, CacheEvent.Kind.STORED, 2)));
-		assertThat(page.since("g", 4)).isEqualTo(new CacheEvents("g", false, true, List.of(2L), List.of()));
+		assertThat(page.summarize("g", 4)).isEqualTo(new CacheEvents("g", false, true, List.of(2L), List.of()));
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/placement/LargeFleetPlacementTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/placement/LargeFleetPlacementTests.java
@@ -114,7 +114,7 @@
 		int partsUsed() {
 			return this.set.members()
 				.stream()
-				.mapToInt((load) -> this.rank.equalPart(load.view().slots(), load.view().targetId()))
+				.mapToInt((load) -> this.rank.equalShare(load.view().slots(), load.view().targetId()))
 				.sum();
 		}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/queueing/OnTimeFirstOrderTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/queueing/OnTimeFirstOrderTests.java
@@ -38,7 +38,7 @@
 				nowNanos + ON_TIME_NANOS);
 	}
 
-	private int servedOnTime(WaitingOrder order) {
+	private int servedOnTime(QueueOrder order) {
 		final FairQueue queue = new FairQueue(1_000, order);
 		int onTime = 0;
 		for (int milli = 0; milli < SECONDS * 1_000; milli++) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/PlannerCandidatesTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/PlannerCandidatesTests.java
@@ -13,23 +13,23 @@
  */
 class PlannerCandidatesTests {
 
-	private static final int FLEET = 300;
+	private static final int FLEET_SIZE = 300;
 
-	private static final int MOST_MEMBERS = 8;
+	private static final int MAX_CANDIDATES = 8;
 
-	private static final List<String> IDS = IntStream.range(0, FLEET).mapToObj((i) -> "edge-" + i).toList();
+	private static final List<String> IDS = IntStream.range(0, FLEET_SIZE).mapToObj((i) -> "edge-" + i).toList();
 
 	private static List<String> candidates(List<String> live) {
 		return live.stream().filter((id) -> PlannerCandidates.includes(id, live)).toList();
 	}
 
 	@Test
-	void aFewOfAllAskForTheLease() {
-		assertThat(candidates(IDS)).hasSize(MOST_MEMBERS);
+	void aFixedNumberOfDaemonsAreCandidates() {
+		assertThat(candidates(IDS)).hasSize(MAX_CANDIDATES);
 	}
 
 	@Test
-	void aDaemonThatKnowsOfNoOtherAsks() {
+	void aDaemonThatKnowsNoPeersIsACandidate() {
 		assertThat(PlannerCandidates.includes("edge-7", List.of())).isTrue();
 	}
 
@@ -38,18 +38,18 @@
 	 * and no group would be formed again.
 	 */
 	@Test
-	void othersTakeThePlacesOfTheDead() {
+	void failedCandidatesAreReplaced() {
 		final List<String> left = new ArrayList<>(IDS);
 		left.removeAll(candidates(IDS));
-		assertThat(candidates(left)).hasSize(MOST_MEMBERS);
+		assertThat(candidates(left)).hasSize(MAX_CANDIDATES);
 	}
 
 	@Test
-	void aDaemonThatComesLeavesMostCandidatesInPlace() {
+	void aNewDaemonLeavesMostCandidatesInPlace() {
 		final List<String> more = new ArrayList<>(IDS);
 		more.add("edge-new");
 		assertThat(candidates(more)).filteredOn(candidates(IDS)::contains)
-			.hasSizeGreaterThanOrEqualTo(MOST_MEMBERS - 1);
+			.hasSizeGreaterThanOrEqualTo(MAX_CANDIDATES - 1);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaPlannerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaPlannerTests.java
@@ -14,19 +14,19 @@
 
 class ReplicaPlannerTests {
 
-	private static final long SECOND = 1_000_000_000L;
+	private static final long SECOND_NANOS = 1_000_000_000L;
 
-	private static final int SEEDS = 60;
+	private static final int SEED_COUNT = 60;
 
-	private static final long TICK = 100_000_000L;
+	private static final long TICK_NANOS = 100_000_000L;
 
-	private final ReplicaPlanner planner = new ReplicaPlanner(new PlannerTimes(6 * SECOND, 5 * SECOND));
+	private final ReplicaPlanner planner = new ReplicaPlanner(new PlannerTimes(6 * SECOND_NANOS, 5 * SECOND_NANOS));
 
 	@Test
-	void allInstancesServeBeforeTrafficComes() {
-		final ReplicaWorld world = new ReplicaWorld(1, 6, 0, 0);
+	void allInstancesServeBeforeTheFirstRequest() {
+		final ReplicaSimulation world = new ReplicaSimulation(1, 6, 0, 0);
 		world.run(25_000, false);
-		assertThat(world.serving()).isEqualTo(60);
+		assertThat(world.countServingInstances()).isEqualTo(60);
 		assertThat(world.violations).isEmpty();
 	}
 
@@ -37,17 +37,17 @@
 	 * group opened without a member, callers would wait for nothing.
 	 */
 	@Test
-	void noMemberIsTakenFromAServingGroupWhateverDies() {
+	void noMemberIsTakenFromAServingGroupWhileInstancesAndPlannersFail() {
 		int serving = 0;
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final ReplicaWorld world = new ReplicaWorld(seed, 6, 0, 0);
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0, 0);
 			world.run(60_000, true);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
-			serving += world.serving();
+			serving += world.countServingInstances();
 		}
 		// A quarter of the fleet and more, while an instance dies every second and a
 		// half.
-		assertThat(serving / SEEDS).isGreaterThan(15);
+		assertThat(serving / SEED_COUNT).isGreaterThan(15);
 	}
 
 	/**
@@ -56,9 +56,9 @@
 	 * a late order to open or to join must not harm a newer group.
 	 */
 	@Test
-	void lateAndLostOrdersHarmNoNewerGroup() {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final ReplicaWorld world = new ReplicaWorld(seed, 6, 0.1, 0.25);
+	void lateAndLostOrdersDoNotAffectNewerGroups() {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.1, 0.25);
 			world.run(60_000, true);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
@@ -70,19 +70,19 @@
 	 * that has forgotten its group must not count as one of its members.
 	 */
 	@Test
-	void ordersForALifeThatIsOverHarmNotTheNextOne() {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final ReplicaWorld world = new ReplicaWorld(seed, 6, 0.1, 0.25);
-			world.restarts = true;
+	void ordersForATerminatedInstanceDoNotAffectItsRestart() {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.1, 0.25);
+			world.restartAtSameAddress = true;
 			world.run(60_000, true);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
 	}
 
-	private static List<String> brokenWhereLateOrdersOutliveTheirLife(long seed, double lateRatio) {
-		final ReplicaWorld world = new ReplicaWorld(seed, 6, 0.1, lateRatio);
-		world.restarts = true;
-		world.lateOrdersOutliveTheirLife = true;
+	private static List<String> violationsWhenLateOrdersReachARestartedInstance(long seed, double lateRatio) {
+		final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.1, lateRatio);
+		world.restartAtSameAddress = true;
+		world.lateOrdersReachRestarted = true;
 		world.run(60_000, true);
 		return world.violations;
 	}
@@ -94,8 +94,8 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 29, 140, 158, 199, 298 })
-	void aJoinThatTheNextLifeCarriesOutTakesItFromNoServingGroup(long seed) {
-		assertThat(brokenWhereLateOrdersOutliveTheirLife(seed, 0.25)).isEmpty();
+	void aLateJoinExecutedAfterARestartBreaksNoServingGroup(long seed) {
+		assertThat(violationsWhenLateOrdersReachARestartedInstance(seed, 0.25)).isEmpty();
 	}
 
 	/**
@@ -104,8 +104,8 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "379, 0.25", "1022, 0.25", "1861, 0.25", "187, 0.5" })
-	void aGroupThatLateOrdersOpenAgainKeepsItsMembers(long seed, double lateRatio) {
-		assertThat(brokenWhereLateOrdersOutliveTheirLife(seed, lateRatio)).isEmpty();
+	void aGroupReopenedByLateOrdersKeepsItsMembers(long seed, double lateRatio) {
+		assertThat(violationsWhenLateOrdersReachARestartedInstance(seed, lateRatio)).isEmpty();
 	}
 
 	/**
@@ -115,8 +115,8 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 191, 435, 456 })
-	void aLaterLifeIsLeftAloneWhileAnOrderForTheFormerOneMayCome(long seed) {
-		assertThat(brokenWhereLateOrdersOutliveTheirLife(seed, 0.5)).isEmpty();
+	void aRestartedInstanceIsNotAssignedWhileALateOrderMayArrive(long seed) {
+		assertThat(violationsWhenLateOrdersReachARestartedInstance(seed, 0.5)).isEmpty();
 	}
 
 	/**
@@ -126,10 +126,10 @@
 	 * are lost.
 	 */
 	@Test
-	void noMemberIsTakenFromAHeadThatNobodyReachesForLong() {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final ReplicaWorld world = new ReplicaWorld(seed, 6, 0.05, 0.1);
-			world.longCuts = true;
+	void noMemberIsTakenFromAHeadDuringALongPartition() {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0.05, 0.1);
+			world.longPartitions = true;
 			world.run(90_000, true);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
@@ -141,21 +141,22 @@
 	 * wherever it is. The survivors have to serve again soon after that and not later.
 	 */
 	@Test
-	void survivorsOfADeadHeadAreFreeAfterItsStallTime() {
+	void survivorsOfAFailedHeadAreFreeAfterItsStallTimeout() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
 		final ServingInstance other = member("b", group, 1, MemberState.READY);
 		final ServingInstance spare = free("c", "small");
 		this.planner.beginTerm(0, 1, false);
-		this.planner.plan(view(10 * SECOND, head, other));
-		answer(10 * SECOND + 5 * TICK, new ReplicaOrder.Close(head, group, true), OrderOutcome.UNKNOWN, other, spare);
-		answer(11 * SECOND, new ReplicaOrder.Leave(other, group), OrderOutcome.HOLDS, other, spare);
+		this.planner.plan(view(10 * SECOND_NANOS, head, other));
+		planAndAnswer(10 * SECOND_NANOS + 5 * TICK_NANOS, new ReplicaOrder.Close(head, group, true),
+				OrderOutcome.UNKNOWN, other, spare);
+		planAndAnswer(11 * SECOND_NANOS, new ReplicaOrder.Leave(other, group), OrderOutcome.HOLDS, other, spare);
 		final ServingInstance left = new ServingInstance("b", "pool", "b:1", "zone", "d", false, 12, Set.of("small"),
 				Optional.empty());
-		assertThat(this.planner.plan(view(11 * SECOND + TICK, left, spare))).isEmpty();
-		assertThat(this.planner.plan(view(17 * SECOND + 4 * TICK, left, spare)))
+		assertThat(this.planner.plan(view(11 * SECOND_NANOS + TICK_NANOS, left, spare))).isEmpty();
+		assertThat(this.planner.plan(view(17 * SECOND_NANOS + 4 * TICK_NANOS, left, spare)))
 			.noneMatch((order) -> order instanceof ReplicaOrder.Join);
-		assertThat(this.planner.plan(view(17 * SECOND + 7 * TICK, left, spare)))
+		assertThat(this.planner.plan(view(17 * SECOND_NANOS + 7 * TICK_NANOS, left, spare)))
 			.filteredOn((order) -> order instanceof ReplicaOrder.Join)
 			.extracting((order) -> order.instance().id())
 			.containsExactlyInAnyOrder("b", "c");
@@ -169,17 +170,17 @@
 	 * average.
 	 */
 	@Test
-	void theModelWithTheLargerGroupsKeepsServingWhilePairsDie() {
+	void theModelWithTheLargerGroupsKeepsServingWhileInstancesFailInPairs() {
 		int large = 0;
 		int small = 0;
 		for (long seed = 1; seed <= 10; seed++) {
-			final ReplicaWorld world = new ReplicaWorld(seed, 6, 0, 0);
+			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0, 0);
 			world.run(16_000, false);
 			for (int death = 0; death < 10; death++) {
 				world.killPair(death >= 3);
 				world.run(3_000, false);
-				large += world.groups("large");
-				small += world.groups("small");
+				large += world.countServingGroups("large");
+				small += world.countServingGroups("small");
 			}
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
@@ -193,14 +194,14 @@
 	 * more in which the survivors serve nobody.
 	 */
 	@Test
-	void aMemberLeavesAtOnceWhereTheHeadHasAnsweredNothing() {
+	void aFollowerIsOrderedToLeaveAtOnceWhenTheHeadIsUnresponsive() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
 		final ServingInstance other = member("b", group, 1, MemberState.READY);
 		this.planner.beginTerm(0, 1, false);
-		this.planner.plan(view(10 * SECOND, head, other));
-		assertThat(this.planner
-			.plan(new PlannerView(11 * SECOND, ReplicaWorld.ENGINE, List.of(other), List.of(), Set.of("a"), false)))
+		this.planner.plan(view(10 * SECOND_NANOS, head, other));
+		assertThat(this.planner.plan(new PlannerView(11 * SECOND_NANOS, ReplicaSimulation.ENGINE_SPEC, List.of(other),
+				List.of(), Set.of("a"), false)))
 			.containsExactlyInAnyOrder(new ReplicaOrder.Close(head, group, true), new ReplicaOrder.Leave(other, group));
 	}
 
@@ -211,23 +212,25 @@
 	 * the members of that one would be taken from its open head.
 	 */
 	@Test
-	void aLeaseThatIsHeldAgainUnderTheSameNumberGoesOnWithHigherEpochs() {
+	void epochsKeepRisingWhenTheLeaseIsReacquiredInTheSameTerm() {
 		this.planner.beginTerm(0, 5, false);
-		final List<ReplicaOrder> before = this.planner.plan(view(10 * SECOND, free("a", "small"), free("b", "small")));
+		final List<ReplicaOrder> before = this.planner
+			.plan(view(10 * SECOND_NANOS, free("a", "small"), free("b", "small")));
 		final GroupId first = ((ReplicaOrder.Join) before.get(0)).group();
-		this.planner.beginTerm(14 * SECOND, 5, false);
-		final List<ReplicaOrder> after = this.planner.plan(view(15 * SECOND, member("a", first, 0, MemberState.OPEN),
-				member("b", first, 1, MemberState.READY), free("c", "small"), free("e", "small")));
+		this.planner.beginTerm(14 * SECOND_NANOS, 5, false);
+		final List<ReplicaOrder> after = this.planner
+			.plan(view(15 * SECOND_NANOS, member("a", first, 0, MemberState.OPEN),
+					member("b", first, 1, MemberState.READY), free("c", "small"), free("e", "small")));
 		assertThat(after).hasSize(2)
 			.allMatch((order) -> order instanceof ReplicaOrder.Join join && join.group().epoch() > first.epoch());
 	}
 
 	@Test
-	void allSurvivorsServeAgainWhenTheDeathsEnd() {
-		final ReplicaWorld world = new ReplicaWorld(7, 6, 0.1, 0.2);
+	void allSurvivorsServeAgainAfterTheFailuresStop() {
+		final ReplicaSimulation world = new ReplicaSimulation(7, 6, 0.1, 0.2);
 		world.run(30_000, true);
 		world.run(60_000, false);
-		assertThat(world.serving()).isGreaterThanOrEqualTo(54);
+		assertThat(world.countServingInstances()).isGreaterThanOrEqualTo(54);
 		assertThat(world.violations).isEmpty();
 	}
 
@@ -237,16 +240,17 @@
 	 * lost.
 	 */
 	@Test
-	void aHeadThatOnlyDroppedFromTheListIsAskedToCloseFirst() {
+	void aDelistedHeadIsOrderedToCloseBeforeItsMembersAreReassigned() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
 		final ServingInstance other = member("b", group, 1, MemberState.READY);
 		final ServingInstance spare = free("c", "small");
 		this.planner.beginTerm(0, 1, false);
-		this.planner.plan(view(10 * SECOND, head, other));
-		answer(11 * SECOND, new ReplicaOrder.Close(head, group, true), OrderOutcome.STARTED, other, spare);
-		answer(11 * SECOND + TICK, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED, other, spare);
-		assertThat(this.planner.plan(view(11 * SECOND + 2 * TICK, other, spare)))
+		this.planner.plan(view(10 * SECOND_NANOS, head, other));
+		planAndAnswer(11 * SECOND_NANOS, new ReplicaOrder.Close(head, group, true), OrderOutcome.STARTED, other, spare);
+		planAndAnswer(11 * SECOND_NANOS + TICK_NANOS, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED, other,
+				spare);
+		assertThat(this.planner.plan(view(11 * SECOND_NANOS + 2 * TICK_NANOS, other, spare)))
 			.allMatch((order) -> order instanceof ReplicaOrder.Join)
 			.extracting((order) -> order.instance().id())
 			.containsExactlyInAnyOrder("b", "c");
@@ -258,32 +262,34 @@
 	 * would take a member out of a group that serves.
 	 */
 	@Test
-	void aPreparedGroupOfAnEarlierPlannerIsFormedAnew() {
+	void aReadyGroupOfAnEarlierPlannerIsFormedAgain() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.READY);
 		final ServingInstance other = member("b", group, 1, MemberState.READY);
 		this.planner.beginTerm(0, 1, false);
-		assertThat(this.planner.plan(view(SECOND, head, other))).isEmpty();
-		answer(2 * SECOND, new ReplicaOrder.Close(head, group, true), OrderOutcome.HOLDS, head, other);
-		answer(2 * SECOND + TICK, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED, head, other);
-		assertThat(this.planner.plan(view(2 * SECOND + 2 * TICK, head, other))).hasSize(2)
+		assertThat(this.planner.plan(view(SECOND_NANOS, head, other))).isEmpty();
+		planAndAnswer(2 * SECOND_NANOS, new ReplicaOrder.Close(head, group, true), OrderOutcome.HOLDS, head, other);
+		planAndAnswer(2 * SECOND_NANOS + TICK_NANOS, new ReplicaOrder.Leave(head, group), OrderOutcome.STARTED, head,
+				other);
+		assertThat(this.planner.plan(view(2 * SECOND_NANOS + 2 * TICK_NANOS, head, other))).hasSize(2)
 			.allMatch((order) -> order instanceof ReplicaOrder.Join join && join.group().epoch() > group.epoch());
 	}
 
 	/** Plans, expects one order, and answers it. */
-	private void answer(long nowNanos, ReplicaOrder expected, OrderOutcome outcome, ServingInstance... instances) {
+	private void planAndAnswer(long nowNanos, ReplicaOrder expected, OrderOutcome outcome,
+			ServingInstance... instances) {
 		assertThat(this.planner.plan(view(nowNanos, instances))).containsExactly(expected);
 		this.planner.onOutcome(expected, outcome);
 	}
 
 	@Test
-	void aGroupWithADrainingMemberFinishesWhatItHas() {
+	void aGroupWithADrainingMemberFinishesItsRequests() {
 		final GroupId group = GroupId.of("small", 5);
 		final ServingInstance head = member("a", group, 0, MemberState.OPEN);
 		final ServingInstance leaving = new ServingInstance("b", "pool", "b:1", "zone", "d", true, 12, Set.of("small"),
 				Optional.of(new Membership(group, 1, MemberState.READY)));
 		this.planner.beginTerm(0, 1, false);
-		assertThat(this.planner.plan(view(SECOND, head, leaving)))
+		assertThat(this.planner.plan(view(SECOND_NANOS, head, leaving)))
 			.containsExactly(new ReplicaOrder.Close(head, group, false));
 	}
 
@@ -292,7 +298,7 @@
 	 * rate all loads slow down, and the fleet gets none of its groups back soon.
 	 */
 	@Test
-	void loadsStayUnderTheRateOfTheWeightStore() {
+	void loadsStayWithinTheRateOfTheWeightStore() {
 		final List<ServingInstance> hosts = new ArrayList<>();
 		for (int i = 0; i < 40; i++) {
 			hosts.add(free("h" + i));
@@ -300,7 +306,7 @@
 		this.planner.beginTerm(0, 1, false);
 		final List<String> loading = new ArrayList<>();
 		for (int tick = 0; tick < 50; tick++) {
-			this.planner.plan(view(6 * SECOND + tick * SECOND / 10, hosts.toArray(new ServingInstance[0])))
+			this.planner.plan(view(6 * SECOND_NANOS + tick * SECOND_NANOS / 10, hosts.toArray(new ServingInstance[0])))
 				.forEach((order) -> loading.add(order.instance().id()));
 		}
 		// Seven loads run at full speed at once, and a group is not begun in part.
@@ -308,7 +314,7 @@
 	}
 
 	private static PlannerView view(long nowNanos, ServingInstance... instances) {
-		return new PlannerView(nowNanos, ReplicaWorld.ENGINE, List.of(instances), List.of(), Set.of(), false);
+		return new PlannerView(nowNanos, ReplicaSimulation.ENGINE_SPEC, List.of(instances), List.of(), Set.of(), false);
 	}
 
 	private static ServingInstance member(String id, GroupId group, int rank, MemberState state) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaWorld.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaSimulation.java
@@ -17,20 +17,20 @@
  * that plan by turns, in virtual time. It notes every order that must not have been
  * carried out.
  */
-final class ReplicaWorld {
+final class ReplicaSimulation {
 
-	static final EngineSpec ENGINE = new EngineSpec(12, List.of(new EngineModel("large", 4, 0.5, 1, 16_000, 1_600),
+	static final EngineSpec ENGINE_SPEC = new EngineSpec(12, List.of(new EngineModel("large", 4, 0.5, 1, 16_000, 1_600),
 			new EngineModel("small", 2, 0.5, 0.6, 12_000, 1_100)), 5, 7, 300);
 
 	private static final long STEP_MILLIS = 100;
 
-	private static final long STALL_MILLIS = 6_000;
+	private static final long STALL_TIMEOUT_MILLIS = 6_000;
 
 	private static final long HEARTBEAT_MILLIS = 1_200;
 
-	private static final long CUT_MILLIS = 10_000;
+	private static final long PARTITION_MILLIS = 10_000;
 
-	private static final long LONG_CUT_MILLIS = 40_000;
+	private static final long LONG_PARTITION_MILLIS = 40_000;
 
 	private static final long LIST_LAG_MILLIS = 400;
 
@@ -38,14 +38,14 @@
 
 	private final Random random;
 
-	private final Map<String, WorldEngine> engines = new TreeMap<>();
+	private final Map<String, SimulatedInstance> instances = new TreeMap<>();
 
-	private final PriorityQueue<Delivery> deliveries = new PriorityQueue<>(
+	private final PriorityQueue<LateOrder> lateOrders = new PriorityQueue<>(
 			(first, second) -> Long.compare(first.atMillis(), second.atMillis()));
 
-	private final List<Map<String, ServingInstance>> lists = new ArrayList<>();
+	private final List<Map<String, ServingInstance>> listHistory = new ArrayList<>();
 
-	private final DepartedInstances departed = new DepartedInstances();
+	private final DelistedInstances delisted = new DelistedInstances();
 
 	private final ReplicaPlanner[] planners = new ReplicaPlanner[2];
 
@@ -57,42 +57,42 @@
 
 	private long term = 1;
 
-	private int holder;
+	private int leaseHolder;
 
 	private int nextId;
 
 	/**
 	 * Where an instance that died has started again: orders for it reach the new life.
 	 */
-	private final Map<String, String> laterLives = new HashMap<>();
+	private final Map<String, String> restartedAs = new HashMap<>();
 
 	/** Whether instances that nobody reaches stay so for longer than any timeout. */
-	boolean longCuts;
+	boolean longPartitions;
 
 	/** Whether instances that die start again at once at the same address. */
-	boolean restarts;
+	boolean restartAtSameAddress;
 
 	/**
 	 * Whether an order that an instance left unanswered is carried out by its next life.
 	 */
-	boolean lateOrdersOutliveTheirLife;
+	boolean lateOrdersReachRestarted;
 
-	ReplicaWorld(long seed, int domains, double lostRatio, double lateRatio) {
+	ReplicaSimulation(long seed, int domains, double lostRatio, double lateRatio) {
 		this.random = new Random(seed);
 		this.lostRatio = lostRatio;
 		this.lateRatio = lateRatio;
 		for (int i = 0; i < domains * 10; i++) {
 			add("domain-" + i / 10);
 		}
-		final PlannerTimes times = new PlannerTimes(STALL_MILLIS * 1_000_000, 5_000_000_000L);
+		final PlannerTimes times = new PlannerTimes(STALL_TIMEOUT_MILLIS * 1_000_000, 5_000_000_000L);
 		this.planners[0] = new ReplicaPlanner(times);
 		this.planners[1] = new ReplicaPlanner(times);
 		this.planners[0].beginTerm(0, this.term, false);
 	}
 
-	private WorldEngine add(String domain) {
-		final WorldEngine engine = new WorldEngine("i-" + this.nextId++, domain);
-		this.engines.put(engine.id, engine);
+	private SimulatedInstance add(String domain) {
+		final SimulatedInstance engine = new SimulatedInstance("i-" + this.nextId++, domain);
+		this.instances.put(engine.id, engine);
 		return engine;
 	}
 
@@ -101,55 +101,59 @@
 		while (this.nowMillis < endMillis) {
 			this.nowMillis += STEP_MILLIS;
 			if (troubled) {
-				trouble();
+				injectFaults();
 			}
-			deliver();
-			this.engines.values().forEach(this::live);
-			list();
+			deliverLateOrders();
+			this.instances.values().forEach(this::advance);
+			updateList();
 			plan();
 		}
 	}
 
-	private void trouble() {
+	private void injectFaults() {
 		if (this.random.nextInt(15) == 0) {
-			final List<WorldEngine> alive = this.engines.values().stream().filter((engine) -> engine.alive).toList();
-			final WorldEngine dead = alive.get(this.random.nextInt(alive.size()));
+			final List<SimulatedInstance> alive = this.instances.values()
+				.stream()
+				.filter((engine) -> engine.alive)
+				.toList();
+			final SimulatedInstance dead = alive.get(this.random.nextInt(alive.size()));
 			dead.alive = false;
 			dead.diedAtMillis = this.nowMillis;
 			replace(dead);
 		}
 		if (this.random.nextInt(40) == 0) {
-			final List<WorldEngine> all = List.copyOf(this.engines.values());
-			final WorldEngine cut = all.get(this.random.nextInt(all.size()));
+			final List<SimulatedInstance> all = List.copyOf(this.instances.values());
+			final SimulatedInstance cut = all.get(this.random.nextInt(all.size()));
 			cut.unreachable = this.random.nextInt(3) == 0;
-			cut.cutUntilMillis = this.nowMillis + ((cut.unreachable && this.longCuts) ? LONG_CUT_MILLIS : CUT_MILLIS);
+			cut.partitionedUntilMillis = this.nowMillis
+					+ ((cut.unreachable && this.longPartitions) ? LONG_PARTITION_MILLIS : PARTITION_MILLIS);
 		}
 		if (this.random.nextInt(60) == 0) {
-			this.holder = 1 - this.holder;
+			this.leaseHolder = 1 - this.leaseHolder;
 			this.term++;
-			this.planners[this.holder].beginTerm(this.nowMillis * 1_000_000, this.term, false);
+			this.planners[this.leaseHolder].beginTerm(this.nowMillis * 1_000_000, this.term, false);
 		}
 	}
 
-	private void replace(WorldEngine dead) {
-		final WorldEngine next = add(dead.domain);
-		if (this.restarts) {
+	private void replace(SimulatedInstance dead) {
+		final SimulatedInstance next = add(dead.domain);
+		if (this.restartAtSameAddress) {
 			next.address = dead.address;
-			this.laterLives.put(dead.id, next.id);
+			this.restartedAs.put(dead.id, next.id);
 			// The list has one entry for both lives, and shows the later one.
-			dead.replaced = true;
+			dead.restarted = true;
 		}
 	}
 
-	private WorldEngine receiver(ReplicaOrder order) {
+	private SimulatedInstance currentInstance(ReplicaOrder order) {
 		String id = order.instance().id();
-		while (this.laterLives.containsKey(id)) {
-			id = this.laterLives.get(id);
+		while (this.restartedAs.containsKey(id)) {
+			id = this.restartedAs.get(id);
 		}
-		return this.engines.get(id);
+		return this.instances.get(id);
 	}
 
-	private void live(WorldEngine engine) {
+	private void advance(SimulatedInstance engine) {
 		if (engine.alive && !engine.staging.isEmpty() && this.nowMillis >= engine.stagedAtMillis) {
 			engine.staged = Set.of(engine.staging);
 			engine.staging = "";
@@ -162,56 +166,56 @@
 			engine.everReady.add(engine.group);
 		}
 		if (engine.state == MemberState.OPEN) {
-			final long lostAtMillis = lostSince(engine);
-			if (lostAtMillis >= 0 && this.nowMillis - lostAtMillis >= STALL_MILLIS) {
+			final long lostAtMillis = memberLostSince(engine);
+			if (lostAtMillis >= 0 && this.nowMillis - lostAtMillis >= STALL_TIMEOUT_MILLIS) {
 				engine.state = MemberState.BROKEN;
 			}
 		}
 	}
 
-	private long lostSince(WorldEngine head) {
+	private long memberLostSince(SimulatedInstance head) {
 		long since = -1;
 		for (final String id : head.members) {
-			final WorldEngine member = this.engines.get(id);
+			final SimulatedInstance member = this.instances.get(id);
 			if (!member.alive) {
 				since = Math.max(since, member.diedAtMillis);
 			}
 			else if (!head.group.equals(member.group)) {
-				since = Math.max(since, member.movedAtMillis);
+				since = Math.max(since, member.groupChangedAtMillis);
 			}
 		}
 		return since;
 	}
 
-	private void list() {
+	private void updateList() {
 		final Map<String, ServingInstance> listed = new HashMap<>();
-		for (final WorldEngine engine : this.engines.values()) {
-			final long silentMillis = engine.alive ? this.nowMillis - engine.cutSince(this.nowMillis)
+		for (final SimulatedInstance engine : this.instances.values()) {
+			final long silentMillis = engine.alive ? this.nowMillis - engine.partitionedSince(this.nowMillis)
 					: this.nowMillis - engine.diedAtMillis;
-			if (silentMillis >= 3 * HEARTBEAT_MILLIS || engine.replaced) {
-				engine.shown = null;
+			if (silentMillis >= 3 * HEARTBEAT_MILLIS || engine.restarted) {
+				engine.lastListed = null;
 			}
 			else if (engine.alive && silentMillis == 0) {
-				engine.shown = engine.view();
+				engine.lastListed = engine.report();
 			}
-			if (engine.shown != null) {
-				listed.put(engine.id, engine.shown);
+			if (engine.lastListed != null) {
+				listed.put(engine.id, engine.lastListed);
 			}
 		}
-		this.lists.add(listed);
+		this.listHistory.add(listed);
 	}
 
 	private void plan() {
 		final int lag = (int) (LIST_LAG_MILLIS / STEP_MILLIS);
-		if (this.lists.size() <= lag) {
+		if (this.listHistory.size() <= lag) {
 			return;
 		}
-		final Map<String, ServingInstance> seen = this.lists.get(this.lists.size() - 1 - lag);
-		this.departed.note(this.nowMillis * 1_000_000, seen.values());
-		final ReplicaPlanner planner = this.planners[this.holder];
+		final Map<String, ServingInstance> seen = this.listHistory.get(this.listHistory.size() - 1 - lag);
+		this.delisted.update(this.nowMillis * 1_000_000, seen.values());
+		final ReplicaPlanner planner = this.planners[this.leaseHolder];
 		final long fencingToken = this.term;
 		planner
-			.plan(new PlannerView(this.nowMillis * 1_000_000, ENGINE, seen.values(), this.departed.instances(),
+			.plan(new PlannerView(this.nowMillis * 1_000_000, ENGINE_SPEC, seen.values(), this.delisted.instances(),
 					Set.of(), this.nowMillis < 15_000))
 			.forEach((order) -> send(planner, order, fencingToken));
 	}
@@ -223,38 +227,38 @@
 		}
 		else if (draw < this.lostRatio + this.lateRatio) {
 			planner.onOutcome(order, OrderOutcome.UNKNOWN);
-			this.deliveries
-				.add(new Delivery(this.nowMillis + 2_000 + this.random.nextInt(10_000), order, fencingToken));
+			this.lateOrders
+				.add(new LateOrder(this.nowMillis + 2_000 + this.random.nextInt(10_000), order, fencingToken));
 		}
 		else {
-			planner.onOutcome(order, carryOut(order, fencingToken));
+			planner.onOutcome(order, execute(order, fencingToken));
 		}
 	}
 
-	private void deliver() {
-		while (!this.deliveries.isEmpty() && this.deliveries.peek().atMillis() <= this.nowMillis) {
-			final Delivery delivery = this.deliveries.poll();
-			final boolean ended = this.laterLives.containsKey(delivery.order().instance().id());
-			if (ended && !this.lateOrdersOutliveTheirLife) {
+	private void deliverLateOrders() {
+		while (!this.lateOrders.isEmpty() && this.lateOrders.peek().atMillis() <= this.nowMillis) {
+			final LateOrder delivery = this.lateOrders.poll();
+			final boolean ended = this.restartedAs.containsKey(delivery.order().instance().id());
+			if (ended && !this.lateOrdersReachRestarted) {
 				continue;
 			}
-			carryOut(delivery.order(), delivery.fencingToken());
+			execute(delivery.order(), delivery.fencingToken());
 		}
 	}
 
-	private OrderOutcome carryOut(ReplicaOrder order, long fencingToken) {
-		final WorldEngine engine = receiver(order);
-		if (!engine.alive || (engine.unreachable && this.nowMillis < engine.cutUntilMillis)) {
+	private OrderOutcome execute(ReplicaOrder order, long fencingToken) {
+		final SimulatedInstance engine = currentInstance(order);
+		if (!engine.alive || (engine.unreachable && this.nowMillis < engine.partitionedUntilMillis)) {
 			return OrderOutcome.UNKNOWN;
 		}
-		if (fencingToken < engine.fence) {
+		if (fencingToken < engine.highestFencingToken) {
 			return OrderOutcome.FENCED;
 		}
-		engine.fence = fencingToken;
+		engine.highestFencingToken = fencingToken;
 		if (order instanceof ReplicaOrder.Stage stage) {
 			return stage(engine, stage.model());
 		}
-		final GroupId group = ((ReplicaOrder.OfGroup) order).group();
+		final GroupId group = ((ReplicaOrder.GroupOrder) order).group();
 		if (order instanceof ReplicaOrder.Join join) {
 			return join(engine, join);
 		}
@@ -264,34 +268,34 @@
 		if (order instanceof ReplicaOrder.Leave) {
 			engine.group = null;
 			engine.state = null;
-			engine.movedAtMillis = this.nowMillis;
+			engine.groupChangedAtMillis = this.nowMillis;
 			return OrderOutcome.STARTED;
 		}
 		return (order instanceof ReplicaOrder.Open) ? open(engine) : close(engine);
 	}
 
-	private OrderOutcome stage(WorldEngine engine, String model) {
+	private OrderOutcome stage(SimulatedInstance engine, String model) {
 		if (engine.staged.contains(model) || engine.staging.equals(model)) {
 			return OrderOutcome.HOLDS;
 		}
-		final long loadMillis = ENGINE.model(model).orElseThrow().loadMillis();
+		final long loadMillis = ENGINE_SPEC.model(model).orElseThrow().loadMillis();
 		engine.staging = model;
 		engine.stagedAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? loadMillis / 10 : loadMillis);
 		return OrderOutcome.STARTED;
 	}
 
-	private OrderOutcome join(WorldEngine engine, ReplicaOrder.Join join) {
+	private OrderOutcome join(SimulatedInstance engine, ReplicaOrder.Join join) {
 		if (join.group().equals(engine.group)) {
 			return engine.members.equals(join.memberIds()) ? OrderOutcome.HOLDS : OrderOutcome.FENCED;
 		}
 		if (join.group().epoch() < engine.epoch) {
 			return OrderOutcome.FENCED;
 		}
-		noteTaken(engine, join);
+		checkNotTakenFromServingGroup(engine, join);
 		engine.epoch = join.group().epoch();
 		engine.group = join.group();
 		engine.members = join.memberIds();
-		engine.movedAtMillis = this.nowMillis;
+		engine.groupChangedAtMillis = this.nowMillis;
 		engine.state = MemberState.JOINING;
 		final String model = join.group().model();
 		if (model.equals(engine.lastModel)) {
@@ -308,11 +312,11 @@
 		return OrderOutcome.STARTED;
 	}
 
-	private void noteTaken(WorldEngine engine, ReplicaOrder.Join join) {
+	private void checkNotTakenFromServingGroup(SimulatedInstance engine, ReplicaOrder.Join join) {
 		if (engine.group == null) {
 			return;
 		}
-		final WorldEngine head = this.engines.get(engine.members.get(0));
+		final SimulatedInstance head = this.instances.get(engine.members.get(0));
 		if (head.alive && engine.group.equals(head.group)
 				&& (head.state == MemberState.OPEN || head.state == MemberState.CLOSING)) {
 			this.violations.add(this.nowMillis + ": " + engine.id + " taken into " + join.group() + " while " + head.id
@@ -321,7 +325,7 @@
 		}
 	}
 
-	private OrderOutcome open(WorldEngine head) {
+	private OrderOutcome open(SimulatedInstance head) {
 		if (head.state == MemberState.OPEN) {
 			return OrderOutcome.HOLDS;
 		}
@@ -329,7 +333,7 @@
 			return OrderOutcome.UNFIT;
 		}
 		for (final String id : head.members) {
-			if (!this.engines.get(id).everReady.contains(head.group)) {
+			if (!this.instances.get(id).everReady.contains(head.group)) {
 				this.violations.add(this.nowMillis + ": " + head.group + " opened though " + id + " was never ready");
 			}
 		}
@@ -337,7 +341,7 @@
 		return OrderOutcome.STARTED;
 	}
 
-	private OrderOutcome close(WorldEngine head) {
+	private OrderOutcome close(SimulatedInstance head) {
 		if (head.state == MemberState.OPEN) {
 			head.state = MemberState.READY;
 			return OrderOutcome.STARTED;
@@ -349,10 +353,10 @@
 	 * Counts the instances in groups that serve as a whole.
 	 * @return the number of instances
 	 */
-	int serving() {
+	int countServingInstances() {
 		int count = 0;
-		for (final WorldEngine engine : this.engines.values()) {
-			if (engine.alive && engine.state == MemberState.OPEN && lostSince(engine) < 0) {
+		for (final SimulatedInstance engine : this.instances.values()) {
+			if (engine.alive && engine.state == MemberState.OPEN && memberLostSince(engine) < 0) {
 				count += engine.members.size();
 			}
 		}
@@ -364,10 +368,10 @@
 	 * @param model the model
 	 * @return the number of groups
 	 */
-	int groups(String model) {
-		return (int) this.engines.values()
+	int countServingGroups(String model) {
+		return (int) this.instances.values()
 			.stream()
-			.filter((engine) -> engine.alive && engine.state == MemberState.OPEN && lostSince(engine) < 0)
+			.filter((engine) -> engine.alive && engine.state == MemberState.OPEN && memberLostSince(engine) < 0)
 			.filter((engine) -> engine.group.model().equals(model))
 			.count();
 	}
@@ -380,11 +384,11 @@
 		final int zone = this.random.nextInt(3);
 		final List<String> domains = List.of("domain-" + 2 * zone, "domain-" + (2 * zone + 1));
 		for (int i = 0; i < 2; i++) {
-			final List<WorldEngine> grouped = this.engines.values()
+			final List<SimulatedInstance> grouped = this.instances.values()
 				.stream()
 				.filter((engine) -> engine.alive && engine.group != null && domains.contains(engine.domain))
 				.toList();
-			final WorldEngine dead = grouped.get(this.random.nextInt(grouped.size()));
+			final SimulatedInstance dead = grouped.get(this.random.nextInt(grouped.size()));
 			dead.alive = false;
 			dead.diedAtMillis = this.nowMillis;
 			if (replaced) {
@@ -393,7 +397,7 @@
 		}
 	}
 
-	private record Delivery(long atMillis, ReplicaOrder order, long fencingToken) {
+	private record LateOrder(long atMillis, ReplicaOrder order, long fencingToken) {
 
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/WorldEngine.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/SimulatedInstance.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * One instance of a {@link ReplicaWorld}, as it is and as the list last showed it.
+ * One instance of a {@link ReplicaSimulation}, as it is and as the list last showed it.
  */
-final class WorldEngine {
+final class SimulatedInstance {
 
 	final String id;
 
@@ -23,17 +23,17 @@
 	long diedAtMillis;
 
 	/** Whether a later life has taken its place in the list. */
-	boolean replaced;
+	boolean restarted;
 
-	long movedAtMillis;
+	long groupChangedAtMillis;
 
-	long cutUntilMillis;
+	long partitionedUntilMillis;
 
 	boolean unreachable;
 
-	long cutFromMillis = -1;
+	long partitionedFromMillis = -1;
 
-	long fence;
+	long highestFencingToken;
 
 	long epoch;
 
@@ -53,26 +53,26 @@
 
 	long stagedAtMillis;
 
-	ServingInstance shown;
+	ServingInstance lastListed;
 
-	WorldEngine(String id, String domain) {
+	SimulatedInstance(String id, String domain) {
 		this.id = id;
 		this.domain = domain;
 		this.address = "address-" + id;
 	}
 
-	long cutSince(long nowMillis) {
-		if (nowMillis >= this.cutUntilMillis) {
-			this.cutFromMillis = -1;
+	long partitionedSince(long nowMillis) {
+		if (nowMillis >= this.partitionedUntilMillis) {
+			this.partitionedFromMillis = -1;
 			return nowMillis;
 		}
-		if (this.cutFromMillis < 0) {
-			this.cutFromMillis = nowMillis;
+		if (this.partitionedFromMillis < 0) {
+			this.partitionedFromMillis = nowMillis;
 		}
-		return this.cutFromMillis;
+		return this.partitionedFromMillis;
 	}
 
-	ServingInstance view() {
+	ServingInstance report() {
 		final Optional<Membership> membership = Optional.ofNullable(this.group)
 			.map((own) -> new Membership(own, this.members.indexOf(this.id), this.state));
 		return new ServingInstance(this.id, "pool", this.address, "zone", this.domain, false, 12, this.staged,
--- a/pistachioline-core/src/test/java/org/pistachioline/core/route/CallerPatienceTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/route/QueueTimeBudgetTests.java
@@ -6,7 +6,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class CallerPatienceTests {
+class QueueTimeBudgetTests {
 
 	/**
 	 * All groups of a model are gone for some seconds. Callers of its streams leave after
@@ -14,19 +14,19 @@
 	 */
 	@Test
 	void aStreamIsNotKeptLongerThanItsCallerStays() {
-		assertThat(CallerPatience.latestStartMillis(route(RouteKind.STREAM, 300, 200), 6_000)).isEqualTo(1_400);
-		assertThat(CallerPatience.latestStartMillis(route(RouteKind.STREAM, 400, 300), 8_000)).isEqualTo(1_680);
-		assertThat(CallerPatience.latestStartMillis(route(RouteKind.STREAM, 900, 100), 8_000)).isEqualTo(2_520);
+		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 300, 200), 6_000)).isEqualTo(1_400);
+		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 400, 300), 8_000)).isEqualTo(1_680);
+		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 900, 100), 8_000)).isEqualTo(2_520);
 	}
 
 	@Test
 	void aShortWaitBoundsAStreamToo() {
-		assertThat(CallerPatience.latestStartMillis(route(RouteKind.STREAM, 300, 200), 1_000)).isEqualTo(700);
+		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.STREAM, 300, 200), 1_000)).isEqualTo(700);
 	}
 
 	@Test
 	void otherCallersStayUntilTheirDeadline() {
-		assertThat(CallerPatience.latestStartMillis(route(RouteKind.UNSAFE, 100, 0), 800)).isEqualTo(560);
+		assertThat(QueueTimeBudget.maxQueueMillis(route(RouteKind.UNSAFE, 100, 0), 800)).isEqualTo(560);
 	}
 
 	private static Route route(RouteKind kind, long targetLatencyMillis, long eventGapMillis) {
--- a/pistachioline-core/src/test/java/org/pistachioline/core/route/RouteTableTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/route/RouteTableTests.java
@@ -38,10 +38,10 @@
 	void servicesAreDrawnByTheirWeights() {
 		final Route route = new Route("r", "h", "/", RouteKind.SAFE, 1, 1, 1, 1, 0, false, false,
 				List.of(new WeightedService("a", 90), new WeightedService("b", 10)));
-		assertThat(route.serviceAt(0)).isEqualTo("a");
-		assertThat(route.serviceAt(0.89)).isEqualTo("a");
-		assertThat(route.serviceAt(0.91)).isEqualTo("b");
-		assertThat(route.serviceAt(0.999)).isEqualTo("b");
+		assertThat(route.selectService(0)).isEqualTo("a");
+		assertThat(route.selectService(0.89)).isEqualTo("a");
+		assertThat(route.selectService(0.91)).isEqualTo("b");
+		assertThat(route.selectService(0.999)).isEqualTo("b");
 	}
 
 	@Test
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/CacheEventDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/CacheEventDuty.java
@@ -117,7 +117,7 @@
 		}
 		this.nextSequences.put(page.targetId(), page.changes().nextSequence());
 		if (page.fromSequence() != EngineCache.NONE) {
-			this.receiver.accept(page.changes().since(page.targetId(), page.fromSequence()));
+			this.receiver.accept(page.changes().summarize(page.targetId(), page.fromSequence()));
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
@@ -6,9 +6,9 @@
 
 import com.google.protobuf.ByteString;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.CrashedTarget;
 
@@ -40,16 +40,17 @@
 	private static CrashSuspect encode(SuspectedRequest request, long nowNanos) {
 		return CrashSuspect.newBuilder()
 			.setFingerprint(ByteString.copyFrom(HexFormat.of().parseHex(request.fingerprint())))
-			.addAllTargets(request.deaths().stream().limit(MAX_DEATHS).map((death) -> encode(death, nowNanos)).toList())
+			.addAllTargets(
+					request.evidence().stream().limit(MAX_DEATHS).map((death) -> encode(death, nowNanos)).toList())
 			.build();
 	}
 
-	private static CrashedTarget encode(TargetDeath death, long nowNanos) {
-		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - death.diedAtNanos());
+	private static CrashedTarget encode(CrashEvidence death, long nowNanos) {
+		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - death.crashedAtNanos());
 		return CrashedTarget.newBuilder()
 			.setTargetId(death.targetId())
 			.setAgeMillis(Math.max(0, Math.min(MOST_AGE_MILLIS, ageMillis)))
-			.setUnderWay(death.phase() == DeathPhase.UNDER_WAY)
+			.setUnderWay(death.phase() == CrashPhase.IN_PROGRESS)
 			.setExcused(death.excused())
 			.build();
 	}
@@ -74,9 +75,9 @@
 			.toList();
 	}
 
-	private static TargetDeath decode(CrashedTarget death, long nowNanos) {
-		return new TargetDeath(death.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(death.getAgeMillis()),
-				death.getUnderWay() ? DeathPhase.UNDER_WAY : DeathPhase.BEGINNING, death.getExcused());
+	private static CrashEvidence decode(CrashedTarget death, long nowNanos) {
+		return new CrashEvidence(death.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(death.getAgeMillis()),
+				death.getUnderWay() ? CrashPhase.IN_PROGRESS : CrashPhase.STARTING, death.getExcused());
 	}
 
 	private static boolean isSound(CrashSuspect request) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
@@ -18,7 +18,7 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.peer.PeerTable;
 import org.pistachioline.core.quarantine.SuspectedRequest;
@@ -77,9 +77,9 @@
 	private volatile BiConsumer<PeerStatus, Map<String, Double>> demandReceiver = (status, told) -> {
 	};
 
-	private volatile Supplier<List<StatedLimit>> limits = List::of;
+	private volatile Supplier<List<AdvertisedLimit>> limits = List::of;
 
-	private volatile Consumer<List<StatedLimit>> limitReceiver = (told) -> {
+	private volatile Consumer<List<AdvertisedLimit>> limitReceiver = (told) -> {
 	};
 
 	private final SuspectExchange suspects = new SuspectExchange();
@@ -259,7 +259,7 @@
 	 * @param own what this daemon knows
 	 * @param receiver takes what a peer knows; it must not block
 	 */
-	public void onLimits(Supplier<List<StatedLimit>> own, Consumer<List<StatedLimit>> receiver) {
+	public void onLimits(Supplier<List<AdvertisedLimit>> own, Consumer<List<AdvertisedLimit>> receiver) {
 		this.limits = own;
 		this.limitReceiver = receiver;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-import org.pistachioline.core.backoff.BackoffBook;
+import org.pistachioline.core.backoff.BackoffRegistry;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.daemon.port.InstanceListener;
 
@@ -18,7 +18,7 @@
  */
 final class BackoffGate {
 
-	private final BackoffBook heard = new BackoffBook();
+	private final BackoffRegistry heard = new BackoffRegistry();
 
 	private final InstanceListener listener;
 
@@ -53,7 +53,7 @@
 	}
 
 	boolean maySend(String targetId) {
-		return !this.heard.holds(this.clockNanos.getAsLong(), TargetView.instanceId(targetId));
+		return !this.heard.isActive(this.clockNanos.getAsLong(), TargetView.instanceId(targetId));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerServer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerServer.java
@@ -24,12 +24,12 @@
 	 * @param routes gives the configuration in force, whose bounds callers must keep
 	 */
 	public CallerServer(WebLoop loop, String address, RelayHandler handler, Supplier<RouteTable> routes) {
-		this.server = new WebServer(loop, address, handler, () -> limits(routes.get().bounds()));
+		this.server = new WebServer(loop, address, handler, () -> limits(routes.get().callerBounds()));
 	}
 
 	private static RequestLimits limits(CallerBounds bounds) {
-		return new RequestLimits(bounds.headBytes(), bounds.headMillis(), bounds.bodyBytes(), bounds.idleMillis(),
-				bounds.idleMillis());
+		return new RequestLimits(bounds.maxHeaderBytes(), bounds.headerTimeoutMillis(), bounds.maxBodyBytes(),
+				bounds.idleTimeoutMillis(), bounds.idleTimeoutMillis());
 	}
 
 	@Override
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
@@ -10,7 +10,7 @@
 import org.pistachioline.core.route.RouteTable;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -45,12 +45,12 @@
 	 * @param instances is told what targets want of this daemon
 	 * @param leaving whether the daemon is about to stop
 	 */
-	public Relay(String address, RelayDialect dialect, Supplier<RouteTable> routes, TrafficDuty traffic,
+	public Relay(String address, RelayProtocol dialect, Supplier<RouteTable> routes, TrafficDuty traffic,
 			BiConsumer<String, LoadReport> loads, InstanceListener instances, BooleanSupplier leaving) {
 		final WebClient client = new WebClient(this.loop, CONNECT_MILLIS, KEEP_IDLE_MILLIS, MOST_IDLE_PER_TARGET);
-		final RelayTools tools = new RelayTools(this.loop, client, dialect, this.streams, traffic::callerGone,
+		final RelayTools tools = new RelayTools(this.loop, client, dialect, this.streams, traffic::onCallerDisconnected,
 				new TargetNews(loads, traffic), new BackoffGate(instances, System::nanoTime),
-				new CrashProbe(client::askWhetherRefused, traffic.crashes()::onCrash));
+				new CrashProbe(client::askWhetherRefused, traffic.crashMonitor()::onCrash));
 		this.handler = new RelayHandler(routes, tools, traffic, leaving);
 		this.callers = new CallerServer(this.loop, address, this.handler, routes);
 	}
