--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -12,8 +12,8 @@
 import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.AnswerVerdict;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.port.ResponseVerdict;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 /**
@@ -68,7 +68,7 @@
 		this.call = tools.client()
 			.send(this.start.target().address(),
 					tools.dialect()
-						.toTarget(this.exchange.call(), this.start.target(), leftMillis,
+						.toTargetRequest(this.exchange.call(), this.start.target(), leftMillis,
 								this.exchange.position().lastEventId()),
 					!this.exchange.info().idempotent(), this);
 	}
@@ -84,20 +84,20 @@
 
 	@Override
 	public void onHead(AnswerHead received) {
-		final RelayDialect dialect = this.exchange.tools().dialect();
+		final RelayProtocol dialect = this.exchange.tools().dialect();
 		this.head = received;
 		dialect.load(received, System.nanoTime())
 			.ifPresent((load) -> this.exchange.tools().targets().onLoad(this.start.target().targetId(), load));
-		final AnswerVerdict verdict = dialect.judge(this.exchange.call(), received);
+		final ResponseVerdict verdict = dialect.classify(this.exchange.call(), received);
 		hearLimit(verdict, dialect.requestLimit(received));
-		if (verdict != AnswerVerdict.MISMATCHED) {
+		if (verdict != ResponseVerdict.MISMATCHED) {
 			hearBackoff(dialect, received);
 		}
 		switch (verdict) {
 			case DECLINED -> expect(AttemptOutcome.DECLINED);
 			case FAILURE -> expect(AttemptOutcome.FAILURE_ANSWERED);
 			case MISMATCHED -> giveUp(AttemptOutcome.MISMATCHED);
-			case ANSWER -> {
+			case VALID -> {
 				expect(AttemptOutcome.COMPLETE);
 				if (this.exchange.streaming() && received.status() == OK) {
 					stream();
@@ -108,19 +108,19 @@
 
 	// A refusal or a failure may leave the limit out, and an answer that is not the
 	// target's says nothing of it.
-	private void hearLimit(AnswerVerdict verdict, OptionalDouble requestsPerSecond) {
-		final boolean named = requestsPerSecond.isPresent() && verdict != AnswerVerdict.MISMATCHED;
-		if (named || verdict == AnswerVerdict.ANSWER) {
+	private void hearLimit(ResponseVerdict verdict, OptionalDouble requestsPerSecond) {
+		final boolean named = requestsPerSecond.isPresent() && verdict != ResponseVerdict.MISMATCHED;
+		if (named || verdict == ResponseVerdict.VALID) {
 			this.exchange.tools()
 				.targets()
 				.onLimit(this.start.target().targetId(), this.sentAtNanos, requestsPerSecond);
 		}
 	}
 
-	private void hearBackoff(RelayDialect dialect, AnswerHead received) {
+	private void hearBackoff(RelayProtocol dialect, AnswerHead received) {
 		final String targetId = this.start.target().targetId();
 		this.exchange.tools().gate().hearBackoff(targetId, dialect.backoffMillis(received));
-		if (dialect.leaving(received)) {
+		if (dialect.isLeaving(received)) {
 			this.exchange.tools().gate().hearLeaving(targetId);
 		}
 	}
@@ -225,7 +225,7 @@
 	private void onBreak() {
 		final int given = this.exchange.position().events() - this.start.resumeFromTokens();
 		final String fingerprint = this.exchange.info().fingerprint();
-		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.call().head().requestId(), "fingerprint",
+		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.call().metadata().requestId(), "fingerprint",
 				fingerprint, "target", this.start.target().targetId(), "status",
 				(this.head != null) ? this.head.status() : 0, "events", given);
 		this.exchange.tools().crashes().onBreak(this.start.target(), fingerprint, given > FEW_EVENTS);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -13,7 +13,7 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
 import org.pistachioline.daemon.traffic.AttemptListener;
 import org.pistachioline.daemon.traffic.Exchange;
 
@@ -28,7 +28,7 @@
 
 	private final RequestInfo info;
 
-	private final RelayedCall call;
+	private final RelayedRequest call;
 
 	private final boolean streaming;
 
@@ -52,13 +52,13 @@
 
 	private boolean gone;
 
-	RelayExchange(RequestInfo info, RelayedCall call, boolean streaming, RelayTools tools, CallerAnswer answer) {
+	RelayExchange(RequestInfo info, RelayedRequest call, boolean streaming, RelayTools tools, CallerAnswer answer) {
 		this.info = info;
 		this.call = call;
 		this.streaming = streaming;
 		this.tools = tools;
 		this.answer = answer;
-		this.position = new StreamPosition(call.head().lastEventId());
+		this.position = new StreamPosition(call.metadata().lastEventId());
 	}
 
 	@Override
@@ -66,7 +66,7 @@
 		return this.info;
 	}
 
-	RelayedCall call() {
+	RelayedRequest call() {
 		return this.call;
 	}
 
@@ -107,7 +107,7 @@
 				TimeUnit.NANOSECONDS.toMillis(this.info.totalDeadlineNanos() - System.nanoTime()));
 		this.attempts++;
 		if (this.attempts > 1) {
-			Events.log(EventId.REQUEST_RESENT, "request", this.call.head().requestId(), "attempt", this.attempts,
+			Events.log(EventId.REQUEST_RESENT, "request", this.call.metadata().requestId(), "attempt", this.attempts,
 					"from", this.lastTargetId, "to", start.target().targetId(), "events", start.resumeFromTokens(),
 					"left_millis", leftMillis);
 		}
@@ -161,11 +161,11 @@
 		// promise that the request has not run.
 		final boolean passOn = kind == ErrorKind.TARGET_FAILED && this.failure != null
 				&& !this.failure.promisesNotRun();
-		final WebAnswer failed = passOn ? this.failure.answer()
-				: RelayAnswers.of(this.call.head().requestId(), kindFor(kind, runState), runState, retryAfterMillis);
+		final WebAnswer failed = passOn ? this.failure.answer() : RelayAnswers.of(this.call.metadata().requestId(),
+				kindFor(kind, runState), runState, retryAfterMillis);
 		final boolean whole = this.answer.fail(failed);
 		if (kind != ErrorKind.CALLER_GONE) {
-			Events.log(EventId.REQUEST_FAILED, "request", this.call.head().requestId(), "kind", kind.code(), "run",
+			Events.log(EventId.REQUEST_FAILED, "request", this.call.metadata().requestId(), "kind", kind.code(), "run",
 					runState.headerValue(), "status", whole ? failed.status() : 0, "name", this.info.name(),
 					"workspace", this.info.workspace(), "fingerprint", this.info.fingerprint(), "attempts",
 					this.attempts, "last_target", this.lastTargetId, "events", this.position.events(), "held_millis",
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -23,17 +23,17 @@
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.replica.ServingGroups;
-import org.pistachioline.core.route.CallerPatience;
-import org.pistachioline.core.route.KeyHolder;
+import org.pistachioline.core.route.QueueTimeBudget;
 import org.pistachioline.core.route.Route;
 import org.pistachioline.core.route.RouteKind;
 import org.pistachioline.core.route.RouteTable;
+import org.pistachioline.core.route.WorkspaceApiKeys;
 import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.CallHead;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -89,33 +89,33 @@
 	private void route(long id, WebRequest request, WebReply reply, CallerAnswer answer) {
 		final long arrivedAtNanos = System.nanoTime();
 		final RouteTable table = this.routes.get();
-		require(table.known(), ErrorKind.NOT_READY);
-		final CallHead head = this.tools.dialect().read(request.headers());
+		require(table.isKnown(), ErrorKind.NOT_READY);
+		final RequestMetadata head = this.tools.dialect().readRequest(request.headers());
 		final Route route = table.route(request.headers().first("Host").orElse(""), request.path())
 			.orElseThrow(() -> new PistachiolineException(ErrorKind.NOT_FOUND));
-		final Optional<KeyHolder> holder = holderOf(table, head);
-		final boolean open = route.anonymous() || table.keyHolders().isEmpty();
+		final Optional<WorkspaceApiKeys> holder = holderOf(table, head);
+		final boolean open = route.anonymous() || table.workspaceApiKeys().isEmpty();
 		require(open || holder.isPresent(), ErrorKind.UNAUTHENTICATED);
-		final Optional<String> workspace = open ? Optional.empty() : holder.map(KeyHolder::name);
-		final RelayedCall call = new RelayedCall(head, request.method(), request.target(),
+		final Optional<String> workspace = open ? Optional.empty() : holder.map(WorkspaceApiKeys::name);
+		final RelayedRequest call = new RelayedRequest(head, request.method(), request.target(),
 				ConnectionHeaders.passedOn(request.headers()), request.body(), workspace);
 		final RequestInfo info = infoOf(id, arrivedAtNanos, table, route, call, holder);
 		final RelayExchange exchange = new RelayExchange(info, call, route.kind() == RouteKind.STREAM, this.tools,
 				answer);
 		reply.listen(exchange);
-		this.traffic.arrive(exchange);
+		this.traffic.submit(exchange);
 	}
 
-	private static RequestInfo infoOf(long id, long arrivedAtNanos, RouteTable table, Route route, RelayedCall call,
-			Optional<KeyHolder> holder) {
-		final CallHead head = call.head();
-		final String service = route.serviceAt(ThreadLocalRandom.current().nextDouble());
+	private static RequestInfo infoOf(long id, long arrivedAtNanos, RouteTable table, Route route, RelayedRequest call,
+			Optional<WorkspaceApiKeys> holder) {
+		final RequestMetadata head = call.metadata();
+		final String service = route.selectService(ThreadLocalRandom.current().nextDouble());
 		final boolean grouped = table.service(service).filter((spec) -> spec.grouped()).isPresent();
-		final long waitMillis = Math.min(route.timeoutMillis(), head.waitMillis().orElse(route.timeoutMillis()));
+		final long waitMillis = Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
 		final long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
 		final long startNanos = arrivedAtNanos
-				+ TimeUnit.MILLISECONDS.toNanos(CallerPatience.latestStartMillis(route, waitMillis));
-		final int rank = holder.map(KeyHolder::priority).filter((own) -> own >= 0).orElse(route.priority());
+				+ TimeUnit.MILLISECONDS.toNanos(QueueTimeBudget.maxQueueMillis(route, waitMillis));
+		final int rank = holder.map(WorkspaceApiKeys::priority).filter((own) -> own >= 0).orElse(route.priority());
 		return new RequestInfo(id, call.workspace().orElse(""), grouped ? TargetKind.MODEL : TargetKind.SERVICE,
 				grouped ? ServingGroups.targetName(service, head.model().orElse("")) : service, head.promptTokens(),
 				head.maxOutputTokens(), HIGHEST_PRIORITY - rank, startNanos, deadlineNanos, route.idempotent(),
@@ -125,13 +125,13 @@
 
 	// All hashes are compared each time, so that the time of an answer tells nothing of
 	// how much of a guess was right.
-	private static Optional<KeyHolder> holderOf(RouteTable table, CallHead head) {
-		if (head.key().isEmpty()) {
+	private static Optional<WorkspaceApiKeys> holderOf(RouteTable table, RequestMetadata head) {
+		if (head.apiKey().isEmpty()) {
 			return Optional.empty();
 		}
-		final byte[] hash = DigestUtils.sha256(head.key().get().getBytes(StandardCharsets.UTF_8));
-		KeyHolder found = null;
-		for (final KeyHolder holder : table.keyHolders()) {
+		final byte[] hash = DigestUtils.sha256(head.apiKey().get().getBytes(StandardCharsets.UTF_8));
+		WorkspaceApiKeys found = null;
+		for (final WorkspaceApiKeys holder : table.workspaceApiKeys()) {
 			for (final String keySha256 : holder.keySha256()) {
 				if (MessageDigest.isEqual(hash, HexFormat.of().parseHex(keySha256))) {
 					found = holder;
@@ -176,7 +176,7 @@
 
 	private String idOf(WebRequest request) {
 		try {
-			return this.tools.dialect().read(request.headers()).requestId();
+			return this.tools.dialect().readRequest(request.headers()).requestId();
 		}
 		catch (PistachiolineException ex) {
 			// The refusal that is being written says just this.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayTools.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayTools.java
@@ -4,7 +4,7 @@
 import java.util.function.LongConsumer;
 
 import org.pistachioline.adapters.web.WebClient;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
 
 /**
  * What every exchange of a daemon shares.
@@ -18,7 +18,7 @@
  * @param gate holds back what targets want no more
  * @param crashes finds out which targets have died
  */
-record RelayTools(Executor loop, WebClient client, RelayDialect dialect, LiveStreams streams, LongConsumer callerGone,
+record RelayTools(Executor loop, WebClient client, RelayProtocol dialect, LiveStreams streams, LongConsumer callerGone,
 		TargetListener targets, BackoffGate gate, CrashProbe crashes) {
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetNews.java
@@ -21,7 +21,7 @@
 
 	@Override
 	public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
-		this.traffic.limitHeard(targetId, sentAtNanos, requestsPerSecond);
+		this.traffic.onLimit(targetId, sentAtNanos, requestsPerSecond);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
@@ -14,7 +14,7 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.replica.DepartedInstances;
+import org.pistachioline.core.replica.DelistedInstances;
 import org.pistachioline.core.replica.LeavingInstances;
 import org.pistachioline.core.replica.LoadReport;
 import org.pistachioline.core.replica.OrderOutcome;
@@ -48,21 +48,21 @@
 	/**
 	 * How soon after a change a lost member is acted on: a small part of its recovery.
 	 */
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
 	/** How often loads are handed on; they are a tenth of a second old when they come. */
-	private static final long TARGETS_NANOS = Duration.ofMillis(200).toNanos();
+	private static final long TARGETS_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
 	/** Often enough to follow a loss of capacity, seldom enough for a busy log. */
-	private static final long SUMMARY_NANOS = Duration.ofSeconds(2).toNanos();
+	private static final long SUMMARY_INTERVAL_NANOS = Duration.ofSeconds(2).toNanos();
 
 	private final PlannerLease lease;
 
-	private final OrderSender orders;
+	private final OrderSender orderSender;
 
 	private final PlannerTimes times;
 
-	private final Consumer<List<TargetView>> targets;
+	private final Consumer<List<TargetView>> targetsListener;
 
 	private final BooleanSupplier beforeTraffic;
 
@@ -70,33 +70,33 @@
 
 	private final Map<String, ReplicaPlanner> planners = new HashMap<>();
 
-	private final Map<String, LoadReport> loads = new HashMap<>();
+	private final Map<String, LoadReport> loadReports = new HashMap<>();
 
-	private final SilentInstances silent;
+	private final UnresponsiveInstances unresponsive;
 
-	private final DepartedInstances departed = new DepartedInstances();
+	private final DelistedInstances delisted = new DelistedInstances();
 
-	private final LeavingInstances leaving = new LeavingInstances();
+	private final LeavingInstances onInstanceLeaving = new LeavingInstances();
 
 	private List<ServingInstance> instances = List.of();
 
 	private RouteTable table = RouteTable.UNKNOWN;
 
-	private boolean loadsChanged;
+	private boolean loadReportsChanged;
 
-	private long targetsAtNanos;
+	private long targetsPublishedAtNanos;
 
-	private Set<String> serving = Set.of();
+	private Set<String> servingTargets = Set.of();
 
-	private long summedUpAtNanos;
+	private long summaryLoggedAtNanos;
 
-	private long termHeld;
+	private long heldTerm;
 
 	private long fencedTerm;
 
-	private volatile Map<String, List<String>> groups = Map.of();
+	private volatile Map<String, List<String>> plannedGroups = Map.of();
 
-	private volatile int servingCount;
+	private volatile int servingTargetCount;
 
 	/**
 	 * Creates the duty.
@@ -110,12 +110,13 @@
 	public ReplicaDuty(ActorSystem<?> system, PlannerLease lease, OrderSender orders, PlannerTimes times,
 			Consumer<List<TargetView>> targets, BooleanSupplier beforeTraffic) {
 		this.lease = lease;
-		this.orders = orders;
+		this.orderSender = orders;
 		this.times = times;
-		this.targets = targets;
+		this.targetsListener = targets;
 		this.beforeTraffic = beforeTraffic;
-		this.duty = new Duty<>(system, "replicas", RING_CAPACITY, TICK, this);
-		this.silent = new SilentInstances(orders, (answered) -> this.duty.offer(new ReplicaMessage.Probed(answered)));
+		this.duty = new Duty<>(system, "replicas", RING_CAPACITY, TICK_INTERVAL, this);
+		this.unresponsive = new UnresponsiveInstances(orders,
+				(answered) -> this.duty.offer(new ReplicaMessage.GroupProbed(answered)));
 	}
 
 	@Override
@@ -137,16 +138,16 @@
 	 * Takes over the list of instances.
 	 * @param listed all instances
 	 */
-	public void listed(List<ServingInstance> listed) {
-		this.duty.put(new ReplicaMessage.Listed(listed));
+	public void updateInstances(List<ServingInstance> listed) {
+		this.duty.put(new ReplicaMessage.InstancesUpdated(listed));
 	}
 
 	/**
 	 * Takes over a configuration.
 	 * @param inForce the configuration
 	 */
-	public void configured(RouteTable inForce) {
-		this.duty.put(new ReplicaMessage.Configured(inForce));
+	public void configure(RouteTable inForce) {
+		this.duty.put(new ReplicaMessage.ConfigurationUpdated(inForce));
 	}
 
 	/**
@@ -154,16 +155,16 @@
 	 * @param targetId the target
 	 * @param load the load
 	 */
-	public void loaded(String targetId, LoadReport load) {
-		this.duty.offer(new ReplicaMessage.Loaded(TargetView.instanceId(targetId), load));
+	public void onLoadReport(String targetId, LoadReport load) {
+		this.duty.offer(new ReplicaMessage.LoadReported(TargetView.instanceId(targetId), load));
 	}
 
 	/**
 	 * Takes word of an instance that leaves: its group is formed anew without it.
 	 * @param instanceId the instance
 	 */
-	public void leaving(String instanceId) {
-		this.duty.put(new ReplicaMessage.Leaving(instanceId));
+	public void onInstanceLeaving(String instanceId) {
+		this.duty.put(new ReplicaMessage.InstanceLeaving(instanceId));
 	}
 
 	/**
@@ -171,70 +172,71 @@
 	 * that stands still tells it.
 	 * @param targetId the target
 	 */
-	public void stalled(String targetId) {
-		this.duty.offer(new ReplicaMessage.Stalled(targetId));
+	public void onTargetStalled(String targetId) {
+		this.duty.offer(new ReplicaMessage.TargetStalled(targetId));
 	}
 
 	/**
 	 * Returns the groups that this daemon plans, for operators.
 	 * @return for each group the ids of its members; empty while it does not plan
 	 */
-	public Map<String, List<String>> groups() {
-		return this.groups;
+	public Map<String, List<String>> plannedGroups() {
+		return this.plannedGroups;
 	}
 
 	/**
 	 * Returns how many targets take requests.
 	 * @return the number of targets
 	 */
-	public int servingCount() {
-		return this.servingCount;
+	public int servingTargetCount() {
+		return this.servingTargetCount;
 	}
 
 	@Override
 	public void onMessage(ReplicaMessage message) {
-		if (message instanceof ReplicaMessage.Listed listed) {
-			this.instances = this.leaving.mark(listed.instances());
+		if (message instanceof ReplicaMessage.InstancesUpdated listed) {
+			this.instances = this.onInstanceLeaving.markDraining(listed.instances());
 			final Set<String> ids = this.instances.stream().map(ServingInstance::id).collect(Collectors.toSet());
-			this.loads.keySet().retainAll(ids);
-			this.departed.note(System.nanoTime(), this.instances);
-			tellTargets(System.nanoTime());
+			this.loadReports.keySet().retainAll(ids);
+			this.delisted.update(System.nanoTime(), this.instances);
+			publishTargets(System.nanoTime());
 		}
-		else if (message instanceof ReplicaMessage.Configured configured) {
+		else if (message instanceof ReplicaMessage.ConfigurationUpdated configured) {
 			this.table = configured.table();
-			tellTargets(System.nanoTime());
+			publishTargets(System.nanoTime());
 		}
-		else if (message instanceof ReplicaMessage.Loaded loaded) {
-			this.loads.put(loaded.instanceId(), loaded.load());
-			this.loadsChanged = true;
+		else if (message instanceof ReplicaMessage.LoadReported loaded) {
+			this.loadReports.put(loaded.instanceId(), loaded.load());
+			this.loadReportsChanged = true;
 		}
-		else if (message instanceof ReplicaMessage.Leaving gone) {
-			onLeaving(gone.instanceId());
+		else if (message instanceof ReplicaMessage.InstanceLeaving gone) {
+			handleLeaving(gone.instanceId());
 		}
-		else if (message instanceof ReplicaMessage.Stalled stalled) {
-			if (this.termHeld != 0) {
-				this.silent.onStalled(System.nanoTime(), TargetView.instanceId(stalled.targetId()), this.instances);
+		else if (message instanceof ReplicaMessage.TargetStalled stalled) {
+			if (this.heldTerm != 0) {
+				this.unresponsive.probeGroup(System.nanoTime(), TargetView.instanceId(stalled.targetId()),
+						this.instances);
 			}
 		}
-		else if (message instanceof ReplicaMessage.Probed probed) {
-			this.silent.onProbed(System.nanoTime(), probed.answered());
+		else if (message instanceof ReplicaMessage.GroupProbed probed) {
+			this.unresponsive.onProbeResults(System.nanoTime(), probed.answeredById());
 		}
-		else if (message instanceof ReplicaMessage.Ordered ordered) {
-			onOrdered(ordered.order(), ordered.outcome());
+		else if (message instanceof ReplicaMessage.OrderCompleted ordered) {
+			onOrderCompleted(ordered.order(), ordered.outcome());
 		}
 	}
 
-	private void onLeaving(String instanceId) {
-		if (this.leaving.note(instanceId)) {
-			this.instances = this.leaving.mark(this.instances);
-			tellTargets(System.nanoTime());
+	private void handleLeaving(String instanceId) {
+		if (this.onInstanceLeaving.add(instanceId)) {
+			this.instances = this.onInstanceLeaving.markDraining(this.instances);
+			publishTargets(System.nanoTime());
 		}
 	}
 
-	private void onOrdered(ReplicaOrder order, OrderOutcome outcome) {
+	private void onOrderCompleted(ReplicaOrder order, OrderOutcome outcome) {
 		if (outcome == OrderOutcome.FENCED && !(order instanceof ReplicaOrder.Join)) {
 			// Another planner has begun: whatever this one still wants is out of date.
-			this.fencedTerm = this.termHeld;
+			this.fencedTerm = this.heldTerm;
 		}
 		final ReplicaPlanner planner = this.planners.get(order.instance().service());
 		if (planner != null) {
@@ -245,30 +247,30 @@
 	@Override
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
-		if (this.loadsChanged && nowNanos - this.targetsAtNanos >= TARGETS_NANOS) {
-			tellTargets(nowNanos);
+		if (this.loadReportsChanged && nowNanos - this.targetsPublishedAtNanos >= TARGETS_INTERVAL_NANOS) {
+			publishTargets(nowNanos);
 		}
 		final Optional<Long> term = this.lease.term(nowNanos);
 		if (term.isEmpty()) {
-			this.termHeld = 0;
-			this.groups = Map.of();
+			this.heldTerm = 0;
+			this.plannedGroups = Map.of();
 			return;
 		}
 		plan(nowNanos, term.get());
 	}
 
 	private void plan(long nowNanos, long term) {
-		final boolean heldBefore = this.termHeld != 0;
-		final boolean begins = this.termHeld != term;
-		this.termHeld = term;
+		final boolean heldBefore = this.heldTerm != 0;
+		final boolean begins = this.heldTerm != term;
+		this.heldTerm = term;
 		if (term <= this.fencedTerm) {
 			return;
 		}
 		final Map<String, List<String>> all = new HashMap<>();
-		final Set<String> gone = this.silent.ids(nowNanos);
-		final boolean sumUp = nowNanos - this.summedUpAtNanos >= SUMMARY_NANOS;
+		final Set<String> gone = this.unresponsive.ids(nowNanos);
+		final boolean sumUp = nowNanos - this.summaryLoggedAtNanos >= SUMMARY_INTERVAL_NANOS;
 		if (sumUp) {
-			this.summedUpAtNanos = nowNanos;
+			this.summaryLoggedAtNanos = nowNanos;
 		}
 		for (final ServiceSpec service : this.table.services()) {
 			if (service.grouped()) {
@@ -279,18 +281,18 @@
 				}
 				planner
 					.plan(new PlannerView(nowNanos, service.engine().orElseThrow(), instancesOf(service, gone),
-							this.departed.instances(), gone, this.beforeTraffic.getAsBoolean()))
-					.forEach((order) -> give(order, term));
+							this.delisted.instances(), gone, this.beforeTraffic.getAsBoolean()))
+					.forEach((order) -> sendOrder(order, term));
 				all.putAll(planner.groups());
 				if (sumUp) {
-					sumUp(service, planner.summary(instancesOf(service, gone)));
+					logSummary(service, planner.summary(instancesOf(service, gone)));
 				}
 			}
 		}
-		this.groups = all;
+		this.plannedGroups = all;
 	}
 
-	private static void sumUp(ServiceSpec service, PoolSummary sums) {
+	private static void logSummary(ServiceSpec service, PoolSummary sums) {
 		Events.log(EventId.POOL_SUMMED_UP, "service", service.name(), "listed", sums.listed(), "draining",
 				sums.draining(), "serving", sums.serving(), "forming", sums.forming(), "waiting", sums.waiting(),
 				"free_warm", sums.freeWarm(), "free_empty", sums.freeEmpty(), "loading", sums.loading());
@@ -302,37 +304,38 @@
 			.toList();
 	}
 
-	private void give(ReplicaOrder order, long term) {
-		this.orders.send(order, term).thenAccept((outcome) -> {
+	private void sendOrder(ReplicaOrder order, long term) {
+		this.orderSender.send(order, term).thenAccept((outcome) -> {
 			Events.log(EventId.ORDER_GIVEN, "order", order.verb(), "instance", order.instance().id(), "subject",
-					order.subject(), "term", term, "outcome", outcome, "listed_in", listedIn(order.instance()));
-			this.duty.offer(new ReplicaMessage.Ordered(order, outcome));
+					order.subject(), "term", term, "outcome", outcome, "listed_in",
+					reportedMembership(order.instance()));
+			this.duty.offer(new ReplicaMessage.OrderCompleted(order, outcome));
 		});
 	}
 
-	private static String listedIn(ServingInstance instance) {
+	private static String reportedMembership(ServingInstance instance) {
 		return instance.membership()
 			.map((own) -> own.group().name() + ' ' + own.state().name().toLowerCase(Locale.ROOT))
 			.orElse("");
 	}
 
-	private void tellTargets(long nowNanos) {
-		this.targetsAtNanos = nowNanos;
-		this.loadsChanged = false;
-		final List<TargetView> views = ServingGroups.targets(this.table, this.instances, this.loads);
+	private void publishTargets(long nowNanos) {
+		this.targetsPublishedAtNanos = nowNanos;
+		this.loadReportsChanged = false;
+		final List<TargetView> views = ServingGroups.targets(this.table, this.instances, this.loadReports);
 		final Set<String> now = views.stream()
 			.filter(TargetView::serving)
 			.map((view) -> view.name() + ' ' + view.targetId())
 			.collect(Collectors.toSet());
 		now.stream()
-			.filter((name) -> !this.serving.contains(name))
+			.filter((name) -> !this.servingTargets.contains(name))
 			.forEach((name) -> Events.log(EventId.TARGET_SERVING, "target", name));
-		this.serving.stream()
+		this.servingTargets.stream()
 			.filter((name) -> !now.contains(name))
 			.forEach((name) -> Events.log(EventId.TARGET_STOPPED, "target", name));
-		this.serving = now;
-		this.servingCount = now.size();
-		this.targets.accept(views);
+		this.servingTargets = now;
+		this.servingTargetCount = now.size();
+		this.targetsListener.accept(views);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaMessage.java
@@ -19,7 +19,7 @@
 	 *
 	 * @param instances all of them
 	 */
-	record Listed(List<ServingInstance> instances) implements ReplicaMessage {
+	record InstancesUpdated(List<ServingInstance> instances) implements ReplicaMessage {
 
 	}
 
@@ -28,7 +28,7 @@
 	 *
 	 * @param table the configuration
 	 */
-	record Configured(RouteTable table) implements ReplicaMessage {
+	record ConfigurationUpdated(RouteTable table) implements ReplicaMessage {
 
 	}
 
@@ -38,7 +38,7 @@
 	 * @param instanceId the instance
 	 * @param load its load
 	 */
-	record Loaded(String instanceId, LoadReport load) implements ReplicaMessage {
+	record LoadReported(String instanceId, LoadReport load) implements ReplicaMessage {
 
 	}
 
@@ -47,7 +47,7 @@
 	 *
 	 * @param instanceId the instance
 	 */
-	record Leaving(String instanceId) implements ReplicaMessage {
+	record InstanceLeaving(String instanceId) implements ReplicaMessage {
 
 	}
 
@@ -56,16 +56,16 @@
 	 *
 	 * @param targetId the target
 	 */
-	record Stalled(String targetId) implements ReplicaMessage {
+	record TargetStalled(String targetId) implements ReplicaMessage {
 
 	}
 
 	/**
 	 * The members of a group that stood still were asked whether they live.
 	 *
-	 * @param answered for each member whether it answered
+	 * @param answeredById for each member whether it answered
 	 */
-	record Probed(Map<String, Boolean> answered) implements ReplicaMessage {
+	record GroupProbed(Map<String, Boolean> answeredById) implements ReplicaMessage {
 
 	}
 
@@ -75,7 +75,7 @@
 	 * @param order the order
 	 * @param outcome what came of it
 	 */
-	record Ordered(ReplicaOrder order, OrderOutcome outcome) implements ReplicaMessage {
+	record OrderCompleted(ReplicaOrder order, OrderOutcome outcome) implements ReplicaMessage {
 
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/SilentInstances.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
@@ -27,25 +27,25 @@
  * group do count as gone. Where none answers the fault may be this daemon's own link, and
  * nothing is concluded.
  */
-final class SilentInstances {
+final class UnresponsiveInstances {
 
 	/** By then the list has dropped it, or it has shown that it lives. */
-	private static final long BELIEVED_NANOS = Duration.ofSeconds(6).toNanos();
+	private static final long UNRESPONSIVE_NANOS = Duration.ofSeconds(6).toNanos();
 
 	/** A group is asked again after this time at the earliest. */
-	private static final long ASK_AGAIN_NANOS = Duration.ofSeconds(1).toNanos();
+	private static final long MIN_PROBE_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private final OrderSender orders;
 
-	private final Consumer<Map<String, Boolean>> probed;
+	private final Consumer<Map<String, Boolean>> resultsListener;
 
-	private final Map<String, Long> silentUntilNanos = new HashMap<>();
+	private final Map<String, Long> unresponsiveUntilNanos = new HashMap<>();
 
-	private final Map<GroupId, Long> askedAtNanos = new HashMap<>();
+	private final Map<GroupId, Long> probedAtNanos = new HashMap<>();
 
-	SilentInstances(OrderSender orders, Consumer<Map<String, Boolean>> probed) {
+	UnresponsiveInstances(OrderSender orders, Consumer<Map<String, Boolean>> probed) {
 		this.orders = orders;
-		this.probed = probed;
+		this.resultsListener = probed;
 	}
 
 	/**
@@ -54,14 +54,14 @@
 	 * @param headId the group's head
 	 * @param instances all listed instances
 	 */
-	void onStalled(long nowNanos, String headId, List<ServingInstance> instances) {
+	void probeGroup(long nowNanos, String headId, List<ServingInstance> instances) {
 		final Optional<GroupId> group = instances.stream()
 			.filter((instance) -> instance.id().equals(headId))
 			.findFirst()
 			.flatMap(ServingInstance::membership)
 			.map(Membership::group);
-		this.askedAtNanos.values().removeIf((askedNanos) -> nowNanos - askedNanos >= ASK_AGAIN_NANOS);
-		if (group.isEmpty() || this.askedAtNanos.putIfAbsent(group.get(), nowNanos) != null) {
+		this.probedAtNanos.values().removeIf((askedNanos) -> nowNanos - askedNanos >= MIN_PROBE_INTERVAL_NANOS);
+		if (group.isEmpty() || this.probedAtNanos.putIfAbsent(group.get(), nowNanos) != null) {
 			return;
 		}
 		final List<ServingInstance> members = instances.stream()
@@ -72,7 +72,7 @@
 		CompletableFuture.allOf(asked.values().toArray(new CompletableFuture<?>[0])).thenRun(() -> {
 			final Map<String, Boolean> answers = new HashMap<>();
 			asked.forEach((id, answer) -> answers.put(id, answer.join()));
-			this.probed.accept(answers);
+			this.resultsListener.accept(answers);
 		});
 	}
 
@@ -81,15 +81,15 @@
 	 * @param nowNanos the monotonic time
 	 * @param answered for each member whether it answered
 	 */
-	void onProbed(long nowNanos, Map<String, Boolean> answered) {
-		answered.keySet().forEach(this.silentUntilNanos::remove);
+	void onProbeResults(long nowNanos, Map<String, Boolean> answered) {
+		answered.keySet().forEach(this.unresponsiveUntilNanos::remove);
 		if (!answered.containsValue(true)) {
 			return;
 		}
 		answered.forEach((id, alive) -> {
 			if (!alive) {
 				Events.log(EventId.INSTANCE_SILENT, "instance", id, "asked", answered.size());
-				this.silentUntilNanos.put(id, nowNanos + BELIEVED_NANOS);
+				this.unresponsiveUntilNanos.put(id, nowNanos + UNRESPONSIVE_NANOS);
 			}
 		});
 	}
@@ -100,8 +100,8 @@
 	 * @return their ids
 	 */
 	Set<String> ids(long nowNanos) {
-		this.silentUntilNanos.values().removeIf((untilNanos) -> nowNanos - untilNanos >= 0);
-		return new HashSet<>(this.silentUntilNanos.keySet());
+		this.unresponsiveUntilNanos.values().removeIf((untilNanos) -> nowNanos - untilNanos >= 0);
+		return new HashSet<>(this.unresponsiveUntilNanos.keySet());
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerLimitsTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerLimitsTests.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -33,19 +33,19 @@
 	 */
 	@Test
 	void aDaemonHearsOfLimitsThatAnotherKnows() throws InterruptedException {
-		final BlockingQueue<List<StatedLimit>> heard = new LinkedBlockingQueue<>();
+		final BlockingQueue<List<AdvertisedLimit>> heard = new LinkedBlockingQueue<>();
 		final PeerDuty second = this.peers.daemon("second", List.of());
 		second.onLimits(List::of, heard::add);
 		second.start();
 		final PeerDuty first = this.peers.daemon("first", List.of(second.localAddress()));
 		first.onLimits(
-				() -> List.of(new StatedLimit("i-1", OptionalDouble.of(1.1), 0),
-						new StatedLimit("i-2", OptionalDouble.empty(), 0)),
+				() -> List.of(new AdvertisedLimit("i-1", OptionalDouble.of(1.1), 0),
+						new AdvertisedLimit("i-2", OptionalDouble.empty(), 0)),
 				(told) -> assertThat(told).as("the second one knows of none").isEmpty());
 		first.start();
-		final List<StatedLimit> told = heard.poll(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS);
-		assertThat(told).extracting(StatedLimit::instanceId).containsExactly("i-1", "i-2");
-		assertThat(told).extracting(StatedLimit::requestsPerSecond)
+		final List<AdvertisedLimit> told = heard.poll(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS);
+		assertThat(told).extracting(AdvertisedLimit::instanceId).containsExactly("i-1", "i-2");
+		assertThat(told).extracting(AdvertisedLimit::requestsPerSecond)
 			.containsExactly(OptionalDouble.of(1.1), OptionalDouble.empty());
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
@@ -28,11 +28,11 @@
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficAction;
-import org.pistachioline.daemon.port.AnswerVerdict;
-import org.pistachioline.daemon.port.CallHead;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
+import org.pistachioline.daemon.port.ResponseVerdict;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -135,10 +135,9 @@
 				ClaimRequirement.NONE, "", List.of());
 	}
 
-	private static RelayedCall call() {
-		return new RelayedCall(
-				new CallHead("r7", OptionalLong.empty(), Optional.empty(), Optional.empty(), 100, 60, Optional.empty()),
-				"POST", "/copy/1", HeaderFields.EMPTY, Body.EMPTY, Optional.empty());
+	private static RelayedRequest call() {
+		return new RelayedRequest(new RequestMetadata("r7", OptionalLong.empty(), Optional.empty(), Optional.empty(),
+				100, 60, Optional.empty()), "POST", "/copy/1", HeaderFields.EMPTY, Body.EMPTY, Optional.empty());
 	}
 
 	private final class Ends implements AttemptListener {
@@ -155,24 +154,25 @@
 
 	}
 
-	private static final class FixedDialect implements RelayDialect {
+	private static final class FixedDialect implements RelayProtocol {
 
 		private int written;
 
 		@Override
-		public CallHead read(HeaderFields headers) {
-			return call().head();
+		public RequestMetadata readRequest(HeaderFields headers) {
+			return call().metadata();
 		}
 
 		@Override
-		public WebRequest toTarget(RelayedCall call, TargetView target, long leftMillis, Optional<String> lastEventId) {
+		public WebRequest toTargetRequest(RelayedRequest call, TargetView target, long leftMillis,
+				Optional<String> lastEventId) {
 			this.written++;
-			return new WebRequest(call.method(), call.target(), call.headers(), call.body());
+			return new WebRequest(call.method(), call.pathAndQuery(), call.headers(), call.body());
 		}
 
 		@Override
-		public AnswerVerdict judge(RelayedCall call, AnswerHead answer) {
-			return AnswerVerdict.ANSWER;
+		public ResponseVerdict classify(RelayedRequest call, AnswerHead answer) {
+			return ResponseVerdict.VALID;
 		}
 
 		@Override
@@ -191,7 +191,7 @@
 		}
 
 		@Override
-		public boolean leaving(AnswerHead answer) {
+		public boolean isLeaving(AnswerHead answer) {
 			return false;
 		}
 
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/SimulatedDaemon.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/SimulatedDaemon.java
@@ -130,7 +130,7 @@
 
 	void hear(String peer, Map<String, Double> demand) {
 		this.heardAtNanos.put(peer, this.events.nowNanos());
-		this.shares.onPeer(this.events.nowNanos(), peer, false, demand);
+		this.shares.onPeerDemand(this.events.nowNanos(), peer, false, demand);
 	}
 
 	void share(List<String> workspaces) {
