--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaPlannerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaPlannerTests.java
@@ -177,7 +177,7 @@
 			final ReplicaSimulation world = new ReplicaSimulation(seed, 6, 0, 0);
 			world.run(16_000, false);
 			for (int death = 0; death < 10; death++) {
-				world.killPair(death >= 3);
+				world.failTwoMembers(death >= 3);
 				world.run(3_000, false);
 				large += world.countServingGroups("large");
 				small += world.countServingGroups("small");
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/ReplicaSimulation.java
@@ -82,7 +82,7 @@
 		this.lostRatio = lostRatio;
 		this.lateRatio = lateRatio;
 		for (int i = 0; i < domains * 10; i++) {
-			add("domain-" + i / 10);
+			addInstance("domain-" + i / 10);
 		}
 		final PlannerTimes times = new PlannerTimes(STALL_TIMEOUT_MILLIS * 1_000_000, 5_000_000_000L);
 		this.planners[0] = new ReplicaPlanner(times);
@@ -90,7 +90,7 @@
 		this.planners[0].beginTerm(0, this.term, false);
 	}
 
-	private SimulatedInstance add(String domain) {
+	private SimulatedInstance addInstance(String domain) {
 		final SimulatedInstance engine = new SimulatedInstance("i-" + this.nextId++, domain);
 		this.instances.put(engine.id, engine);
 		return engine;
@@ -118,7 +118,7 @@
 				.toList();
 			final SimulatedInstance dead = alive.get(this.random.nextInt(alive.size()));
 			dead.alive = false;
-			dead.diedAtMillis = this.nowMillis;
+			dead.failedAtMillis = this.nowMillis;
 			replace(dead);
 		}
 		if (this.random.nextInt(40) == 0) {
@@ -136,7 +136,7 @@
 	}
 
 	private void replace(SimulatedInstance dead) {
-		final SimulatedInstance next = add(dead.domain);
+		final SimulatedInstance next = addInstance(dead.domain);
 		if (this.restartAtSameAddress) {
 			next.address = dead.address;
 			this.restartedAs.put(dead.id, next.id);
@@ -154,9 +154,9 @@
 	}
 
 	private void advance(SimulatedInstance engine) {
-		if (engine.alive && !engine.staging.isEmpty() && this.nowMillis >= engine.stagedAtMillis) {
-			engine.staged = Set.of(engine.staging);
-			engine.staging = "";
+		if (engine.alive && !engine.stagingModel.isEmpty() && this.nowMillis >= engine.stagedAtMillis) {
+			engine.stagedModels = Set.of(engine.stagingModel);
+			engine.stagingModel = "";
 		}
 		if (!engine.alive || engine.group == null) {
 			return;
@@ -178,7 +178,7 @@
 		for (final String id : head.members) {
 			final SimulatedInstance member = this.instances.get(id);
 			if (!member.alive) {
-				since = Math.max(since, member.diedAtMillis);
+				since = Math.max(since, member.failedAtMillis);
 			}
 			else if (!head.group.equals(member.group)) {
 				since = Math.max(since, member.groupChangedAtMillis);
@@ -191,7 +191,7 @@
 		final Map<String, ServingInstance> listed = new HashMap<>();
 		for (final SimulatedInstance engine : this.instances.values()) {
 			final long silentMillis = engine.alive ? this.nowMillis - engine.partitionedSince(this.nowMillis)
-					: this.nowMillis - engine.diedAtMillis;
+					: this.nowMillis - engine.failedAtMillis;
 			if (silentMillis >= 3 * HEARTBEAT_MILLIS || engine.restarted) {
 				engine.lastListed = null;
 			}
@@ -275,11 +275,11 @@
 	}
 
 	private OrderOutcome stage(SimulatedInstance engine, String model) {
-		if (engine.staged.contains(model) || engine.staging.equals(model)) {
+		if (engine.stagedModels.contains(model) || engine.stagingModel.equals(model)) {
 			return OrderOutcome.HOLDS;
 		}
 		final long loadMillis = ENGINE_SPEC.model(model).orElseThrow().loadMillis();
-		engine.staging = model;
+		engine.stagingModel = model;
 		engine.stagedAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? loadMillis / 10 : loadMillis);
 		return OrderOutcome.STARTED;
 	}
@@ -301,11 +301,11 @@
 		if (model.equals(engine.lastModel)) {
 			engine.readyAtMillis = this.nowMillis + 200;
 		}
-		else if (engine.staged.contains(model)) {
+		else if (engine.stagedModels.contains(model)) {
 			engine.readyAtMillis = this.nowMillis + 1_200;
 		}
 		else {
-			engine.staged = Set.of(model);
+			engine.stagedModels = Set.of(model);
 			engine.readyAtMillis = this.nowMillis + ((this.nowMillis < 15_000) ? 1_600 : 14_000);
 		}
 		engine.lastModel = model;
@@ -380,7 +380,7 @@
 	 * Kills two members of groups in one zone, which two domains share, and adds two
 	 * empty instances there.
 	 */
-	void killPair(boolean replaced) {
+	void failTwoMembers(boolean replaced) {
 		final int zone = this.random.nextInt(3);
 		final List<String> domains = List.of("domain-" + 2 * zone, "domain-" + (2 * zone + 1));
 		for (int i = 0; i < 2; i++) {
@@ -390,9 +390,9 @@
 				.toList();
 			final SimulatedInstance dead = grouped.get(this.random.nextInt(grouped.size()));
 			dead.alive = false;
-			dead.diedAtMillis = this.nowMillis;
+			dead.failedAtMillis = this.nowMillis;
 			if (replaced) {
-				add(domains.get(i));
+				addInstance(domains.get(i));
 			}
 		}
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/SimulatedInstance.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/SimulatedInstance.java
@@ -20,7 +20,7 @@
 
 	boolean alive = true;
 
-	long diedAtMillis;
+	long failedAtMillis;
 
 	/** Whether a later life has taken its place in the list. */
 	boolean restarted;
@@ -45,11 +45,11 @@
 
 	long readyAtMillis;
 
-	Set<String> staged = Set.of();
+	Set<String> stagedModels = Set.of();
 
 	String lastModel = "";
 
-	String staging = "";
+	String stagingModel = "";
 
 	long stagedAtMillis;
 
@@ -75,7 +75,7 @@
 	ServingInstance report() {
 		final Optional<Membership> membership = Optional.ofNullable(this.group)
 			.map((own) -> new Membership(own, this.members.indexOf(this.id), this.state));
-		return new ServingInstance(this.id, "pool", this.address, "zone", this.domain, false, 12, this.staged,
+		return new ServingInstance(this.id, "pool", this.address, "zone", this.domain, false, 12, this.stagedModels,
 				membership);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/replica/WeightLoadLimiterTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/replica/WeightLoadLimiterTests.java
@@ -36,7 +36,7 @@
 	 * must stay under the rate that the weight store stands.
 	 */
 	@Test
-	void successivePlannersTogetherStayWithinTheRate() {
+	void successivePlannersStayWithinTheRateTogether() {
 		int begun = 0;
 		for (int planner = 0; planner < 3; planner++) {
 			final WeightLoadLimiter own = new WeightLoadLimiter(5 * SECOND_NANOS);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
@@ -80,7 +80,7 @@
 
 	private List<ServingInstance> instances = List.of();
 
-	private RouteTable table = RouteTable.UNKNOWN;
+	private RouteTable routeTable = RouteTable.UNKNOWN;
 
 	private boolean loadReportsChanged;
 
@@ -202,7 +202,7 @@
 			publishTargets(System.nanoTime());
 		}
 		else if (message instanceof ReplicaMessage.ConfigurationUpdated configured) {
-			this.table = configured.table();
+			this.routeTable = configured.table();
 			publishTargets(System.nanoTime());
 		}
 		else if (message instanceof ReplicaMessage.LoadReported loaded) {
@@ -272,7 +272,7 @@
 		if (sumUp) {
 			this.summaryLoggedAtNanos = nowNanos;
 		}
-		for (final ServiceSpec service : this.table.services()) {
+		for (final ServiceSpec service : this.routeTable.services()) {
 			if (service.grouped()) {
 				final ReplicaPlanner planner = this.planners.computeIfAbsent(service.name(),
 						(name) -> new ReplicaPlanner(this.times));
@@ -280,12 +280,12 @@
 					planner.beginTerm(nowNanos, term, heldBefore);
 				}
 				planner
-					.plan(new PlannerView(nowNanos, service.engine().orElseThrow(), instancesOf(service, gone),
+					.plan(new PlannerView(nowNanos, service.engine().orElseThrow(), usableInstancesOf(service, gone),
 							this.delisted.instances(), gone, this.beforeTraffic.getAsBoolean()))
 					.forEach((order) -> sendOrder(order, term));
 				all.putAll(planner.groups());
 				if (sumUp) {
-					logSummary(service, planner.summary(instancesOf(service, gone)));
+					logSummary(service, planner.summary(usableInstancesOf(service, gone)));
 				}
 			}
 		}
@@ -298,7 +298,7 @@
 				"free_warm", sums.freeWarm(), "free_empty", sums.freeEmpty(), "loading", sums.loading());
 	}
 
-	private List<ServingInstance> instancesOf(ServiceSpec service, Set<String> gone) {
+	private List<ServingInstance> usableInstancesOf(ServiceSpec service, Set<String> gone) {
 		return this.instances.stream()
 			.filter((instance) -> instance.service().equals(service.name()) && !gone.contains(instance.id()))
 			.toList();
@@ -322,7 +322,7 @@
 	private void publishTargets(long nowNanos) {
 		this.targetsPublishedAtNanos = nowNanos;
 		this.loadReportsChanged = false;
-		final List<TargetView> views = ServingGroups.targets(this.table, this.instances, this.loadReports);
+		final List<TargetView> views = ServingGroups.targets(this.routeTable, this.instances, this.loadReports);
 		final Set<String> now = views.stream()
 			.filter(TargetView::serving)
 			.map((view) -> view.name() + ' ' + view.targetId())
