--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -151,24 +151,26 @@
 				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.freshness = new ConfigFreshness(
 				new StalenessBound(Duration.ofSeconds(settings.whole(Setting.LOG_STALENESS_BOUND_SECONDS)).toMillis()),
-				this.config::view, this.peers::others);
+				this.config::view, this.peers::livePeers);
 		this.instances = new FleetDuty(this.system, this.config, this.fleet,
 				new HttpInstanceList(http, settings.text(Setting.INSTANCES_ADDRESS)), engines,
 				new PresenceLinks(selfId, this.peers), writer,
 				new PresenceLimits(TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_INTERVAL_MILLIS)),
 						TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_PRESENCE_BOUND_MILLIS))));
 		this.planner = new PlannerDuty(this.system, this.config, this.fleet, this.instances, engines, this.appender,
-				new GroupPlanner(new WeighedLoss()), selfId, this.peers::daemonIds);
-		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::daemonIds, this.peers::send);
-		this.peers.onClaimFrame(this.claims::onFrame);
+				new GroupPlanner(new WeighedLoss()), selfId, this.peers::activeDaemonIds);
+		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::activeDaemonIds,
+				this.peers::send);
+		this.peers.setClaimReceiver(this.claims::onFrame);
 		this.recorder = new TraceRecorder(settings.flag(Setting.TRACE_RECORD));
-		this.shares = new ShareKeeper(selfId, this.peers::daemonIds, settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
+		this.shares = new ShareKeeper(selfId, this.peers::activeDaemonIds,
+				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.traffic = new TrafficDuty(this.system,
 				new TrafficCore(StandardPolicies.create(settings.text(Setting.DAEMON_AVAILABILITY_ZONE),
 						this.incarnation ^ ((long) selfId.hashCode() << Integer.SIZE))),
 				this.claims, this.shares, new KillerReports(this.appender, settings.text(Setting.LOG_FLEET_STREAM)),
 				this.recorder);
-		this.peers.onDemand(this.shares::demand,
+		this.peers.setDemandExchange(this.shares::demand,
 				(peer, demand) -> this.traffic.peerDemand(peer.daemonId(), peer.leaving(), demand));
 		final CacheEventDuty caches = new CacheEventDuty(this.system, engines, this.instances::view,
 				this.traffic::cacheEvents);
@@ -181,7 +183,7 @@
 		this.admin = new AdminServer(settings.text(Setting.ADMIN_ADDRESS), new AdminHandler(this));
 		// The state first, then what derives from it, then what shows it, callers last.
 		final CheckpointDuty checkpoints = new CheckpointDuty(this.system, streams(claims), this.appender, selfId,
-				this.peers::daemonIds,
+				this.peers::activeDaemonIds,
 				new CheckpointPolicy(Duration.ofSeconds(settings.whole(Setting.LOG_RETENTION_SECONDS)).toMillis(),
 						settings.whole(Setting.LOG_CHECKPOINT_ENTRIES)));
 		final CheckpointTransfer transfer = new CheckpointTransfer(this.system, this.peers, selfId, exchanged(claims));
@@ -250,7 +252,7 @@
 	public void leave() {
 		Events.log(EventId.STOPPING);
 		this.leaving = true;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		final long begunAtNanos = System.nanoTime();
 		final long keptNanos = Duration.ofSeconds(this.settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS)).toNanos();
 		while (System.nanoTime() - begunAtNanos < keptNanos) {
@@ -305,7 +307,7 @@
 
 	private int daemonCount() {
 		// Not by way of the peers' list, which asks for this daemon's own status in turn.
-		return this.peers.others().size() + 1;
+		return this.peers.livePeers().size() + 1;
 	}
 
 	@Override
@@ -347,7 +349,7 @@
 
 	@Override
 	public List<PeerStatus> daemons() {
-		return this.peers.daemons();
+		return this.peers.liveDaemons();
 	}
 
 	@Override
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -74,20 +74,20 @@
 
 	private void bindPeers(PeerDuty peers) {
 		this.metrics.gauge("pistachioline.peers.live", "Live daemons, this one included",
-				() -> peers.others().size() + 1);
+				() -> peers.livePeers().size() + 1);
 		this.metrics.gauge("pistachioline.peer.connections", "Open connections with other daemons",
-				peers.transport()::connections);
+				peers.transport()::connectionCount);
 		for (final PeerFrame.BodyCase kind : PeerFrame.BodyCase.values()) {
 			final String name = kind.name().toLowerCase(Locale.ROOT);
-			count("sent", name, kind, peers.transport().sent());
-			count("received", name, kind, peers.transport().received());
+			count("sent", name, kind, peers.transport().sentMeter());
+			count("received", name, kind, peers.transport().receivedMeter());
 		}
 	}
 
 	private void count(String way, String name, PeerFrame.BodyCase kind, PeerMeter meter) {
 		this.metrics.counter("pistachioline.peer.bytes." + way, "Bytes of frames " + way + ", without TCP and TLS",
-				name, () -> meter.bytes(kind));
-		this.metrics.counter("pistachioline.peer.frames." + way, "Frames " + way, name, () -> meter.frames(kind));
+				name, () -> meter.byteCount(kind));
+		this.metrics.counter("pistachioline.peer.frames." + way, "Frames " + way, name, () -> meter.frameCount(kind));
 	}
 
 	void bind(Ring<?> ring) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -116,7 +116,7 @@
 		this.peers = new PeerDuty(system,
 				(receiver) -> new PeerTransport(settings.peerAddress(), null, MOST_PEER_CONNECTIONS, receiver),
 				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_MILLIS);
-		this.shares = new ShareKeeper(settings.daemonId(), this.peers::daemonIds, HEARTBEAT_MILLIS);
+		this.shares = new ShareKeeper(settings.daemonId(), this.peers::activeDaemonIds, HEARTBEAT_MILLIS);
 		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.shares,
 				(suspect, nowMillis) -> {
 					// Daemons tell each other directly of the targets that died.
@@ -124,7 +124,7 @@
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
 				this.traffic::targets, this::beforeTraffic);
 		this.listing = new ListingDuty(system, settings.daemonId(), settings.listAgeMillis(), ports.instances(),
-				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::daemonIds, this.peers::send,
+				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::activeDaemonIds, this.peers::send,
 				this::listed);
 		final InstanceNews news = new InstanceNews(this.traffic, this.replicas);
 		ports.orders().onAnswers(news);
@@ -147,18 +147,18 @@
 			this.replicas.configure(next);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
 		});
-		this.ports.routes().followOthers(() -> this.peers.others().size() + 1, this.peers::newestConfigVersion);
+		this.ports.routes().followOthers(() -> this.peers.livePeers().size() + 1, this.peers::newestConfigVersion);
 		this.ports.lease().onlyIf(this::isPlannerCandidate);
-		this.peers.onListingFrame(this.listing::onFrame);
+		this.peers.setListingReceiver(this.listing::onFrame);
 		this.traffic.onStalled((targetId) -> {
 			this.replicas.onTargetStalled(targetId);
-			this.peers.tellStalled(targetId);
+			this.peers.broadcastStall(targetId);
 		});
-		this.peers.onLimits(this.traffic::statedLimits, this.traffic::limitsTold);
-		this.peers.onStalled(this.replicas::onTargetStalled);
+		this.peers.setLimitExchange(this.traffic::statedLimits, this.traffic::limitsTold);
+		this.peers.setStallListener(this.replicas::onTargetStalled);
 		final CrashWatch crashes = this.traffic.crashes();
-		this.peers.suspects().bind(crashes::sample, crashes::known, crashes::onTold);
-		crashes.onNews(this.peers::tellSuspects);
+		this.peers.suspectExchange().bind(crashes::sample, crashes::known, crashes::onTold);
+		crashes.onNews(this.peers::broadcastSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
 		this.parts.all().forEach((part) -> part.rings().forEach(meters::bind));
@@ -174,7 +174,7 @@
 	// first.
 	private boolean isPlannerCandidate() {
 		return System.nanoTime() - this.startedAtNanos >= HEAR_OTHERS_NANOS
-				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.daemonIds());
+				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.activeDaemonIds());
 	}
 
 	private void listed(List<ServingInstance> instances) {
@@ -185,12 +185,12 @@
 	// A daemon that has just started counts few others; the most it has ever seen is a
 	// better guess of how many spend from the same budget.
 	private int daemonCount() {
-		this.mostDaemons = Math.max(this.mostDaemons, this.peers.others().size() + 1);
+		this.mostDaemons = Math.max(this.mostDaemons, this.peers.livePeers().size() + 1);
 		return this.mostDaemons;
 	}
 
 	private boolean beforeTraffic() {
-		return this.settings.firstStart() && this.relay.arrived() == 0
+		return this.settings.firstStart() && this.relay.receivedRequestCount() == 0
 				&& System.nanoTime() - this.startedAtNanos < LONGEST_FIRST_START_NANOS;
 	}
 
@@ -213,7 +213,7 @@
 		Events.log(EventId.STOPPING, "held", this.traffic.held());
 		this.leaving = true;
 		this.ports.lease().release();
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		final long mostNanos = TimeUnit.MILLISECONDS
 			.toNanos(Math.max(0, this.settings.graceMillis() - STOP_MARGIN_MILLIS));
 		final long lingerNanos = Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
@@ -240,7 +240,7 @@
 	 * @return whether they can
 	 */
 	public boolean mayHoldBack() {
-		return WarmUpRule.mayHoldBack(status(), this.peers.others());
+		return WarmUpRule.mayHoldBack(status(), this.peers.livePeers());
 	}
 
 	/**
@@ -249,7 +249,7 @@
 	 */
 	public void holdBack() {
 		this.offered = false;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 	}
 
 	/**
@@ -257,7 +257,7 @@
 	 */
 	public void offer() {
 		this.offered = true;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		Events.log(EventId.CALLERS_WELCOME, "start_millis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.startedAtNanos));
 	}
@@ -346,7 +346,7 @@
 
 	@Override
 	public List<PeerStatus> daemons() {
-		return this.peers.daemons();
+		return this.peers.liveDaemons();
 	}
 
 	@Override
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/LimitCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/LimitCodec.java
@@ -17,7 +17,7 @@
 	/** Bounds the part of a beat that grows with the targets in need. */
 	static final int MAX_LIMITS = 64;
 
-	private static final long MOST_AGE_MILLIS = TimeUnit.HOURS.toMillis(1);
+	private static final long MAX_AGE_MILLIS = TimeUnit.HOURS.toMillis(1);
 
 	private LimitCodec() {
 	}
@@ -30,7 +30,7 @@
 		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - limit.heardAtNanos());
 		final TargetLimit.Builder encoded = TargetLimit.newBuilder()
 			.setInstanceId(limit.instanceId())
-			.setHeardAgeMillis(Math.max(0, Math.min(MOST_AGE_MILLIS, ageMillis)));
+			.setHeardAgeMillis(Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)));
 		limit.requestsPerSecond().ifPresent(encoded::setRequestsPerSecond);
 		return encoded.build();
 	}
@@ -45,7 +45,7 @@
 		return heartbeat.getTargetLimitsList()
 			.stream()
 			.limit(MAX_LIMITS)
-			.filter(LimitCodec::isSound)
+			.filter(LimitCodec::isValid)
 			.map((limit) -> new StatedLimit(limit.getInstanceId(),
 					limit.hasRequestsPerSecond() ? OptionalDouble.of(limit.getRequestsPerSecond())
 							: OptionalDouble.empty(),
@@ -53,10 +53,10 @@
 			.toList();
 	}
 
-	private static boolean isSound(TargetLimit limit) {
+	private static boolean isValid(TargetLimit limit) {
 		final double perSecond = limit.getRequestsPerSecond();
 		final long ageMillis = limit.getHeardAgeMillis();
-		return perSecond >= 0 && Double.isFinite(perSecond) && ageMillis >= 0 && ageMillis <= MOST_AGE_MILLIS;
+		return perSecond >= 0 && Double.isFinite(perSecond) && ageMillis >= 0 && ageMillis <= MAX_AGE_MILLIS;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
@@ -18,7 +18,7 @@
 final class RequestFingerprint {
 
 	/** Half of the digest: enough for no two calls of a fleet to have the same. */
-	private static final int BYTES = 16;
+	private static final int FINGERPRINT_BYTES = 16;
 
 	private static final byte SEPARATOR = 0;
 
@@ -36,7 +36,7 @@
 		add(digest, call.target());
 		add(digest, call.workspace().orElse(""));
 		call.body().digest(digest);
-		return HexFormat.of().formatHex(digest.digest(), 0, BYTES);
+		return HexFormat.of().formatHex(digest.digest(), 0, FINGERPRINT_BYTES);
 	}
 
 	private static void add(MessageDigest digest, String part) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayStack.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StandaloneRelay.java
@@ -23,9 +23,9 @@
 /**
  * The relay alone, with a fixed configuration and fixed targets and without a platform.
  */
-public final class RelayStack implements Lifecycle {
+public final class StandaloneRelay implements Lifecycle {
 
-	private static final String SELF = "stack";
+	private static final String DAEMON_ID = "stack";
 
 	private static final int RETRIES_PER_SECOND = 100;
 
@@ -45,17 +45,18 @@
 	 * @param table the configuration
 	 * @param targets the targets
 	 */
-	public RelayStack(ActorSystem<?> system, String callerAddress, RelayDialect dialect, RouteTable table,
+	public StandaloneRelay(ActorSystem<?> system, String callerAddress, RelayDialect dialect, RouteTable table,
 			List<TargetView> targets) {
 		this.targets = List.copyOf(targets);
 		this.traffic = new TrafficDuty(system, new TrafficCore(RoutingPolicies.create("", 1,
 				new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1, new SharedDeaths())),
-				new NoClaims(), new ShareKeeper(SELF, () -> Set.of(SELF), HEARTBEAT_MILLIS), (suspect, nowMillis) -> {
+				new NoClaims(), new ShareKeeper(DAEMON_ID, () -> Set.of(DAEMON_ID), HEARTBEAT_MILLIS),
+				(suspect, nowMillis) -> {
 					// Nothing crashes these targets.
 				}, new TraceRecorder(false));
 		this.relay = new Relay(callerAddress, dialect, () -> table, this.traffic, (targetId, load) -> {
 			// The targets are fixed, and so is what is known of them.
-		}, new SteadyInstances(), () -> false);
+		}, new NoOpInstanceListener(), () -> false);
 	}
 
 	@Override
@@ -79,7 +80,7 @@
 		return this.relay.callerAddress();
 	}
 
-	private static final class SteadyInstances implements InstanceListener {
+	private static final class NoOpInstanceListener implements InstanceListener {
 
 		@Override
 		public void onBackoff(String instanceId, long forMillis) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportDispatcher.java
@@ -9,14 +9,15 @@
 /**
  * Hands what targets say of themselves to the duties that decide by it.
  *
- * @param loads is told of loads, by target
+ * @param loadReceiver is told of loads, by target
  * @param traffic is told of limits
  */
-record TargetNews(BiConsumer<String, LoadReport> loads, TrafficDuty traffic) implements TargetListener {
+record TargetReportDispatcher(BiConsumer<String, LoadReport> loadReceiver,
+		TrafficDuty traffic) implements TargetReportListener {
 
 	@Override
 	public void onLoad(String targetId, LoadReport load) {
-		this.loads.accept(targetId, load);
+		this.loadReceiver.accept(targetId, load);
 	}
 
 	@Override
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
@@ -18,17 +18,17 @@
 
 	private static final long RECEIVER_NANOS = -7_000_000_000L;
 
-	private static List<StatedLimit> overTheWire(List<TargetLimit> limits) {
+	private static List<StatedLimit> decodeFromHeartbeat(List<TargetLimit> limits) {
 		return LimitCodec.decode(Heartbeat.newBuilder().addAllTargetLimits(limits).build(), RECEIVER_NANOS);
 	}
 
 	@Test
-	void limitsAndTheirEndsArriveWithTheirAge() {
+	void limitsAndTheirRemovalKeepTheirAge() {
 		final List<StatedLimit> told = List.of(
 				new StatedLimit("i-1", OptionalDouble.of(1.1), SENDER_NANOS - 2_000_000_000L),
 				new StatedLimit("i-2", OptionalDouble.of(0), SENDER_NANOS),
 				new StatedLimit("i-3", OptionalDouble.empty(), SENDER_NANOS - 30_000_000L));
-		assertThat(overTheWire(LimitCodec.encode(told, SENDER_NANOS))).containsExactly(
+		assertThat(decodeFromHeartbeat(LimitCodec.encode(told, SENDER_NANOS))).containsExactly(
 				new StatedLimit("i-1", OptionalDouble.of(1.1), RECEIVER_NANOS - 2_000_000_000L),
 				new StatedLimit("i-2", OptionalDouble.of(0), RECEIVER_NANOS),
 				new StatedLimit("i-3", OptionalDouble.empty(), RECEIVER_NANOS - 30_000_000L));
@@ -38,20 +38,20 @@
 	 * Guards against a broken frame that stops all requests to a target, or frees it.
 	 */
 	@Test
-	void limitsThatCannotBeMeantAreLeftOut() {
+	void invalidLimitsAreLeftOut() {
 		final List<TargetLimit> broken = List.of(
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(-1).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(Double.NaN).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(Double.POSITIVE_INFINITY).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setHeardAgeMillis(-1).build());
-		assertThat(overTheWire(broken)).isEmpty();
+		assertThat(decodeFromHeartbeat(broken)).isEmpty();
 	}
 
 	/**
 	 * Guards against heartbeats that grow with the number of targets in need.
 	 */
 	@Test
-	void aHeartbeatTellsOfABoundedNumberOfLimits() {
+	void theNumberOfLimitsPerHeartbeatIsBounded() {
 		final List<StatedLimit> many = new ArrayList<>();
 		for (int i = 0; i < 1_000; i++) {
 			many.add(new StatedLimit("i-" + i, OptionalDouble.of(1), SENDER_NANOS));
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RequestFingerprintTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RequestFingerprintTests.java
@@ -14,9 +14,9 @@
 
 class RequestFingerprintTests {
 
-	private static final String FIRST = RequestFingerprint.of(call("r1", "POST", "/copy/1", "prompt", "shop"));
+	private static final String FIRST = RequestFingerprint.of(request("r1", "POST", "/copy/1", "prompt", "shop"));
 
-	private static RelayedCall call(String requestId, String method, String target, String body, String workspace) {
+	private static RelayedCall request(String requestId, String method, String target, String body, String workspace) {
 		final CallHead head = new CallHead(requestId, OptionalLong.of(8_000), Optional.of("key"), Optional.empty(), 100,
 				60, Optional.of("3"));
 		return new RelayedCall(head, method, target, HeaderFields.EMPTY.with("X-Request", requestId), Body.of(body),
@@ -24,18 +24,18 @@
 	}
 
 	@Test
-	void aRequestThatComesAgainUnderAnotherIdIsTheSame() {
-		assertThat(RequestFingerprint.of(call("r2", "POST", "/copy/1", "prompt", "shop"))).isEqualTo(FIRST);
+	void aRetryWithAnotherRequestIdHasTheSameFingerprint() {
+		assertThat(RequestFingerprint.of(request("r2", "POST", "/copy/1", "prompt", "shop"))).isEqualTo(FIRST);
 		assertThat(FIRST).matches("[0-9a-f]{32}");
 	}
 
 	@Test
-	void anotherMethodPathBodyOrWorkspaceMakesAnotherRequest() {
-		assertThat(RequestFingerprint.of(call("r1", "PUT", "/copy/1", "prompt", "shop"))).isNotEqualTo(FIRST);
-		assertThat(RequestFingerprint.of(call("r1", "POST", "/copy/2", "prompt", "shop"))).isNotEqualTo(FIRST);
-		assertThat(RequestFingerprint.of(call("r1", "POST", "/copy/1", "prompt2", "shop"))).isNotEqualTo(FIRST);
-		assertThat(RequestFingerprint.of(call("r1", "POST", "/copy/1", "prompt", "yard"))).isNotEqualTo(FIRST);
-		assertThat(RequestFingerprint.of(call("r1", "POST", "/copy/1", "prompt", ""))).isNotEqualTo(FIRST);
+	void anotherMethodPathBodyOrWorkspaceChangesTheFingerprint() {
+		assertThat(RequestFingerprint.of(request("r1", "PUT", "/copy/1", "prompt", "shop"))).isNotEqualTo(FIRST);
+		assertThat(RequestFingerprint.of(request("r1", "POST", "/copy/2", "prompt", "shop"))).isNotEqualTo(FIRST);
+		assertThat(RequestFingerprint.of(request("r1", "POST", "/copy/1", "prompt2", "shop"))).isNotEqualTo(FIRST);
+		assertThat(RequestFingerprint.of(request("r1", "POST", "/copy/1", "prompt", "yard"))).isNotEqualTo(FIRST);
+		assertThat(RequestFingerprint.of(request("r1", "POST", "/copy/1", "prompt", ""))).isNotEqualTo(FIRST);
 	}
 
 	/**
@@ -43,9 +43,9 @@
 	 * look like somebody else's.
 	 */
 	@Test
-	void partsThatAreCutElsewhereMakeAnotherRequest() {
-		assertThat(RequestFingerprint.of(call("r1", "POST", "/copy/1s", "prompt", "hop"))).isNotEqualTo(FIRST);
-		assertThat(RequestFingerprint.of(call("r1", "POST", "/copy/1", "pprompt", "sho"))).isNotEqualTo(FIRST);
+	void movingBytesBetweenPartsChangesTheFingerprint() {
+		assertThat(RequestFingerprint.of(request("r1", "POST", "/copy/1s", "prompt", "hop"))).isNotEqualTo(FIRST);
+		assertThat(RequestFingerprint.of(request("r1", "POST", "/copy/1", "pprompt", "sho"))).isNotEqualTo(FIRST);
 	}
 
 }
