--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/ActiveStreams.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/ActiveStreams.java
@@ -4,12 +4,13 @@
 import java.util.Set;
 
 /**
- * The streams that are being relayed; one timer asks all of them for their progress.
+ * Tracks the streams that are being relayed, so that one timer reports the progress of
+ * all of them.
  */
 final class ActiveStreams {
 
 	/**
-	 * Four times within the time after which a silent target counts as standing still.
+	 * A quarter of the time after which a target without progress counts as stalled.
 	 */
 	static final long PROGRESS_INTERVAL_MILLIS = 150;
 
@@ -24,7 +25,7 @@
 	}
 
 	/**
-	 * Lets each stream tell how far it is; called on the loop's thread.
+	 * Reports the progress of each stream; called on the event loop.
 	 */
 	void reportProgress() {
 		this.streams.forEach(SseEventForwarder::reportProgress);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
@@ -10,11 +10,12 @@
 import org.pistachioline.daemon.port.InstanceListener;
 
 /**
- * Holds back attempts that were decided before it was known that their target wants none.
+ * Withholds attempts whose target requested backoff after the attempt was scheduled.
  * <p>
- * From the decision to the first byte an attempt passes a ring, this loop and the making
- * of a connection; on a daemon that runs late that is most of a second, in which answers
- * come. One thread calls it, the one on which they are read.
+ * Between scheduling and the first byte an attempt waits in a ring, on the event loop and
+ * for a connection. On an overloaded daemon this takes up to a second, during which
+ * responses with new backoff requests arrive. Not thread-safe: all calls come from the
+ * event loop that reads the responses.
  */
 final class BackoffGate {
 
@@ -25,8 +26,8 @@
 	private final LongSupplier clockNanos;
 
 	/**
-	 * Creates a gate that holds nothing back.
-	 * @param listener is told what targets want of this daemon
+	 * Creates a gate that withholds nothing.
+	 * @param listener receives the backoff requests and announced departures of instances
 	 * @param clockNanos the monotonic clock
 	 */
 	BackoffGate(InstanceListener listener, LongSupplier clockNanos) {
@@ -34,12 +35,12 @@
 		this.clockNanos = clockNanos;
 	}
 
-	void onBackoff(String targetId, OptionalLong forMillis) {
-		if (forMillis.isPresent()) {
+	void onBackoff(String targetId, OptionalLong backoffMillis) {
+		if (backoffMillis.isPresent()) {
 			final String instanceId = TargetView.instanceId(targetId);
 			final long nowNanos = this.clockNanos.getAsLong();
-			this.backoffs.onBackoff(nowNanos, instanceId, TimeUnit.MILLISECONDS.toNanos(forMillis.getAsLong()));
-			this.listener.onBackoff(instanceId, forMillis.getAsLong());
+			this.backoffs.onBackoff(nowNanos, instanceId, TimeUnit.MILLISECONDS.toNanos(backoffMillis.getAsLong()));
+			this.listener.onBackoff(instanceId, backoffMillis.getAsLong());
 			this.backoffs.retain(nowNanos, Set.of());
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerResponse.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerResponse.java
@@ -7,7 +7,7 @@
 import org.pistachioline.adapters.web.WebReply;
 
 /**
- * The one answer that a caller gets, whatever number of attempts it takes.
+ * Sends the single response that a caller receives, regardless of the number of attempts.
  */
 final class CallerResponse {
 
@@ -25,8 +25,9 @@
 	}
 
 	/**
-	 * Begins a stream. The head of the first attempt is the answer's head.
-	 * @param head the head of the target's answer
+	 * Starts a streamed response with the head of the first attempt's response; the heads
+	 * of later attempts are ignored.
+	 * @param head the head of the target's response
 	 */
 	void startStream(AnswerHead head) {
 		if (!this.streamStarted && !this.ended) {
@@ -36,7 +37,7 @@
 		}
 	}
 
-	// Callers move to other daemons with their next request and not in the middle of one.
+	// Callers move to another daemon between requests rather than in the middle of one.
 	private AnswerHead closeConnectionIfLeaving(AnswerHead head) {
 		return this.leaving.getAsBoolean() ? new AnswerHead(head.status(), head.headers().with("Connection", "close"))
 				: head;
@@ -57,16 +58,16 @@
 	}
 
 	/**
-	 * Gives a whole answer, unless one has begun.
-	 * @param whole the answer
+	 * Sends a complete response, unless a stream has started.
+	 * @param complete the response
 	 */
-	void sendComplete(WebAnswer whole) {
+	void sendComplete(WebAnswer complete) {
 		this.ended = true;
-		this.reply.whole(new WebAnswer(closeConnectionIfLeaving(whole.head()), whole.body()));
+		this.reply.whole(new WebAnswer(closeConnectionIfLeaving(complete.head()), complete.body()));
 	}
 
 	/**
-	 * Ends a stream well.
+	 * Ends a streamed response successfully.
 	 */
 	void finishStream() {
 		this.ended = true;
@@ -74,10 +75,10 @@
 	}
 
 	/**
-	 * Ends the answer without success. A stream that has begun is broken off, so that it
+	 * Ends the response unsuccessfully. A stream that has started is aborted, so that it
 	 * does not look complete.
-	 * @param failure the answer, where none has begun
-	 * @return whether the caller got the answer and not a broken stream
+	 * @param failure the response to send if no stream has started
+	 * @return whether the caller received the response rather than an aborted stream
 	 */
 	boolean fail(WebAnswer failure) {
 		if (this.streamStarted) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerServer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerServer.java
@@ -10,18 +10,19 @@
 import org.pistachioline.daemon.Lifecycle;
 
 /**
- * Listens for callers whose requests are relayed.
+ * Accepts the connections of callers whose requests are relayed.
  */
 public final class CallerServer implements Lifecycle {
 
 	private final WebServer server;
 
 	/**
-	 * Creates a server.
-	 * @param loop the thread on which its connections are served
-	 * @param address where to listen, as host and port
-	 * @param handler answers each request
-	 * @param routes gives the configuration in force, whose bounds callers must keep
+	 * Creates a server that does not listen yet.
+	 * @param loop the event loop that serves its connections
+	 * @param address the listen address, as host and port
+	 * @param handler handles each request
+	 * @param routes supplies the active configuration, which limits the requests of
+	 * callers
 	 */
 	public CallerServer(WebLoop loop, String address, RelayHandler handler, Supplier<RouteTable> routes) {
 		this.server = new WebServer(loop, address, handler, () -> limits(routes.get().callerBounds()));
@@ -43,15 +44,15 @@
 	}
 
 	/**
-	 * Returns where it listens.
-	 * @return the address, as host and port; empty until it listens
+	 * Returns the listen address.
+	 * @return the address, as host and port; empty until the server listens
 	 */
 	public String localAddress() {
 		return this.server.localAddress();
 	}
 
 	/**
-	 * Returns whether it listens.
+	 * Returns whether the server accepts connections.
 	 * @return whether callers can connect
 	 */
 	public boolean listening() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CrashProbe.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CrashProbe.java
@@ -11,12 +11,13 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * Finds out whether a target that broke off under requests has died.
+ * Determines whether a target has crashed after its connections broke under requests.
  * <p>
- * Connections also break where a target has too many, loses an answer or is cut off. Only
- * one at whose address nothing listens any more has died under what it was running. It is
- * asked at once, as another process may soon have its address, and once for all requests
- * that break together. One thread calls it, that of the loop.
+ * Connections also break when a target has too many of them, loses a response or is
+ * partitioned from the network. Only a target whose address refuses new connections has
+ * crashed under the requests it was running. The probe starts immediately, because
+ * another process may soon reuse the address, and there is one probe for all requests
+ * whose connections break together. Not thread-safe: all calls come from the event loop.
  */
 final class CrashProbe {
 
@@ -28,43 +29,45 @@
 
 	/**
 	 * Creates a probe.
-	 * @param askWhetherRefused asks whether an address refuses connections
-	 * @param listener is told of targets that have died
+	 * @param connectionProbe checks asynchronously whether an address refuses connections
+	 * @param listener receives the targets that have crashed
 	 */
-	CrashProbe(BiConsumer<String, Consumer<Boolean>> askWhetherRefused, Consumer<TargetCrash> listener) {
-		this.connectionProbe = askWhetherRefused;
+	CrashProbe(BiConsumer<String, Consumer<Boolean>> connectionProbe, Consumer<TargetCrash> listener) {
+		this.connectionProbe = connectionProbe;
 		this.listener = listener;
 	}
 
 	/**
-	 * Takes word that a target broke off under a request.
+	 * Records that a target's connection broke while it had a request.
 	 * @param target the target
 	 * @param fingerprint the request's fingerprint
-	 * @param inProgress whether it had been answering for a while
+	 * @param inProgress whether the target was past the starting phase of the response
 	 */
 	void onConnectionBroken(TargetView target, String fingerprint, boolean inProgress) {
-		final AffectedRequests known = this.pendingProbes.get(target.targetId());
-		final AffectedRequests victims = (known != null) ? known
+		final AffectedRequests pending = this.pendingProbes.get(target.targetId());
+		final AffectedRequests affected = (pending != null) ? pending
 				: new AffectedRequests(new HashSet<>(), new HashSet<>());
-		(inProgress ? victims.inProgress() : victims.starting()).add(fingerprint);
-		if (known == null) {
-			this.pendingProbes.put(target.targetId(), victims);
+		(inProgress ? affected.inProgress() : affected.starting()).add(fingerprint);
+		if (pending == null) {
+			this.pendingProbes.put(target.targetId(), affected);
 			this.connectionProbe.accept(target.address(), (refused) -> onProbeResult(target.targetId(), refused));
 		}
 	}
 
 	private void onProbeResult(String targetId, boolean refused) {
-		final AffectedRequests victims = this.pendingProbes.remove(targetId);
+		final AffectedRequests affected = this.pendingProbes.remove(targetId);
 		if (refused) {
-			this.listener.accept(new TargetCrash(targetId, victims.starting(), victims.inProgress()));
+			this.listener.accept(new TargetCrash(targetId, affected.starting(), affected.inProgress()));
 		}
 	}
 
 	/**
-	 * What a target was running for this daemon when it broke off.
+	 * The fingerprints of this daemon's requests that a target had when their connections
+	 * broke.
 	 *
-	 * @param starting what it had just begun, or not yet
-	 * @param inProgress what it had been answering for a while
+	 * @param starting the requests whose response had not started or had only just
+	 * started
+	 * @param inProgress the requests whose response was past the starting phase
 	 */
 	private record AffectedRequests(Set<String> starting, Set<String> inProgress) {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/HopByHopHeaders.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/HopByHopHeaders.java
@@ -6,7 +6,8 @@
 import org.pistachioline.adapters.web.HeaderFields;
 
 /**
- * Tells the headers that concern one connection from those that are passed on.
+ * Removes the headers that apply to a single connection and must not be forwarded. The
+ * framing headers are among them, since each side of the relay frames the body anew.
  */
 final class HopByHopHeaders {
 
@@ -18,9 +19,9 @@
 	}
 
 	/**
-	 * Returns the headers that are passed on.
-	 * @param headers the headers of a request or an answer
-	 * @return those that do not concern the connection
+	 * Returns the end-to-end headers of a message.
+	 * @param headers the headers of a request or response
+	 * @return the headers without those that apply to the connection
 	 */
 	static HeaderFields removeFrom(HeaderFields headers) {
 		return headers.without((name) -> NAMES.contains(name.toLowerCase(Locale.ROOT)));
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
@@ -14,15 +14,21 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * The path of callers' requests: their server, the connections to targets and the thread
- * that serves both.
+ * Relays callers' requests: combines the caller-facing server, the connections to targets
+ * and the event loop that serves both.
  */
 public final class Relay implements Lifecycle {
 
-	/** A target in another zone answers within milliseconds; one that is gone never. */
+	/**
+	 * A reachable target accepts within milliseconds, also across availability zones; an
+	 * unreachable one never does.
+	 */
 	private static final int CONNECT_TIMEOUT_MILLIS = 700;
 
-	/** Shorter than the few seconds for which targets keep idle connections. */
+	/**
+	 * Shorter than the few seconds for which targets keep idle connections open, so that
+	 * a request is not sent on a connection that the target is closing.
+	 */
 	private static final long IDLE_CONNECTION_MILLIS = 1_500;
 
 	private static final int MAX_IDLE_PER_TARGET = 6;
@@ -36,23 +42,24 @@
 	private final CallerServer callerServer;
 
 	/**
-	 * Creates the path.
-	 * @param address where callers connect, as host and port
-	 * @param dialect the headers of callers and targets
-	 * @param routes gives the configuration in force
-	 * @param traffic decides
-	 * @param loads is told what targets say of their load, by target
-	 * @param instances is told what targets want of this daemon
-	 * @param leaving whether the daemon is about to stop
+	 * Creates a relay that does not listen yet.
+	 * @param address the listen address for callers, as host and port
+	 * @param protocol reads and writes the headers of callers and targets
+	 * @param routes supplies the active configuration
+	 * @param traffic schedules the requests
+	 * @param loadReceiver receives the load that targets report, by target id
+	 * @param instances receives the backoff requests and announced departures of
+	 * instances
+	 * @param leaving whether the daemon is shutting down
 	 */
-	public Relay(String address, RelayDialect dialect, Supplier<RouteTable> routes, TrafficDuty traffic,
-			BiConsumer<String, LoadReport> loads, InstanceListener instances, BooleanSupplier leaving) {
+	public Relay(String address, RelayDialect protocol, Supplier<RouteTable> routes, TrafficDuty traffic,
+			BiConsumer<String, LoadReport> loadReceiver, InstanceListener instances, BooleanSupplier leaving) {
 		final WebClient client = new WebClient(this.loop, CONNECT_TIMEOUT_MILLIS, IDLE_CONNECTION_MILLIS,
 				MAX_IDLE_PER_TARGET);
-		final RelayContext tools = new RelayContext(this.loop, client, dialect, this.streams, traffic::callerGone,
-				new TargetReportDispatcher(loads, traffic), new BackoffGate(instances, System::nanoTime),
+		final RelayContext context = new RelayContext(this.loop, client, protocol, this.streams, traffic::callerGone,
+				new TargetReportDispatcher(loadReceiver, traffic), new BackoffGate(instances, System::nanoTime),
 				new CrashProbe(client::askWhetherRefused, traffic.crashes()::onCrash));
-		this.handler = new RelayHandler(routes, tools, traffic, leaving);
+		this.handler = new RelayHandler(routes, context, traffic, leaving);
 		this.callerServer = new CallerServer(this.loop, address, this.handler, routes);
 	}
 
@@ -69,23 +76,23 @@
 	}
 
 	/**
-	 * Returns how many requests have come.
-	 * @return the number of requests
+	 * Returns the number of requests received from callers.
+	 * @return the number since the start
 	 */
 	public long receivedRequestCount() {
 		return this.handler.receivedRequestCount();
 	}
 
 	/**
-	 * Returns where callers connect.
-	 * @return the address, as host and port; empty until it listens
+	 * Returns the listen address for callers.
+	 * @return the address, as host and port; empty until the relay listens
 	 */
 	public String callerAddress() {
 		return this.callerServer.localAddress();
 	}
 
 	/**
-	 * Returns whether it listens.
+	 * Returns whether the relay accepts connections.
 	 * @return whether callers can connect
 	 */
 	public boolean listening() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -17,19 +17,25 @@
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 /**
- * One attempt at a target; its end is told once.
+ * One attempt to send a request to a target; its end is reported exactly once.
  * <p>
- * It has a connection to itself, and giving it up closes that connection, so that the
- * target drops the work and nothing of it can reach a later request.
+ * Each attempt uses a connection exclusively. Aborting the attempt closes that
+ * connection, so that the target cancels the work and none of its output can reach a
+ * later request.
  */
 final class RelayAttempt implements AnswerReceiver {
 
 	private static final int OK = 200;
 
-	/** No whole answer of a target is larger; more would fill this process's memory. */
+	/**
+	 * Bounds the memory of one buffered response; the responses of targets are smaller.
+	 */
 	private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-	/** A target that has given more was not crashed by what it read first. */
+	/**
+	 * A target that delivered more events than this is past the starting phase: reading
+	 * the request did not crash it.
+	 */
 	private static final int STARTING_PHASE_EVENTS = 3;
 
 	private final RelayExchange exchange;
@@ -62,36 +68,36 @@
 		return this.start.attempt();
 	}
 
-	void send(long leftMillis) {
-		final RelayContext tools = this.exchange.context();
+	void send(long remainingMillis) {
+		final RelayContext context = this.exchange.context();
 		this.sentAtNanos = System.nanoTime();
-		this.targetCall = tools.client()
+		this.targetCall = context.client()
 			.send(this.start.target().address(),
-					tools.protocol()
-						.toTarget(this.exchange.request(), this.start.target(), leftMillis,
+					context.protocol()
+						.toTarget(this.exchange.request(), this.start.target(), remainingMillis,
 								this.exchange.position().lastEventId()),
 					!this.exchange.info().idempotent(), this);
 	}
 
 	@Override
 	public boolean onSending() {
-		final boolean wanted = this.exchange.context().backoffGate().maySend(this.start.target().targetId());
-		if (!wanted) {
+		final boolean permitted = this.exchange.context().backoffGate().maySend(this.start.target().targetId());
+		if (!permitted) {
 			end(AttemptOutcome.WITHHELD);
 		}
-		return wanted;
+		return permitted;
 	}
 
 	@Override
-	public void onHead(AnswerHead received) {
-		final RelayDialect dialect = this.exchange.context().protocol();
-		this.responseHead = received;
-		dialect.load(received, System.nanoTime())
+	public void onHead(AnswerHead head) {
+		final RelayDialect protocol = this.exchange.context().protocol();
+		this.responseHead = head;
+		protocol.load(head, System.nanoTime())
 			.ifPresent((load) -> this.exchange.context().targetReports().onLoad(this.start.target().targetId(), load));
-		final AnswerVerdict verdict = dialect.judge(this.exchange.request(), received);
-		reportLimit(verdict, dialect.requestLimit(received));
+		final AnswerVerdict verdict = protocol.judge(this.exchange.request(), head);
+		reportLimit(verdict, protocol.requestLimit(head));
 		if (verdict != AnswerVerdict.MISMATCHED) {
-			reportBackoff(dialect, received);
+			reportBackoff(protocol, head);
 		}
 		switch (verdict) {
 			case DECLINED -> expectOutcome(AttemptOutcome.DECLINED);
@@ -99,34 +105,35 @@
 			case MISMATCHED -> abort(AttemptOutcome.MISMATCHED);
 			case ANSWER -> {
 				expectOutcome(AttemptOutcome.COMPLETE);
-				if (this.exchange.streaming() && received.status() == OK) {
+				if (this.exchange.streaming() && head.status() == OK) {
 					startStream();
 				}
 			}
 		}
 	}
 
-	// A refusal or a failure may leave the limit out, and an answer that is not the
-	// target's says nothing of it.
+	// A declined or failed request's response may omit the limit, and a mismatched
+	// response is not the target's own, so the absence of a limit is reported for valid
+	// responses only.
 	private void reportLimit(AnswerVerdict verdict, OptionalDouble requestsPerSecond) {
-		final boolean named = requestsPerSecond.isPresent() && verdict != AnswerVerdict.MISMATCHED;
-		if (named || verdict == AnswerVerdict.ANSWER) {
+		final boolean stated = requestsPerSecond.isPresent() && verdict != AnswerVerdict.MISMATCHED;
+		if (stated || verdict == AnswerVerdict.ANSWER) {
 			this.exchange.context()
 				.targetReports()
 				.onLimit(this.start.target().targetId(), this.sentAtNanos, requestsPerSecond);
 		}
 	}
 
-	private void reportBackoff(RelayDialect dialect, AnswerHead received) {
+	private void reportBackoff(RelayDialect protocol, AnswerHead head) {
 		final String targetId = this.start.target().targetId();
-		this.exchange.context().backoffGate().onBackoff(targetId, dialect.backoffMillis(received));
-		if (dialect.leaving(received)) {
+		this.exchange.context().backoffGate().onBackoff(targetId, protocol.backoffMillis(head));
+		if (protocol.leaving(head)) {
 			this.exchange.context().backoffGate().onLeaving(targetId);
 		}
 	}
 
-	private void expectOutcome(AttemptOutcome how) {
-		this.expectedOutcome = how;
+	private void expectOutcome(AttemptOutcome outcome) {
+		this.expectedOutcome = outcome;
 	}
 
 	private void startStream() {
@@ -174,8 +181,8 @@
 
 	@Override
 	public void onFailure(Throwable failure) {
-		// A target that said it has not run the request said so, whatever happens to the
-		// rest of its answer.
+		// A target that declined has stated that it did not run the request, which holds
+		// even if the rest of its response is lost.
 		if (this.expectedOutcome == AttemptOutcome.DECLINED) {
 			end(AttemptOutcome.DECLINED);
 		}
@@ -192,27 +199,28 @@
 		abort(AttemptOutcome.CANCELLED);
 	}
 
-	private void abort(AttemptOutcome how) {
+	private void abort(AttemptOutcome outcome) {
 		if (!this.ended) {
 			if (this.targetCall != null) {
 				this.targetCall.abort();
 			}
-			end(how);
+			end(outcome);
 		}
 	}
 
 	/**
-	 * Reads the target only as fast as the caller reads, so that no events pile up here.
-	 * @param writable whether the caller takes more
+	 * Applies the caller's backpressure to the target, so that events do not accumulate
+	 * in this process.
+	 * @param writable whether the caller accepts more bytes
 	 */
 	void onCallerWritable(boolean writable) {
 		if (this.eventForwarder != null && !this.ended) {
-			this.eventForwarder.callerBlocked(!writable);
+			this.eventForwarder.setCallerBlocked(!writable);
 			this.targetCall.reading(writable);
 		}
 	}
 
-	private void end(AttemptOutcome how) {
+	private void end(AttemptOutcome outcome) {
 		if (this.ended) {
 			return;
 		}
@@ -220,18 +228,18 @@
 		if (this.eventForwarder != null) {
 			this.exchange.context().streams().remove(this.eventForwarder);
 		}
-		this.listener.onEnd(id(), how, this.exchange.position().deliveredEvents());
+		this.listener.onEnd(id(), outcome, this.exchange.position().deliveredEvents());
 	}
 
 	private void reportBrokenConnection() {
-		final int given = this.exchange.position().deliveredEvents() - this.start.resumeFromTokens();
+		final int deliveredByAttempt = this.exchange.position().deliveredEvents() - this.start.resumeFromTokens();
 		final String fingerprint = this.exchange.info().fingerprint();
 		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.request().head().requestId(), "fingerprint",
 				fingerprint, "target", this.start.target().targetId(), "status",
-				(this.responseHead != null) ? this.responseHead.status() : 0, "events", given);
+				(this.responseHead != null) ? this.responseHead.status() : 0, "events", deliveredByAttempt);
 		this.exchange.context()
 			.crashProbe()
-			.onConnectionBroken(this.start.target(), fingerprint, given > STARTING_PHASE_EVENTS);
+			.onConnectionBroken(this.start.target(), fingerprint, deliveredByAttempt > STARTING_PHASE_EVENTS);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayContext.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayContext.java
@@ -7,16 +7,16 @@
 import org.pistachioline.daemon.port.RelayDialect;
 
 /**
- * What every exchange of a daemon shares.
+ * The collaborators that all exchanges of a daemon share.
  *
- * @param loop the thread on which callers' and targets' connections are served
- * @param client connections to targets
+ * @param loop the event loop that serves the connections of callers and targets
+ * @param client sends requests to targets
  * @param protocol reads and writes headers
  * @param streams the streams that are being relayed
- * @param disconnectListener is told the requests whose callers have gone
- * @param targetReports hears what targets say of themselves
- * @param backoffGate holds back what targets want no more
- * @param crashProbe finds out which targets have died
+ * @param disconnectListener receives the ids of requests whose callers have disconnected
+ * @param targetReports receives the load and limits that targets report
+ * @param backoffGate withholds attempts at targets that requested backoff or are leaving
+ * @param crashProbe determines which targets have crashed
  */
 record RelayContext(Executor loop, WebClient client, RelayDialect protocol, ActiveStreams streams,
 		LongConsumer disconnectListener, TargetReportListener targetReports, BackoffGate backoffGate,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayErrorResponses.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayErrorResponses.java
@@ -8,7 +8,7 @@
 import org.pistachioline.daemon.traffic.ErrorBody;
 
 /**
- * Writes this daemon's own answers to relayed requests.
+ * Builds the error responses that this daemon itself sends to callers.
  */
 final class RelayErrorResponses {
 
@@ -18,21 +18,22 @@
 	}
 
 	/**
-	 * Writes an answer.
-	 * @param requestId the id that the caller gave
+	 * Builds an error response.
+	 * @param requestId the request id that the caller sent
 	 * @param kind the error kind
 	 * @param runState whether the request may have run
-	 * @param retryAfterMillis when the caller may come back; 0 where it is not said
-	 * @return the answer
+	 * @param retryAfterMillis how long the caller should wait before a retry; 0 for no
+	 * statement
+	 * @return the response
 	 */
 	static WebAnswer of(String requestId, ErrorKind kind, RunState runState, long retryAfterMillis) {
-		final WebAnswer answer = WebAnswer.json(kind.httpStatus(), ErrorBody.of(kind))
+		final WebAnswer response = WebAnswer.json(kind.httpStatus(), ErrorBody.of(kind))
 			.with(ErrorBody.REQUEST_ID_HEADER, requestId, ErrorBody.RUN_HEADER, runState.headerValue());
 		if (!kind.promisesNotRun() || retryAfterMillis <= 0) {
-			return answer;
+			return response;
 		}
-		// A caller that waits a second or two has no use for a time in whole seconds.
-		return answer.with("Retry-After", String.format(Locale.ROOT, "%.2f", retryAfterMillis / MILLIS_PER_SECOND));
+		// Whole seconds are too coarse for callers whose timeout is a second or two.
+		return response.with("Retry-After", String.format(Locale.ROOT, "%.2f", retryAfterMillis / MILLIS_PER_SECOND));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -18,11 +18,11 @@
 import org.pistachioline.daemon.traffic.Exchange;
 
 /**
- * One caller's request on its way to a target and back.
+ * Relays one caller's request to targets and the response back.
  * <p>
- * The traffic duty says which target, when to stop and when to give up; this carries it
- * out. All of its state belongs to the loop's thread, to which each order of the traffic
- * duty is handed over in turn.
+ * The traffic duty selects the targets and decides when to cancel an attempt or to fail
+ * the request; this class executes its commands. All state is confined to the event loop,
+ * to which each command is handed over in order.
  */
 final class RelayExchange implements Exchange, CallerListener {
 
@@ -52,13 +52,14 @@
 
 	private boolean callerDisconnected;
 
-	RelayExchange(RequestInfo info, RelayedCall call, boolean streaming, RelayContext tools, CallerResponse answer) {
+	RelayExchange(RequestInfo info, RelayedCall request, boolean streaming, RelayContext context,
+			CallerResponse response) {
 		this.info = info;
-		this.request = call;
+		this.request = request;
 		this.streaming = streaming;
-		this.context = tools;
-		this.response = answer;
-		this.position = new StreamPosition(call.head().lastEventId());
+		this.context = context;
+		this.response = response;
+		this.position = new StreamPosition(request.head().lastEventId());
 	}
 
 	@Override
@@ -93,9 +94,9 @@
 
 	private void startAttempt(TrafficAction.Start start, AttemptListener listener) {
 		if (this.callerDisconnected) {
-			// The order to send was on its way when the caller left. On a daemon that
-			// runs
-			// late that is most of a second, and the target would work for nobody.
+			// The caller disconnected while the start command was queued, which takes up
+			// to a second on an overloaded daemon. Sent anyway, the request would make
+			// the target work for a caller who is gone.
 			listener.onEnd(start.attempt(), AttemptOutcome.CANCELLED, this.position.deliveredEvents());
 			return;
 		}
@@ -103,30 +104,31 @@
 			listener.onEnd(start.attempt(), AttemptOutcome.WITHHELD, this.position.deliveredEvents());
 			return;
 		}
-		final long leftMillis = Math.max(1,
+		final long remainingMillis = Math.max(1,
 				TimeUnit.NANOSECONDS.toMillis(this.info.totalDeadlineNanos() - System.nanoTime()));
 		this.attemptCount++;
 		if (this.attemptCount > 1) {
 			Events.log(EventId.REQUEST_RESENT, "request", this.request.head().requestId(), "attempt", this.attemptCount,
 					"from", this.lastTargetId, "to", start.target().targetId(), "events", start.resumeFromTokens(),
-					"left_millis", leftMillis);
+					"left_millis", remainingMillis);
 		}
 		this.lastTargetId = start.target().targetId();
 		this.currentAttempt = new RelayAttempt(this, start, listener);
-		this.currentAttempt.send(leftMillis);
+		this.currentAttempt.send(remainingMillis);
 	}
 
 	/**
-	 * Keeps a target's whole answer until the traffic duty has decided.
-	 * @param whole the answer
-	 * @param how how the attempt ended
+	 * Stores a target's complete response until the traffic duty has decided about the
+	 * request.
+	 * @param targetResponse the response
+	 * @param outcome the outcome of the attempt
 	 */
-	void storeResponse(TargetResponse whole, AttemptOutcome how) {
-		if (how == AttemptOutcome.COMPLETE) {
-			this.completeResponse = whole;
+	void storeResponse(TargetResponse targetResponse, AttemptOutcome outcome) {
+		if (outcome == AttemptOutcome.COMPLETE) {
+			this.completeResponse = targetResponse;
 		}
 		else {
-			this.failureResponse = whole;
+			this.failureResponse = targetResponse;
 		}
 	}
 
@@ -157,16 +159,16 @@
 	}
 
 	private void sendFailure(ErrorKind kind, RunState runState, long retryAfterMillis) {
-		// A target's own word of what went wrong is worth more than ours, unless it would
-		// promise that the request has not run.
-		final boolean passOn = kind == ErrorKind.TARGET_FAILED && this.failureResponse != null
+		// A target's own error response is more informative than the daemon's, unless
+		// its status would promise that the request has not run.
+		final boolean useTargetResponse = kind == ErrorKind.TARGET_FAILED && this.failureResponse != null
 				&& !this.failureResponse.promisesNotRun();
-		final WebAnswer failed = passOn ? this.failureResponse.response() : RelayErrorResponses
+		final WebAnswer failure = useTargetResponse ? this.failureResponse.response() : RelayErrorResponses
 			.of(this.request.head().requestId(), kindConsistentWith(kind, runState), runState, retryAfterMillis);
-		final boolean whole = this.response.fail(failed);
+		final boolean responseSent = this.response.fail(failure);
 		if (kind != ErrorKind.CALLER_GONE) {
 			Events.log(EventId.REQUEST_FAILED, "request", this.request.head().requestId(), "kind", kind.code(), "run",
-					runState.headerValue(), "status", whole ? failed.status() : 0, "name", this.info.name(),
+					runState.headerValue(), "status", responseSent ? failure.status() : 0, "name", this.info.name(),
 					"workspace", this.info.workspace(), "fingerprint", this.info.fingerprint(), "attempts",
 					this.attemptCount, "last_target", this.lastTargetId, "events", this.position.deliveredEvents(),
 					"held_millis", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedAtNanos),
@@ -174,7 +176,8 @@
 		}
 	}
 
-	// A status that promises that the request has not run must be true.
+	// Callers retry on a status that promises that the request has not run, so the
+	// daemon sends it only if that is certain.
 	private static ErrorKind kindConsistentWith(ErrorKind kind, RunState runState) {
 		return (kind.promisesNotRun() && runState != RunState.NOT_RUN) ? ErrorKind.TARGET_FAILED : kind;
 	}
@@ -187,10 +190,11 @@
 	@Override
 	public void onGone() {
 		this.callerDisconnected = true;
-		// Told first: an attempt that ends while the traffic duty still holds the request
-		// is sent to another target, for nobody.
+		// Reported before the attempt is cancelled: if the attempt ended first, the
+		// traffic duty would still hold the request and send it to another target.
 		this.context.disconnectListener().accept(this.info.requestId());
-		// Not only by way of the traffic duty: the target works for nobody from now on.
+		// Cancelled here rather than through the traffic duty, so that the target stops
+		// working on the abandoned request without delay.
 		if (this.currentAttempt != null) {
 			this.currentAttempt.cancel();
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -37,20 +37,23 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * Takes callers' requests: finds the route and the workspace and hands the request to the
- * traffic duty.
+ * Accepts callers' requests: resolves the route, authenticates the workspace and submits
+ * the request to the traffic duty.
  */
 final class RelayHandler implements WebHandler {
 
 	private static final int HIGHEST_PRIORITY = 9;
 
 	/**
-	 * A restarted daemon knows its configuration within a second, and is warm within a
-	 * few.
+	 * A restarted daemon has its configuration within a second and is warmed up within a
+	 * few seconds.
 	 */
 	private static final long MIN_RETRY_AFTER_MILLIS = 1_000;
 
-	/** Stands in logs and answers for the id of a request that was not read. */
+	/**
+	 * Placeholder in logs and responses for the id of a request whose headers could not
+	 * be read.
+	 */
 	private static final String UNKNOWN_REQUEST_ID = "unknown";
 
 	private final Supplier<RouteTable> routes;
@@ -63,9 +66,9 @@
 
 	private final AtomicLong nextRequestId = new AtomicLong(1);
 
-	RelayHandler(Supplier<RouteTable> routes, RelayContext tools, TrafficDuty traffic, BooleanSupplier leaving) {
+	RelayHandler(Supplier<RouteTable> routes, RelayContext context, TrafficDuty traffic, BooleanSupplier leaving) {
 		this.routes = routes;
-		this.context = tools;
+		this.context = context;
 		this.traffic = traffic;
 		this.leaving = leaving;
 	}
@@ -77,64 +80,67 @@
 	@Override
 	public void handle(WebRequest request, WebReply reply) {
 		final long id = this.nextRequestId.getAndIncrement();
-		final CallerResponse answer = new CallerResponse(reply, this.leaving);
+		final CallerResponse response = new CallerResponse(reply, this.leaving);
 		try {
-			route(id, request, reply, answer);
+			route(id, request, reply, response);
 		}
 		catch (RuntimeException ex) {
-			answer.sendComplete(refusalOf(request, ex));
+			response.sendComplete(refusalOf(request, ex));
 		}
 	}
 
-	private void route(long id, WebRequest request, WebReply reply, CallerResponse answer) {
+	private void route(long id, WebRequest request, WebReply reply, CallerResponse response) {
 		final long arrivedAtNanos = System.nanoTime();
 		final RouteTable table = this.routes.get();
 		require(table.isKnown(), ErrorKind.NOT_READY);
-		final CallHead head = this.context.protocol().read(request.headers());
+		final CallHead metadata = this.context.protocol().read(request.headers());
 		final Route route = table.route(request.headers().first("Host").orElse(""), request.path())
 			.orElseThrow(() -> new PistachiolineException(ErrorKind.NOT_FOUND));
-		final Optional<WorkspaceApiKeys> holder = findApiKeyHolder(table, head);
-		final boolean open = route.anonymous() || table.workspaceApiKeys().isEmpty();
-		require(open || holder.isPresent(), ErrorKind.UNAUTHENTICATED);
-		final Optional<String> workspace = open ? Optional.empty() : holder.map(WorkspaceApiKeys::name);
-		final RelayedCall call = new RelayedCall(head, request.method(), request.target(),
+		final Optional<WorkspaceApiKeys> keyHolder = findApiKeyHolder(table, metadata);
+		final boolean anonymous = route.anonymous() || table.workspaceApiKeys().isEmpty();
+		require(anonymous || keyHolder.isPresent(), ErrorKind.UNAUTHENTICATED);
+		final Optional<String> workspace = anonymous ? Optional.empty() : keyHolder.map(WorkspaceApiKeys::name);
+		final RelayedCall relayed = new RelayedCall(metadata, request.method(), request.target(),
 				HopByHopHeaders.removeFrom(request.headers()), request.body(), workspace);
-		final RequestInfo info = requestInfoOf(id, arrivedAtNanos, table, route, call, holder);
-		final RelayExchange exchange = new RelayExchange(info, call, route.kind() == RouteKind.STREAM, this.context,
-				answer);
+		final RequestInfo info = requestInfoOf(id, arrivedAtNanos, table, route, relayed, keyHolder);
+		final RelayExchange exchange = new RelayExchange(info, relayed, route.kind() == RouteKind.STREAM, this.context,
+				response);
 		reply.listen(exchange);
 		this.traffic.arrive(exchange);
 	}
 
 	private static RequestInfo requestInfoOf(long id, long arrivedAtNanos, RouteTable table, Route route,
-			RelayedCall call, Optional<WorkspaceApiKeys> holder) {
-		final CallHead head = call.head();
+			RelayedCall relayed, Optional<WorkspaceApiKeys> keyHolder) {
+		final CallHead metadata = relayed.head();
 		final String service = route.selectService(ThreadLocalRandom.current().nextDouble());
 		final boolean grouped = table.service(service).filter((spec) -> spec.grouped()).isPresent();
-		final long waitMillis = Math.min(route.timeoutMillis(), head.waitMillis().orElse(route.timeoutMillis()));
-		final long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-		final long startNanos = arrivedAtNanos
-				+ TimeUnit.MILLISECONDS.toNanos(QueueTimeBudget.maxQueueMillis(route, waitMillis));
-		final int rank = holder.map(WorkspaceApiKeys::priority).filter((own) -> own >= 0).orElse(route.priority());
-		return new RequestInfo(id, call.workspace().orElse(""), grouped ? TargetKind.MODEL : TargetKind.SERVICE,
-				grouped ? ServingGroups.targetName(service, head.model().orElse("")) : service, head.promptTokens(),
-				head.maxOutputTokens(), HIGHEST_PRIORITY - rank, startNanos, deadlineNanos, route.idempotent(),
-				ClaimRequirement.NONE, RequestFingerprint.of(call), List.of(), Math.max(1, route.maxAttempts()),
+		final long timeoutMillis = Math.min(route.timeoutMillis(), metadata.waitMillis().orElse(route.timeoutMillis()));
+		final long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+		final long firstTokenDeadlineNanos = arrivedAtNanos
+				+ TimeUnit.MILLISECONDS.toNanos(QueueTimeBudget.maxQueueMillis(route, timeoutMillis));
+		final int priority = keyHolder.map(WorkspaceApiKeys::priority)
+			.filter((own) -> own >= 0)
+			.orElse(route.priority());
+		return new RequestInfo(id, relayed.workspace().orElse(""), grouped ? TargetKind.MODEL : TargetKind.SERVICE,
+				grouped ? ServingGroups.targetName(service, metadata.model().orElse("")) : service,
+				metadata.promptTokens(), metadata.maxOutputTokens(), HIGHEST_PRIORITY - priority,
+				firstTokenDeadlineNanos, deadlineNanos, route.idempotent(), ClaimRequirement.NONE,
+				RequestFingerprint.of(relayed), List.of(), Math.max(1, route.maxAttempts()),
 				arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(route.targetLatencyMillis()));
 	}
 
-	// All hashes are compared each time, so that the time of an answer tells nothing of
-	// how much of a guess was right.
-	private static Optional<WorkspaceApiKeys> findApiKeyHolder(RouteTable table, CallHead head) {
-		if (head.key().isEmpty()) {
+	// Compares every hash, so that the response time does not reveal how much of a
+	// guessed key is right.
+	private static Optional<WorkspaceApiKeys> findApiKeyHolder(RouteTable table, CallHead metadata) {
+		if (metadata.key().isEmpty()) {
 			return Optional.empty();
 		}
-		final byte[] hash = DigestUtils.sha256(head.key().get().getBytes(StandardCharsets.UTF_8));
+		final byte[] callerKeySha256 = DigestUtils.sha256(metadata.key().get().getBytes(StandardCharsets.UTF_8));
 		WorkspaceApiKeys found = null;
-		for (final WorkspaceApiKeys holder : table.workspaceApiKeys()) {
-			for (final String keySha256 : holder.keySha256()) {
-				if (MessageDigest.isEqual(hash, HexFormat.of().parseHex(keySha256))) {
-					found = holder;
+		for (final WorkspaceApiKeys keyHolder : table.workspaceApiKeys()) {
+			for (final String keySha256 : keyHolder.keySha256()) {
+				if (MessageDigest.isEqual(callerKeySha256, HexFormat.of().parseHex(keySha256))) {
+					found = keyHolder;
 				}
 			}
 		}
@@ -169,7 +175,7 @@
 				this.routes.get().version(), "path", path);
 	}
 
-	// Spread, so that callers who were refused together do not come back together.
+	// Jittered, so that callers refused at the same time do not retry at the same time.
 	private static long retryAfterMillis() {
 		return MIN_RETRY_AFTER_MILLIS + ThreadLocalRandom.current().nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
@@ -179,7 +185,7 @@
 			return this.context.protocol().read(request.headers()).requestId();
 		}
 		catch (PistachiolineException ex) {
-			// The refusal that is being written says just this.
+			// Already reported: the refusal being built is about the unreadable headers.
 			return UNKNOWN_REQUEST_ID;
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
@@ -9,15 +9,18 @@
 import org.pistachioline.daemon.port.RelayedCall;
 
 /**
- * Tells whether two calls ask for the same thing, whatever the ids of their attempts.
+ * Computes a fingerprint that is equal for all attempts and retries of the same request.
  * <p>
- * Calls are the same if method, path with query, workspace and body are. A digest that
- * cannot be forged keeps a caller from making up a body that stands for another's. A
- * caller who resumes a stream asks for the same thing, so the headers do not count.
+ * Method, path with query, workspace and body are included. Headers are not: a retry has
+ * another request id, and a caller that resumes a stream repeats the same request. The
+ * digest is collision-resistant, so that a caller cannot craft a body whose fingerprint
+ * equals that of another caller's request.
  */
 final class RequestFingerprint {
 
-	/** Half of the digest: enough for no two calls of a fleet to have the same. */
+	/**
+	 * Half of the SHA-256 digest: enough to make collisions within a fleet negligible.
+	 */
 	private static final int FINGERPRINT_BYTES = 16;
 
 	private static final byte SEPARATOR = 0;
@@ -26,16 +29,16 @@
 	}
 
 	/**
-	 * Computes the fingerprint of a call.
-	 * @param call the call
+	 * Computes the fingerprint of a request.
+	 * @param request the request
 	 * @return the fingerprint, in hex
 	 */
-	static String of(RelayedCall call) {
+	static String of(RelayedCall request) {
 		final MessageDigest digest = DigestUtils.getSha256Digest();
-		add(digest, call.method());
-		add(digest, call.target());
-		add(digest, call.workspace().orElse(""));
-		call.body().digest(digest);
+		add(digest, request.method());
+		add(digest, request.target());
+		add(digest, request.workspace().orElse(""));
+		request.body().digest(digest);
 		return HexFormat.of().formatHex(digest.digest(), 0, FINGERPRINT_BYTES);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/SseEventForwarder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/SseEventForwarder.java
@@ -8,17 +8,17 @@
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 /**
- * Passes the whole events of one attempt on, as they arrive.
+ * Forwards the complete server-sent events of one attempt as they arrive.
  * <p>
- * A target may stop in the middle of an event. The half would spoil the next one, which
- * comes from another target, so only whole events leave. Events that the caller has
- * already, by their ids, are dropped: a target that resumes one too early would double
- * them. While the caller reads slowly it tells of progress all the same, so that a slow
- * caller is not taken for a target that stands still.
+ * A target may fail in the middle of an event. A partial event would corrupt the next
+ * one, which comes from another target, so only complete events are forwarded. Events
+ * whose id the caller has already received are dropped, because a target that resumes one
+ * event too early would duplicate them. While the caller is not reading, progress is
+ * still reported, so that a slow caller is not mistaken for a stalled target.
  */
 final class SseEventForwarder {
 
-	/** No event of the engines is near this size; it bounds the memory of one stream. */
+	/** Bounds the memory of one stream; the events of engines are far smaller. */
 	private static final int MAX_EVENT_BYTES = 256 * 1024;
 
 	private static final byte[] NO_BYTES = new byte[0];
@@ -45,40 +45,42 @@
 	}
 
 	/**
-	 * Takes what has arrived.
-	 * @param bytes the bytes
-	 * @param answer takes the events that the caller does not have yet
-	 * @return whether the target goes on; not if it sends an event without an end
+	 * Forwards the events that the received bytes complete and keeps the rest.
+	 * @param bytes the received bytes
+	 * @param response receives the events that the caller does not have yet
+	 * @return false if an incomplete event exceeds the maximum size, so that the attempt
+	 * must be aborted
 	 */
-	boolean forward(byte[] bytes, CallerResponse answer) {
-		final byte[] all = (this.partialEvent.length == 0) ? bytes : concatenate(this.partialEvent, bytes);
-		final int before = this.position.deliveredEvents();
-		this.position.forwardNewEvents(all, answer::write);
+	boolean forward(byte[] bytes, CallerResponse response) {
+		final byte[] available = (this.partialEvent.length == 0) ? bytes : concatenate(this.partialEvent, bytes);
+		final int deliveredBefore = this.position.deliveredEvents();
+		this.position.forwardNewEvents(available, response::write);
 		final int consumed = this.position.consumedBytes();
-		this.partialEvent = (consumed == all.length) ? NO_BYTES : Arrays.copyOfRange(all, consumed, all.length);
-		if (!this.firstEventReported && this.position.deliveredEvents() > before) {
+		this.partialEvent = (consumed == available.length) ? NO_BYTES
+				: Arrays.copyOfRange(available, consumed, available.length);
+		if (!this.firstEventReported && this.position.deliveredEvents() > deliveredBefore) {
 			notifyListener();
 		}
 		return this.partialEvent.length <= MAX_EVENT_BYTES;
 	}
 
 	private static byte[] concatenate(byte[] first, byte[] second) {
-		final byte[] all = Arrays.copyOf(first, first.length + second.length);
-		System.arraycopy(second, 0, all, first.length, second.length);
-		return all;
+		final byte[] joined = Arrays.copyOf(first, first.length + second.length);
+		System.arraycopy(second, 0, joined, first.length, second.length);
+		return joined;
 	}
 
 	/**
-	 * Says whether the caller has ceased to read.
-	 * @param slow whether it has
+	 * Sets whether the caller has stopped reading.
+	 * @param blocked whether the caller accepts no more bytes
 	 */
-	void callerBlocked(boolean slow) {
-		this.callerBlocked = slow;
+	void setCallerBlocked(boolean blocked) {
+		this.callerBlocked = blocked;
 	}
 
 	/**
-	 * Tells of progress where there was some, or where the caller is what there is to
-	 * wait for.
+	 * Reports progress if events were delivered since the last report, or if the stream
+	 * is waiting for the caller rather than for the target.
 	 */
 	void reportProgress() {
 		if (this.firstEventReported && (this.callerBlocked || this.position.deliveredEvents() > this.reportedEvents)) {
@@ -93,8 +95,9 @@
 	}
 
 	/**
-	 * Returns how the attempt ended, where the target's answer ended in order.
-	 * @return the end; an answer without a length may stop anywhere and still end so
+	 * Returns the outcome of an attempt whose response ended without a connection error.
+	 * @return {@code BROKEN} if the response ends within an event: a response without a
+	 * content length can be cut off at any point and still appear to end normally
 	 */
 	AttemptOutcome outcomeAtEnd() {
 		return new String(this.partialEvent, StandardCharsets.UTF_8).isBlank() ? AttemptOutcome.COMPLETE
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StandaloneRelay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StandaloneRelay.java
@@ -21,7 +21,7 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * The relay alone, with a fixed configuration and fixed targets and without a platform.
+ * Runs the relay without a platform, with a fixed configuration and fixed targets.
  */
 public final class StandaloneRelay implements Lifecycle {
 
@@ -38,24 +38,24 @@
 	private final List<TargetView> targets;
 
 	/**
-	 * Creates the relay.
-	 * @param system the actor system on which it runs
-	 * @param callerAddress where it listens
-	 * @param dialect the headers of callers and targets
+	 * Creates a relay that does not listen yet.
+	 * @param system the actor system to run on
+	 * @param callerAddress the listen address for callers, as host and port
+	 * @param protocol reads and writes the headers of callers and targets
 	 * @param table the configuration
 	 * @param targets the targets
 	 */
-	public StandaloneRelay(ActorSystem<?> system, String callerAddress, RelayDialect dialect, RouteTable table,
+	public StandaloneRelay(ActorSystem<?> system, String callerAddress, RelayDialect protocol, RouteTable table,
 			List<TargetView> targets) {
 		this.targets = List.copyOf(targets);
 		this.traffic = new TrafficDuty(system, new TrafficCore(RoutingPolicies.create("", 1,
 				new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1, new SharedDeaths())),
 				new NoClaims(), new ShareKeeper(DAEMON_ID, () -> Set.of(DAEMON_ID), HEARTBEAT_MILLIS),
 				(suspect, nowMillis) -> {
-					// Nothing crashes these targets.
+					// Requests are not expected to crash the fixed targets.
 				}, new TraceRecorder(false));
-		this.relay = new Relay(callerAddress, dialect, () -> table, this.traffic, (targetId, load) -> {
-			// The targets are fixed, and so is what is known of them.
+		this.relay = new Relay(callerAddress, protocol, () -> table, this.traffic, (targetId, load) -> {
+			// The targets are fixed, so their load is not tracked.
 		}, new NoOpInstanceListener(), () -> false);
 	}
 
@@ -73,7 +73,7 @@
 	}
 
 	/**
-	 * Returns where callers connect.
+	 * Returns the listen address for callers.
 	 * @return the address, as host and port
 	 */
 	public String callerAddress() {
@@ -83,13 +83,13 @@
 	private static final class NoOpInstanceListener implements InstanceListener {
 
 		@Override
-		public void onBackoff(String instanceId, long forMillis) {
-			// The targets are fixed, and so is what they want.
+		public void onBackoff(String instanceId, long backoffMillis) {
+			// The targets are fixed and do not request backoff.
 		}
 
 		@Override
 		public void onLeaving(String instanceId) {
-			// The targets are fixed, and none leaves.
+			// The targets are fixed and do not leave.
 		}
 
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StreamPosition.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StreamPosition.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * How far a caller's stream is, over all attempts. One thread calls it.
+ * Tracks how far a caller's stream has been delivered, across all attempts. Not
+ * thread-safe.
  */
 final class StreamPosition {
 
 	private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
-	/** More digits than a long holds are no id of ours. */
+	/** Longer ids may not fit into a long; engines do not assign any. */
 	private static final int MAX_ID_DIGITS = 18;
 
 	private String lastEventId;
@@ -32,7 +33,8 @@
 	}
 
 	/**
-	 * Returns how many bytes the last call took; the rest is the start of an event.
+	 * Returns how many bytes the last call of {@code forwardNewEvents} consumed; the
+	 * remaining bytes are the start of an incomplete event.
 	 * @return the number of bytes
 	 */
 	int consumedBytes() {
@@ -40,9 +42,10 @@
 	}
 
 	/**
-	 * Takes the whole events out of what has arrived.
-	 * @param bytes what has arrived and was not taken yet
-	 * @param receiver takes the events that the caller does not have yet
+	 * Forwards the complete events among the received bytes, except those that the caller
+	 * already has by their ids.
+	 * @param bytes the received bytes that were not consumed yet
+	 * @param receiver receives each event that the caller does not have yet
 	 */
 	void forwardNewEvents(byte[] bytes, SliceReceiver receiver) {
 		int start = 0;
@@ -63,8 +66,8 @@
 		if (id == null) {
 			return true;
 		}
-		final String last = this.lastEventId;
-		if (last != null && isNumericId(id) && isNumericId(last) && Long.parseLong(id) <= Long.parseLong(last)) {
+		final String lastId = this.lastEventId;
+		if (lastId != null && isNumericId(id) && isNumericId(lastId) && Long.parseLong(id) <= Long.parseLong(lastId)) {
 			return false;
 		}
 		this.lastEventId = id;
@@ -76,18 +79,18 @@
 	}
 
 	private static String eventIdOf(byte[] bytes, int start, int end) {
-		int line = start;
-		while (line < end) {
-			int lineEnd = line;
+		int lineStart = start;
+		while (lineStart < end) {
+			int lineEnd = lineStart;
 			while (lineEnd < end && bytes[lineEnd] != '\n' && bytes[lineEnd] != '\r') {
 				lineEnd++;
 			}
-			if (startsWith(bytes, line, lineEnd)) {
-				return new String(bytes, line + ID_FIELD.length, lineEnd - line - ID_FIELD.length,
+			if (startsWith(bytes, lineStart, lineEnd)) {
+				return new String(bytes, lineStart + ID_FIELD.length, lineEnd - lineStart - ID_FIELD.length,
 						StandardCharsets.US_ASCII)
 					.trim();
 			}
-			line = lineEnd + 1;
+			lineStart = lineEnd + 1;
 		}
 		return null;
 	}
@@ -104,7 +107,7 @@
 		return true;
 	}
 
-	// An event ends with an empty line, whichever line ends its sender uses.
+	// An event ends with an empty line; both LF and CRLF line endings are accepted.
 	private static int eventEnd(byte[] bytes, int start) {
 		for (int i = start; i + 1 < bytes.length; i++) {
 			if (bytes[i] == '\n' && bytes[i + 1] == '\n') {
@@ -118,15 +121,15 @@
 	}
 
 	/**
-	 * Takes a part of an array that does not change any more.
+	 * Receives a slice of an array that is not modified afterwards.
 	 */
 	@FunctionalInterface
 	interface SliceReceiver {
 
 		/**
-		 * Takes a part.
+		 * Receives a slice.
 		 * @param bytes the array
-		 * @param offset where the part begins
+		 * @param offset where the slice starts
 		 * @param length its length in bytes
 		 */
 		void accept(byte[] bytes, int offset, int length);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportDispatcher.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportDispatcher.java
@@ -7,10 +7,10 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * Hands what targets say of themselves to the duties that decide by it.
+ * Dispatches the reports of targets to the components that schedule by them.
  *
- * @param loadReceiver is told of loads, by target
- * @param traffic is told of limits
+ * @param loadReceiver receives reported loads, by target id
+ * @param traffic receives stated limits
  */
 record TargetReportDispatcher(BiConsumer<String, LoadReport> loadReceiver,
 		TrafficDuty traffic) implements TargetReportListener {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportListener.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportListener.java
@@ -5,22 +5,24 @@
 import org.pistachioline.core.replica.LoadReport;
 
 /**
- * Hears what targets say of themselves in their answers, on the loop's thread.
+ * Receives the load and limits that targets report in their responses; called on the
+ * event loop.
  */
 interface TargetReportListener {
 
 	/**
-	 * Called where an answer tells the target's load.
+	 * Called for each response that reports the target's load.
 	 * @param targetId the target
-	 * @param load the load
+	 * @param load the reported load
 	 */
 	void onLoad(String targetId, LoadReport load);
 
 	/**
-	 * Called for each answer to a request that ran well, and for each that names a limit.
+	 * Called for each valid response, and for any other response of the target that
+	 * states a limit.
 	 * @param targetId the target
 	 * @param sentAtNanos when the request was sent, by the monotonic clock
-	 * @param requestsPerSecond the limit that it names; empty where it names none
+	 * @param requestsPerSecond the stated limit; empty where the response states none
 	 */
 	void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond);
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetResponse.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetResponse.java
@@ -7,14 +7,15 @@
 import org.pistachioline.adapters.web.WebAnswer;
 
 /**
- * A target's whole answer.
+ * A target's complete response.
  *
- * @param response the answer, without the headers of its connection
+ * @param response the response, without hop-by-hop headers
  */
 record TargetResponse(WebAnswer response) {
 
 	/**
-	 * To a caller these say that its request has not run, which only a daemon may say.
+	 * Statuses by which a caller concludes that its request has not run, which only the
+	 * daemon may state.
 	 */
 	private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
@@ -27,8 +28,8 @@
 	}
 
 	/**
-	 * Returns whether the status claims that the request has not run.
-	 * @return whether it does
+	 * Returns whether the status promises that the request has not run.
+	 * @return whether callers would conclude so
 	 */
 	boolean promisesNotRun() {
 		return NOT_RUN_STATUSES.contains(this.response.status());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Relays callers' requests to the targets of their routes and the answers back.
+ * Relays callers' requests to the targets of their routes, and the targets' responses to
+ * the callers.
  */
 package org.pistachioline.daemon.relay;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/CrashProbeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/CrashProbeTests.java
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Guards against requests that are held to crash a target which only resets
-	 * connections, or loses answers.
+	 * Guards against blaming requests for a crash when the target only resets connections
+	 * or loses responses.
 	 */
 	@Test
 	void aTargetThatAcceptsConnectionsHasNotCrashed() {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
@@ -60,9 +60,10 @@
 	}
 
 	/**
-	 * A caller leaves in the middle of its stream. Were the end of the attempt told
-	 * before the caller's leaving, the request would be sent to another target, which
-	 * would begin to work for nobody and use up a part of the budget for repeats.
+	 * Guards against a request that is sent to another target after its caller
+	 * disconnected in the middle of the stream. This happens if the end of the attempt is
+	 * reported before the disconnect; the other target then works for nobody and the
+	 * attempt uses up retry budget.
 	 */
 	@Test
 	void aCallerDisconnectIsReportedBeforeTheAttemptEnds() {
@@ -73,9 +74,9 @@
 	}
 
 	/**
-	 * A daemon that has just started runs most of a second late. A caller leaves while
-	 * the order to send its request once more is on its way between two threads. Sent all
-	 * the same, it would keep a target at work for nobody.
+	 * Guards against an attempt that is sent after its caller disconnected while the
+	 * start command was queued between two threads, which takes up to a second on a
+	 * daemon that has just started. The target would work for nobody.
 	 */
 	@Test
 	void noAttemptIsSentAfterTheCallerDisconnected() {
@@ -87,8 +88,8 @@
 	}
 
 	/**
-	 * Guards against an attempt that was decided before its target asked for rest, and
-	 * that is sent after it.
+	 * Guards against an attempt that was scheduled before its target requested backoff
+	 * and is sent afterwards.
 	 */
 	@Test
 	void noAttemptIsSentToATargetThatRequestedBackoffMeanwhile() {
@@ -99,7 +100,8 @@
 	}
 
 	/**
-	 * Guards against an attempt that is sent to a target which has said that it leaves.
+	 * Guards against an attempt that is sent to a target which has announced that it is
+	 * leaving.
 	 */
 	@Test
 	void noAttemptIsSentToALeavingTarget() {
@@ -110,8 +112,8 @@
 	}
 
 	/**
-	 * Guards against a status that promises that a request has not run where it may have:
-	 * its caller would send a booking again.
+	 * Guards against a status that promises that a request has not run when it may have:
+	 * the caller would retry a request that is not idempotent.
 	 */
 	@Test
 	void aRequestThatMayHaveRunIsNotRefusedAsNotRun() {
@@ -123,11 +125,12 @@
 	}
 
 	private RelayExchange exchange() {
-		final RelayContext tools = new RelayContext(Runnable::run, new WebClient(this.loop, 1_000, 1_000, 1),
+		final RelayContext context = new RelayContext(Runnable::run, new WebClient(this.loop, 1_000, 1_000, 1),
 				this.protocol, new ActiveStreams(), (requestId) -> this.notifications.add("gone " + requestId),
 				new NoOpListener(), this.gate, new CrashProbe((address, receiver) -> receiver.accept(false),
 						(crash) -> this.notifications.add("crash " + crash.targetId())));
-		return new RelayExchange(info(), request(), true, tools, new CallerResponse(new RecordingReply(), () -> false));
+		return new RelayExchange(info(), request(), true, context,
+				new CallerResponse(new RecordingReply(), () -> false));
 	}
 
 	private static RequestInfo info() {
@@ -149,8 +152,8 @@
 		}
 
 		@Override
-		public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
-			RelayExchangeTests.this.notifications.add(how.name());
+		public void onEnd(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) {
+			RelayExchangeTests.this.notifications.add(outcome.name());
 		}
 
 	}
@@ -165,33 +168,34 @@
 		}
 
 		@Override
-		public WebRequest toTarget(RelayedCall call, TargetView target, long leftMillis, Optional<String> lastEventId) {
+		public WebRequest toTarget(RelayedCall request, TargetView target, long remainingMillis,
+				Optional<String> lastEventId) {
 			this.requestsBuilt++;
-			return new WebRequest(call.method(), call.target(), call.headers(), call.body());
+			return new WebRequest(request.method(), request.target(), request.headers(), request.body());
 		}
 
 		@Override
-		public AnswerVerdict judge(RelayedCall call, AnswerHead answer) {
+		public AnswerVerdict judge(RelayedCall request, AnswerHead head) {
 			return AnswerVerdict.ANSWER;
 		}
 
 		@Override
-		public Optional<LoadReport> load(AnswerHead answer, long nowNanos) {
+		public Optional<LoadReport> load(AnswerHead head, long nowNanos) {
 			return Optional.empty();
 		}
 
 		@Override
-		public OptionalDouble requestLimit(AnswerHead answer) {
+		public OptionalDouble requestLimit(AnswerHead head) {
 			return OptionalDouble.empty();
 		}
 
 		@Override
-		public OptionalLong backoffMillis(AnswerHead answer) {
+		public OptionalLong backoffMillis(AnswerHead head) {
 			return OptionalLong.empty();
 		}
 
 		@Override
-		public boolean leaving(AnswerHead answer) {
+		public boolean leaving(AnswerHead head) {
 			return false;
 		}
 
@@ -201,22 +205,22 @@
 
 		@Override
 		public void onLoad(String targetId, LoadReport load) {
-			// No test here asks for loads.
+			// Loads are not part of these tests.
 		}
 
 		@Override
 		public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
-			// No test here asks for limits.
+			// Limits are not part of these tests.
 		}
 
 		@Override
-		public void onBackoff(String instanceId, long forMillis) {
-			// No test here asks for backoffs.
+		public void onBackoff(String instanceId, long backoffMillis) {
+			// The listener's notifications are not part of these tests.
 		}
 
 		@Override
 		public void onLeaving(String instanceId) {
-			// No test here asks for targets that leave.
+			// The listener's notifications are not part of these tests.
 		}
 
 	}
@@ -224,33 +228,33 @@
 	private final class RecordingReply implements WebReply {
 
 		@Override
-		public void whole(WebAnswer answer) {
-			RelayExchangeTests.this.responses.add(answer);
+		public void whole(WebAnswer response) {
+			RelayExchangeTests.this.responses.add(response);
 		}
 
 		@Override
 		public void begin(AnswerHead head) {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void piece(byte[] bytes, int offset, int length) {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void flush() {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void end() {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void breakOff() {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
@@ -260,7 +264,7 @@
 
 		@Override
 		public void listen(CallerListener listener) {
-			// The test tells it by itself.
+			// The tests call the listener directly.
 		}
 
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RequestFingerprintTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RequestFingerprintTests.java
@@ -20,7 +20,7 @@
 		final CallHead head = new CallHead(requestId, OptionalLong.of(8_000), Optional.of("key"), Optional.empty(), 100,
 				60, Optional.of("3"));
 		return new RelayedCall(head, method, target, HeaderFields.EMPTY.with("X-Request", requestId), Body.of(body),
-				Optional.of(workspace).filter((name) -> !name.isEmpty()));
+				Optional.of(workspace).filter((workspaceName) -> !workspaceName.isEmpty()));
 	}
 
 	@Test
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Guards against a caller who moves bytes from one part of its request to another, to
-	 * look like somebody else's.
+	 * Guards against a caller that moves bytes from one part of its request to another to
+	 * obtain the fingerprint of another caller's request.
 	 */
 	@Test
 	void movingBytesBetweenPartsChangesTheFingerprint() {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/StreamPositionTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/StreamPositionTests.java
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * A stream is resumed at another target, which begins an event too early. The caller
-	 * would see the event twice.
+	 * Guards against events that the caller receives twice: a stream is resumed at
+	 * another target, which starts one event too early.
 	 */
 	@Test
 	void eventsAlreadyDeliveredAreDropped() {
@@ -49,30 +49,30 @@
 	}
 
 	/**
-	 * Events arrive in pieces that are cut anywhere. Whatever the cuts, the caller gets
-	 * the same bytes.
-	 * @param events how many events there are
-	 * @param cut the size of the pieces
+	 * Guards against output that depends on how the network splits the stream into
+	 * chunks.
+	 * @param events the number of events
+	 * @param chunkBytes the size of the chunks
 	 */
 	@Property(seed = "42")
 	void chunkBoundariesDoNotChangeTheOutput(@ForAll @IntRange(min = 0, max = 20) int events,
-			@ForAll @IntRange(min = 1, max = 9) int cut) {
-		final StringBuilder whole = new StringBuilder();
+			@ForAll @IntRange(min = 1, max = 9) int chunkBytes) {
+		final StringBuilder stream = new StringBuilder();
 		for (int i = 1; i <= events; i++) {
-			whole.append("id: ").append(i).append("\ndata: ").append("x".repeat(i % 7)).append("\n\n");
+			stream.append("id: ").append(i).append("\ndata: ").append("x".repeat(i % 7)).append("\n\n");
 		}
-		final byte[] all = bytes(whole.toString());
+		final byte[] all = bytes(stream.toString());
 		final StreamPosition position = new StreamPosition(Optional.empty());
 		final ByteArrayOutputStream passed = new ByteArrayOutputStream();
 		byte[] rest = new byte[0];
-		for (int start = 0; start < all.length; start += cut) {
-			final byte[] piece = Arrays.copyOfRange(all, start, Math.min(all.length, start + cut));
-			final byte[] joined = Arrays.copyOf(rest, rest.length + piece.length);
-			System.arraycopy(piece, 0, joined, rest.length, piece.length);
+		for (int start = 0; start < all.length; start += chunkBytes) {
+			final byte[] chunk = Arrays.copyOfRange(all, start, Math.min(all.length, start + chunkBytes));
+			final byte[] joined = Arrays.copyOf(rest, rest.length + chunk.length);
+			System.arraycopy(chunk, 0, joined, rest.length, chunk.length);
 			position.forwardNewEvents(joined, passed::write);
 			rest = Arrays.copyOfRange(joined, position.consumedBytes(), joined.length);
 		}
-		assertThat(passed.toString(StandardCharsets.UTF_8)).isEqualTo(whole.toString());
+		assertThat(passed.toString(StandardCharsets.UTF_8)).isEqualTo(stream.toString());
 		assertThat(position.deliveredEvents()).isEqualTo(events);
 	}
 
