--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointFetch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointFetch.java
@@ -12,9 +12,9 @@
 /**
  * Fetches one checkpoint from one peer, part by part.
  * <p>
- * What does not belong to the part that was asked for ends the fetch, so that neither a
- * late reply to an earlier fetch nor a stranger's frame can mix two states or make this
- * daemon keep more than the largest checkpoint.
+ * A reply that does not match the requested part fails the fetch. Otherwise a late reply
+ * to an earlier fetch or a forged frame could combine parts of two states, or make this
+ * daemon buffer more than the largest checkpoint.
  */
 final class CheckpointFetch {
 
@@ -38,11 +38,11 @@
 
 	private long requestedAtNanos;
 
-	CheckpointFetch(String stream, String selfId, String peerId, long floorOffset) {
+	CheckpointFetch(String stream, String selfId, String peerId, long minNextOffset) {
 		this.stream = stream;
 		this.selfId = selfId;
 		this.peerId = peerId;
-		this.minNextOffset = floorOffset;
+		this.minNextOffset = minNextOffset;
 	}
 
 	String peerId() {
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * What a reply brought.
+	 * The effect of a reply on the fetch.
 	 */
 	enum Progress {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointProvider.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointProvider.java
@@ -15,11 +15,12 @@
 import org.pistachioline.protocol.peer.CheckpointRequest;
 
 /**
- * Gives out one stream's checkpoint part by part.
+ * Serves one stream's checkpoint to peers, part by part.
  * <p>
- * When all daemons are replaced at once, many ask the few that are left. The state is
- * therefore encoded at most once a second, however many ask, and one encoded checkpoint
- * is kept until nobody has asked for it for a while.
+ * When all daemons are replaced at once, many of them request checkpoints from the few
+ * that remain. The state is therefore encoded at most once a second regardless of the
+ * number of requests, and the encoded checkpoint is retained until no peer has requested
+ * it for a while.
  */
 final class CheckpointProvider {
 
@@ -54,8 +55,8 @@
 			return reply.build();
 		}
 		final CheckpointPart part = this.parts.get(index);
-		final boolean other = index > 0 && part.throughOffset() != request.getThroughOffset();
-		if (other || part.throughOffset() + 1 < request.getKnownOffset()) {
+		final boolean otherCheckpoint = index > 0 && part.throughOffset() != request.getThroughOffset();
+		if (otherCheckpoint || part.throughOffset() + 1 < request.getKnownOffset()) {
 			return reply.build();
 		}
 		return reply.setAvailable(true)
@@ -71,9 +72,9 @@
 		if (!this.parts.isEmpty() && nowNanos - this.encodedAtNanos < MIN_ENCODE_INTERVAL_NANOS) {
 			return;
 		}
-		final Optional<StreamSnapshot> now = this.source.get();
-		this.coverage = now.map(StreamSnapshot::cover).orElse(CheckpointCoverage.NONE);
-		this.parts = now.map((snapshot) -> CheckpointParts.cut(snapshot.throughOffset(), snapshot.stateBytes()))
+		final Optional<StreamSnapshot> snapshot = this.source.get();
+		this.coverage = snapshot.map(StreamSnapshot::cover).orElse(CheckpointCoverage.NONE);
+		this.parts = snapshot.map((current) -> CheckpointParts.cut(current.throughOffset(), current.stateBytes()))
 			.orElse(List.of());
 		this.encodedAtNanos = nowNanos;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
@@ -23,12 +23,14 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Takes checkpoints from peers where the log cannot help, and gives them to peers.
+ * Fetches checkpoints from peers when the log cannot provide the state, and serves
+ * checkpoints to peers.
  * <p>
- * A stream asks while it has no whole state, or while the log cannot be read and a peer
- * has read further. The peer with the highest offset is asked first. Nothing older than
- * the highest offset that any peer has told is taken, since a configuration that was in
- * force there must not revert here.
+ * A stream needs a checkpoint while its state is incomplete, or while the log is
+ * unreachable and a peer has read further. Candidate peers are sorted by the offset they
+ * report, highest first, and tried in rotation. A checkpoint older than the highest
+ * offset that any peer has reported is rejected, since a configuration that was in force
+ * on a peer must not be reverted here.
  */
 public final class CheckpointTransfer implements Lifecycle, DutyHandler<PeerFrame> {
 
@@ -55,10 +57,10 @@
 	private int peerRotation;
 
 	/**
-	 * Creates the transfer.
+	 * Creates a transfer that is not started yet.
 	 * @param system the process's actor system
-	 * @param peers carries the frames
-	 * @param selfId this daemon's name
+	 * @param peers sends and receives the frames
+	 * @param selfId this daemon's id
 	 * @param streams the streams whose checkpoints are exchanged
 	 */
 	public CheckpointTransfer(ActorSystem<?> system, PeerDuty peers, String selfId, List<ExchangedStream> streams) {
@@ -74,7 +76,8 @@
 	@Override
 	public void start() {
 		this.duty.start();
-		// Without room a frame is dropped: the one who asked asks again.
+		// When the ring is full the frame is dropped, and the requester retries after
+		// its timeout.
 		this.peers.setCheckpointReceiver(this.duty::offer);
 	}
 
@@ -98,33 +101,33 @@
 
 	private void fetchIfNeeded(ExchangedStream exchanged, List<PeerStatus> others, long nowNanos) {
 		final String stream = exchanged.stream().stream();
-		final long told = others.stream().mapToLong(exchanged.reportedOffset()).max().orElse(0);
-		final long floorOffset = this.highestReportedOffsets.merge(stream, told, Math::max);
+		final long maxReportedOffset = others.stream().mapToLong(exchanged.reportedOffset()).max().orElse(0);
+		final long highestReportedOffset = this.highestReportedOffsets.merge(stream, maxReportedOffset, Math::max);
 		final CheckpointFetch running = this.fetches.get(stream);
 		if (running != null && nowNanos - running.requestedAtNanos() < REPLY_TIMEOUT_NANOS) {
 			return;
 		}
 		this.fetches.remove(stream);
 		final StreamView<?> view = exchanged.stream().view();
-		final boolean behind = view.complete() && !view.logReachable() && told > view.nextOffset();
+		final boolean behind = view.complete() && !view.logReachable() && maxReportedOffset > view.nextOffset();
 		if (view.wantsCheckpoint() || behind) {
-			startFetch(exchanged, others, Math.max(floorOffset, view.nextOffset()), nowNanos);
+			startFetch(exchanged, others, Math.max(highestReportedOffset, view.nextOffset()), nowNanos);
 		}
 	}
 
-	private void startFetch(ExchangedStream exchanged, List<PeerStatus> others, long floorOffset, long nowNanos) {
-		final List<PeerStatus> furthest = others.stream()
+	private void startFetch(ExchangedStream exchanged, List<PeerStatus> others, long minNextOffset, long nowNanos) {
+		final List<PeerStatus> candidates = others.stream()
 			.filter((peer) -> peer.configOffset() > 0)
 			.sorted(Comparator.comparingLong(exchanged.reportedOffset()).reversed())
 			.filter((peer) -> exchanged.reportedOffset().applyAsLong(peer) == 0
-					|| exchanged.reportedOffset().applyAsLong(peer) >= floorOffset)
+					|| exchanged.reportedOffset().applyAsLong(peer) >= minNextOffset)
 			.toList();
-		if (furthest.isEmpty()) {
+		if (candidates.isEmpty()) {
 			return;
 		}
 		final String stream = exchanged.stream().stream();
-		final String peerId = furthest.get(Math.floorMod(this.peerRotation++, furthest.size())).daemonId();
-		final CheckpointFetch fetch = new CheckpointFetch(stream, this.selfId, peerId, floorOffset);
+		final String peerId = candidates.get(Math.floorMod(this.peerRotation++, candidates.size())).daemonId();
+		final CheckpointFetch fetch = new CheckpointFetch(stream, this.selfId, peerId, minNextOffset);
 		this.fetches.put(stream, fetch);
 		sendRequest(fetch, nowNanos);
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ConnectionLimiter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ConnectionLimiter.java
@@ -7,7 +7,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Closes a connection at once where there are too many.
+ * Closes new inbound connections immediately while their number exceeds a limit.
  */
 @ChannelHandler.Sharable
 final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
@@ -13,15 +13,16 @@
 import org.pistachioline.protocol.peer.CrashedTarget;
 
 /**
- * Turns requests under which targets died into protobuf and back. Ages are sent instead
- * of times, since each daemon has a monotonic clock of its own.
+ * Encodes requests that are suspected of crashing targets as protobuf messages, and
+ * decodes them. Crash times are sent as ages, since the monotonic clocks of daemons are
+ * not comparable.
  */
 final class CrashCodec {
 
-	/** Bounds what one frame makes a daemon take in. */
+	/** Bounds the work that one frame can cause. */
 	static final int MAX_REQUESTS = 16;
 
-	/** No verdict needs more. */
+	/** More crashes than this do not change a verdict. */
 	static final int MAX_CRASHES = 8;
 
 	private static final int MAX_FINGERPRINT_BYTES = 32;
@@ -41,25 +42,25 @@
 		return CrashSuspect.newBuilder()
 			.setFingerprint(ByteString.copyFrom(HexFormat.of().parseHex(request.fingerprint())))
 			.addAllTargets(
-					request.deaths().stream().limit(MAX_CRASHES).map((death) -> encode(death, nowNanos)).toList())
+					request.deaths().stream().limit(MAX_CRASHES).map((crash) -> encode(crash, nowNanos)).toList())
 			.build();
 	}
 
-	private static CrashedTarget encode(TargetDeath death, long nowNanos) {
-		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - death.diedAtNanos());
+	private static CrashedTarget encode(TargetDeath crash, long nowNanos) {
+		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - crash.diedAtNanos());
 		return CrashedTarget.newBuilder()
-			.setTargetId(death.targetId())
+			.setTargetId(crash.targetId())
 			.setAgeMillis(Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)))
-			.setUnderWay(death.phase() == DeathPhase.UNDER_WAY)
-			.setExcused(death.excused())
+			.setUnderWay(crash.phase() == DeathPhase.UNDER_WAY)
+			.setExcused(crash.excused())
 			.build();
 	}
 
 	/**
-	 * Reads requests of a frame, leaving out what cannot be meant.
-	 * @param requests the requests
+	 * Decodes the suspected requests of a frame, omitting invalid entries.
+	 * @param requests the encoded requests
 	 * @param nowNanos the monotonic time
-	 * @return the requests
+	 * @return the valid requests
 	 */
 	static List<SuspectedRequest> decode(List<CrashSuspect> requests, long nowNanos) {
 		return requests.stream()
@@ -70,14 +71,14 @@
 						.stream()
 						.limit(MAX_CRASHES)
 						.filter(CrashCodec::isValid)
-						.map((death) -> decode(death, nowNanos))
+						.map((crash) -> decode(crash, nowNanos))
 						.toList()))
 			.toList();
 	}
 
-	private static TargetDeath decode(CrashedTarget death, long nowNanos) {
-		return new TargetDeath(death.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(death.getAgeMillis()),
-				death.getUnderWay() ? DeathPhase.UNDER_WAY : DeathPhase.BEGINNING, death.getExcused());
+	private static TargetDeath decode(CrashedTarget crash, long nowNanos) {
+		return new TargetDeath(crash.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(crash.getAgeMillis()),
+				crash.getUnderWay() ? DeathPhase.UNDER_WAY : DeathPhase.BEGINNING, crash.getExcused());
 	}
 
 	private static boolean isValid(CrashSuspect request) {
@@ -85,9 +86,9 @@
 		return bytes > 0 && bytes <= MAX_FINGERPRINT_BYTES && request.getTargetsCount() > 0;
 	}
 
-	private static boolean isValid(CrashedTarget death) {
-		final long ageMillis = death.getAgeMillis();
-		return !death.getTargetId().isEmpty() && death.getTargetId().length() <= MAX_TARGET_ID_CHARACTERS
+	private static boolean isValid(CrashedTarget crash) {
+		final long ageMillis = crash.getAgeMillis();
+		return !crash.getTargetId().isEmpty() && crash.getTargetId().length() <= MAX_TARGET_ID_CHARACTERS
 				&& ageMillis >= 0 && ageMillis <= MAX_AGE_MILLIS;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ExchangedStream.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ExchangedStream.java
@@ -6,11 +6,11 @@
 import org.pistachioline.daemon.agreed.StreamDuty;
 
 /**
- * A stream whose checkpoints daemons give each other.
+ * A stream whose checkpoints daemons exchange.
  *
  * @param stream the stream
- * @param reportedOffset what a daemon's heartbeat tells of its offset; 0 where it tells
- * nothing
+ * @param reportedOffset returns the stream's offset that a daemon reported in its
+ * heartbeat; 0 if heartbeats do not report it
  */
 public record ExchangedStream(StreamDuty<?> stream, ToLongFunction<PeerStatus> reportedOffset) {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameHandler.java
@@ -12,7 +12,8 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Hands frames on, and closes a connection whose bytes are not frames or that idles.
+ * Passes received frames on, and closes a connection that is idle or sends bytes that
+ * cannot be decoded.
  */
 final class FrameHandler extends SimpleChannelInboundHandler<PeerFrame> {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameRateLimiter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameRateLimiter.java
@@ -11,7 +11,7 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Closes a connection that brings frames faster than any peer does.
+ * Closes a connection that exceeds the maximum number of frames per second.
  */
 final class FrameRateLimiter extends ChannelInboundHandlerAdapter {
 
@@ -23,9 +23,9 @@
 
 	private int framesInWindow;
 
-	FrameRateLimiter(LongSupplier clock) {
-		this.clockNanos = clock;
-		this.windowStartNanos = clock.getAsLong();
+	FrameRateLimiter(LongSupplier clockNanos) {
+		this.clockNanos = clockNanos;
+		this.windowStartNanos = clockNanos.getAsLong();
 	}
 
 	@Override
@@ -39,8 +39,8 @@
 		if (this.framesInWindow > PeerLimits.MAX_FRAMES_PER_SECOND) {
 			io.netty.util.ReferenceCountUtil.release(message);
 			if (ctx.channel().isOpen()) {
-				Events.log(EventId.PEER_FRAME_REFUSED, new TooLongFrameException("too many frames a second"), "remote",
-						ctx.channel().remoteAddress());
+				Events.log(EventId.PEER_FRAME_REFUSED, new TooLongFrameException("too many frames per second"),
+						"remote", ctx.channel().remoteAddress());
 				ctx.close();
 			}
 			return;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/LimitCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/LimitCodec.java
@@ -9,12 +9,15 @@
 import org.pistachioline.protocol.peer.TargetLimit;
 
 /**
- * Turns the limits that targets name into protobuf and back. Ages are sent instead of
- * times, since each daemon has a monotonic clock of its own.
+ * Encodes the limits that targets state as protobuf messages, and decodes them. Times are
+ * sent as ages, since the monotonic clocks of daemons are not comparable.
  */
 final class LimitCodec {
 
-	/** Bounds the part of a beat that grows with the targets in need. */
+	/**
+	 * Bounds the part of a heartbeat that grows with the number of targets that state a
+	 * limit.
+	 */
 	static final int MAX_LIMITS = 64;
 
 	private static final long MAX_AGE_MILLIS = TimeUnit.HOURS.toMillis(1);
@@ -36,10 +39,10 @@
 	}
 
 	/**
-	 * Reads the limits of a heartbeat, leaving out what cannot be meant.
+	 * Decodes the limits of a heartbeat, omitting invalid entries.
 	 * @param heartbeat the heartbeat
 	 * @param nowNanos the monotonic time
-	 * @return the limits
+	 * @return the valid limits
 	 */
 	static List<StatedLimit> decode(Heartbeat heartbeat, long nowNanos) {
 		return heartbeat.getTargetLimitsList()
@@ -54,9 +57,10 @@
 	}
 
 	private static boolean isValid(TargetLimit limit) {
-		final double perSecond = limit.getRequestsPerSecond();
+		final double requestsPerSecond = limit.getRequestsPerSecond();
 		final long ageMillis = limit.getHeardAgeMillis();
-		return perSecond >= 0 && Double.isFinite(perSecond) && ageMillis >= 0 && ageMillis <= MAX_AGE_MILLIS;
+		return requestsPerSecond >= 0 && Double.isFinite(requestsPerSecond) && ageMillis >= 0
+				&& ageMillis <= MAX_AGE_MILLIS;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerChannelInitializer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerChannelInitializer.java
@@ -14,7 +14,8 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Sets up a link: limits first, then TLS, then frames.
+ * Sets up the channel pipeline of a peer connection: the connection limit, then TLS, then
+ * framing.
  */
 final class PeerChannelInitializer extends ChannelInitializer<SocketChannel> {
 
@@ -28,13 +29,13 @@
 
 	/**
 	 * Creates an initializer.
-	 * @param tls what secures the link; null for none
-	 * @param connections counts connections that others opened; null on this daemon's own
-	 * @param receiver takes each frame
+	 * @param tls the TLS contexts; null for plain TCP
+	 * @param inboundLimiter limits inbound connections; null for outbound connections
+	 * @param receiver receives each frame
 	 */
-	PeerChannelInitializer(PeerTls tls, ConnectionLimiter connections, Consumer<PeerFrame> receiver) {
+	PeerChannelInitializer(PeerTls tls, ConnectionLimiter inboundLimiter, Consumer<PeerFrame> receiver) {
 		this.tls = tls;
-		this.inboundLimiter = connections;
+		this.inboundLimiter = inboundLimiter;
 		this.receiver = receiver;
 	}
 
@@ -52,7 +53,8 @@
 			.addLast(new LengthFieldBasedFrameDecoder(PeerLimits.MAX_FRAME_BYTES, 0, LENGTH_PREFIX_BYTES, 0,
 					LENGTH_PREFIX_BYTES))
 			.addLast(new FrameRateLimiter(System::nanoTime))
-			// After the decoder, so that bytes which never become a frame count as idle.
+			// Placed after the frame decoder, so that bytes that never form a frame
+			// count as idle.
 			.addLast(idleHandler(serverSide))
 			.addLast(new ProtobufDecoder(PeerFrame.getDefaultInstance()))
 			.addLast(new LengthFieldPrepender(LENGTH_PREFIX_BYTES))
@@ -60,7 +62,7 @@
 			.addLast(new FrameHandler(this.receiver));
 	}
 
-	// A daemon's own link is only written to, one that was opened to it is only read.
+	// Frames are only sent on outbound connections and only received on inbound ones.
 	private static IdleStateHandler idleHandler(boolean serverSide) {
 		return serverSide ? new IdleStateHandler(PeerLimits.IDLE_TIMEOUT_SECONDS, 0, 0)
 				: new IdleStateHandler(0, PeerLimits.IDLE_TIMEOUT_SECONDS, 0);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
@@ -15,11 +15,14 @@
 import org.pistachioline.protocol.peer.WorkspaceUse;
 
 /**
- * Turns what daemons say of themselves into protobuf and back.
+ * Encodes the status of daemons as protobuf messages, and decodes it.
  */
 public final class PeerCodec {
 
-	/** Bounds the part of a beat that grows with the workspaces that have demand. */
+	/**
+	 * Bounds the part of a heartbeat that grows with the number of workspaces with
+	 * demand.
+	 */
 	static final int MAX_WORKSPACES = 64;
 
 	private static final double MIN_REQUESTS_PER_SECOND = 0.01;
@@ -28,12 +31,12 @@
 	}
 
 	/**
-	 * Makes a heartbeat.
-	 * @param self what the sender says of itself
-	 * @param sample what it tells of others
-	 * @param demand the sender's demand, by workspace
-	 * @param limits the limits that targets name
-	 * @param suspects requests under which targets died
+	 * Builds a heartbeat.
+	 * @param self the sender's own status
+	 * @param sample the gossip about other daemons
+	 * @param demand the sender's demand in requests per second, by workspace
+	 * @param limits the limits that targets state
+	 * @param suspects the requests that are suspected of crashing targets
 	 * @return the frame
 	 */
 	public static PeerFrame heartbeat(PeerStatus self, GossipSample sample, Map<String, Double> demand,
@@ -44,7 +47,8 @@
 			.addAllCrashSuspects(suspects);
 		sample.whole().forEach((peer) -> heartbeat.addKnown(encode(peer)));
 		sample.news().forEach((news) -> heartbeat.addNews(encode(news)));
-		// Workspaces without demand are left out: an absent one counts as none.
+		// Workspaces without demand are omitted: receivers treat a missing workspace as
+		// no demand.
 		demand.forEach((workspace, requestsPerSecond) -> {
 			if (requestsPerSecond >= MIN_REQUESTS_PER_SECOND && heartbeat.getWorkspaceUseCount() < MAX_WORKSPACES) {
 				heartbeat.addWorkspaceUse(
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
@@ -32,7 +32,9 @@
 import org.pistachioline.protocol.peer.WorkspaceUse;
 
 /**
- * Tells a few peers at each beat what this daemon knows, so that all hear of all.
+ * Exchanges heartbeats with peers by gossip: each heartbeat goes to a few random peers
+ * and carries a sample of what this daemon knows, so that all daemons learn of all
+ * others.
  */
 public final class PeerDuty implements Lifecycle, DutyHandler<PeerFrame> {
 
@@ -42,7 +44,10 @@
 
 	private static final int IMMEDIATE_FAN_OUT = 16;
 
-	/** Asks the duty for a heartbeat out of turn; never taken from the network. */
+	/**
+	 * Requests an immediate heartbeat from the duty; frames from the network that look
+	 * like it are dropped before they reach the duty.
+	 */
 	private static final PeerFrame HEARTBEAT_NOW = PeerFrame.getDefaultInstance();
 
 	private static final int LIVENESS_HEARTBEATS = 8;
@@ -74,12 +79,12 @@
 
 	private volatile Supplier<Map<String, Double>> ownDemand = Map::of;
 
-	private volatile BiConsumer<PeerStatus, Map<String, Double>> demandReceiver = (status, told) -> {
+	private volatile BiConsumer<PeerStatus, Map<String, Double>> demandReceiver = (status, reported) -> {
 	};
 
 	private volatile Supplier<List<StatedLimit>> ownLimits = List::of;
 
-	private volatile Consumer<List<StatedLimit>> limitReceiver = (told) -> {
+	private volatile Consumer<List<StatedLimit>> limitReceiver = (reported) -> {
 	};
 
 	private final SuspectExchange suspectExchange = new SuspectExchange();
@@ -89,13 +94,13 @@
 	private final AtomicReference<List<PeerStatus>> livePeers = new AtomicReference<>(List.of());
 
 	/**
-	 * Creates the duty.
+	 * Creates a duty that is not started yet.
 	 * @param system the process's actor system
-	 * @param transport creates the transport from what takes its frames
-	 * @param selfId this daemon's name
-	 * @param self what this daemon says of itself
-	 * @param seeds addresses of daemons to begin with
-	 * @param heartbeatMillis the time between two beats
+	 * @param transport creates the transport for a given frame receiver
+	 * @param selfId this daemon's id
+	 * @param self supplies this daemon's current status
+	 * @param seeds supplies the addresses of daemons to contact first
+	 * @param heartbeatMillis the heartbeat interval
 	 */
 	public PeerDuty(ActorSystem<?> system, Function<Consumer<PeerFrame>, PeerTransport> transport, String selfId,
 			Supplier<PeerStatus> self, Supplier<List<String>> seeds, long heartbeatMillis) {
@@ -103,7 +108,8 @@
 		this.seeds = seeds;
 		this.table = new PeerTable(selfId, Duration.ofMillis(LIVENESS_HEARTBEATS * heartbeatMillis).toNanos());
 		this.duty = new Duty<>(system, "peers", RING_CAPACITY, Duration.ofMillis(heartbeatMillis), this);
-		// A frame for which there is no room is dropped: the next beat brings newer word.
+		// A frame is dropped when the ring is full; the next heartbeat carries newer
+		// data.
 		this.transport = transport.apply(this::onFrame);
 	}
 
@@ -125,8 +131,8 @@
 	}
 
 	/**
-	 * Returns the live daemons, this one included.
-	 * @return what each says of itself
+	 * Returns the live daemons, including this one.
+	 * @return the latest known status of each
 	 */
 	public List<PeerStatus> liveDaemons() {
 		final List<PeerStatus> daemons = new ArrayList<>(this.livePeers.get());
@@ -135,25 +141,25 @@
 	}
 
 	/**
-	 * Returns the live daemons besides this one.
-	 * @return what each says of itself
+	 * Returns the live daemons other than this one.
+	 * @return the latest known status of each
 	 */
 	public List<PeerStatus> livePeers() {
 		return this.livePeers.get();
 	}
 
 	/**
-	 * Returns the newest configuration that is in force on a live daemon besides this
-	 * one.
-	 * @return its version; 0 where none is
+	 * Returns the newest configuration version that is in force on a live daemon other
+	 * than this one.
+	 * @return the version; 0 if there is none
 	 */
 	public long newestConfigVersion() {
 		return this.newestConfigVersion;
 	}
 
 	/**
-	 * Returns the names of the live daemons that are not leaving, this one included.
-	 * @return the names
+	 * Returns the ids of the live daemons that are not leaving, including this one.
+	 * @return the ids, sorted
 	 */
 	public Set<String> activeDaemonIds() {
 		return liveDaemons().stream()
@@ -163,31 +169,31 @@
 	}
 
 	/**
-	 * Returns where this daemon listens for peers.
-	 * @return the address
+	 * Returns the address on which this daemon listens for peers.
+	 * @return the address, as host and port
 	 */
 	public String localAddress() {
 		return this.transport.localAddress();
 	}
 
 	/**
-	 * Sets what takes frames with checkpoints.
-	 * @param receiver takes them; it must not block
+	 * Sets the receiver of frames that request or carry checkpoints.
+	 * @param receiver receives the frames; it must not block
 	 */
 	public void setCheckpointReceiver(Consumer<PeerFrame> receiver) {
 		this.checkpointReceiver = receiver;
 	}
 
 	/**
-	 * Sets what takes frames about claims.
-	 * @param receiver takes them; it must not block
+	 * Sets the receiver of frames about request claims.
+	 * @param receiver receives the frames; it must not block
 	 */
 	public void setClaimReceiver(Consumer<PeerFrame> receiver) {
 		this.claimReceiver = receiver;
 	}
 
 	/**
-	 * Returns the transport, for its counts.
+	 * Returns the transport, whose traffic is exported as metrics.
 	 * @return the transport
 	 */
 	public PeerTransport transport() {
@@ -195,32 +201,33 @@
 	}
 
 	/**
-	 * Sets what takes frames about presence.
-	 * @param receiver takes them; it must not block
+	 * Sets the receiver of frames about the presence of instances.
+	 * @param receiver receives the frames; it must not block
 	 */
 	public void setPresenceReceiver(Consumer<PeerFrame> receiver) {
 		this.presenceReceiver = receiver;
 	}
 
 	/**
-	 * Sets what takes frames about the list of instances.
-	 * @param receiver takes them; it must not block
+	 * Sets the receiver of frames about the list of instances. It is called on the
+	 * transport's thread.
+	 * @param receiver receives the frames; it must not block
 	 */
 	public void setListingReceiver(Consumer<PeerFrame> receiver) {
 		this.listingReceiver = receiver;
 	}
 
 	/**
-	 * Sets what is told of targets at which other daemons' requests stand still.
-	 * @param receiver takes a target's id; it must not block
+	 * Sets the listener for targets at which requests of other daemons have stalled.
+	 * @param receiver receives the target's id; it must not block
 	 */
 	public void setStallListener(Consumer<String> receiver) {
 		this.stallListener = receiver;
 	}
 
 	/**
-	 * Tells the other daemons that requests stand still at a target. Only the one that
-	 * plans acts on it, and it may not have a request there itself.
+	 * Notifies all other live daemons that requests have stalled at a target. Only the
+	 * planner acts on the notice, and it may have no request at that target itself.
 	 * @param targetId the target
 	 */
 	public void broadcastStall(String targetId) {
@@ -231,8 +238,8 @@
 	}
 
 	/**
-	 * Sends a frame to a live daemon; it is dropped where the daemon is not live or its
-	 * link cannot take it.
+	 * Sends a frame to a live daemon. The frame is dropped if the daemon is not live or
+	 * its connection cannot accept it.
 	 * @param daemonId the daemon
 	 * @param frame the frame
 	 */
@@ -245,9 +252,9 @@
 	}
 
 	/**
-	 * Sets what tells and takes the demand of workspaces.
-	 * @param own this daemon's demand
-	 * @param receiver takes a peer's; it must not block
+	 * Sets the source and the receiver of the demand of workspaces that heartbeats carry.
+	 * @param own supplies this daemon's demand, in requests per second by workspace
+	 * @param receiver receives the demand of a peer; it must not block
 	 */
 	public void setDemandExchange(Supplier<Map<String, Double>> own,
 			BiConsumer<PeerStatus, Map<String, Double>> receiver) {
@@ -256,9 +263,9 @@
 	}
 
 	/**
-	 * Sets what tells and takes the limits that targets name.
-	 * @param own what this daemon knows
-	 * @param receiver takes what a peer knows; it must not block
+	 * Sets the source and the receiver of the limits that heartbeats carry.
+	 * @param own supplies the limits that this daemon knows
+	 * @param receiver receives the limits that a peer knows; it must not block
 	 */
 	public void setLimitExchange(Supplier<List<StatedLimit>> own, Consumer<List<StatedLimit>> receiver) {
 		this.ownLimits = own;
@@ -266,17 +273,18 @@
 	}
 
 	/**
-	 * Returns what is told of requests under which targets died.
-	 * @return what daemons tell each other
+	 * Returns the exchange of requests that are suspected of crashing targets.
+	 * @return the exchange
 	 */
 	public SuspectExchange suspectExchange() {
 		return this.suspectExchange;
 	}
 
 	/**
-	 * Tells all other daemons of requests under which targets died, so that the next copy
-	 * finds them warned. Heartbeats make up for frames that are lost.
-	 * @param requests the requests
+	 * Notifies all other live daemons of requests that are suspected of crashing targets,
+	 * so that they recognize the next attempt of such a request. Heartbeats repeat the
+	 * suspicion, which makes up for lost frames.
+	 * @param requests the suspected requests
 	 */
 	public void broadcastSuspects(List<SuspectedRequest> requests) {
 		final PeerFrame frame = SuspectExchange.toNotice(requests, System.nanoTime());
@@ -338,7 +346,7 @@
 			this.limitReceiver.accept(LimitCodec.decode(frame.getHeartbeat(), nowNanos));
 		}
 		this.suspectExchange.onPeerSuspects(frame.getHeartbeat().getCrashSuspectsList(), nowNanos);
-		// The next tick shows the rest.
+		// Updates without a relevant change are published at the next tick.
 		if (this.table.takeChanged()) {
 			updateLivePeers(this.table.live(nowNanos));
 		}
@@ -357,28 +365,29 @@
 
 	@Override
 	public void onTick() {
-		final List<PeerStatus> known = this.table.live(System.nanoTime());
-		logLostPeers(known);
-		updateLivePeers(known);
+		final List<PeerStatus> currentPeers = this.table.live(System.nanoTime());
+		logLostPeers(currentPeers);
+		updateLivePeers(currentPeers);
 		sendHeartbeat(HEARTBEAT_FAN_OUT);
 	}
 
-	private void updateLivePeers(List<PeerStatus> known) {
-		this.livePeers.set(known);
-		this.newestConfigVersion = known.stream().mapToLong(PeerStatus::configVersion).max().orElse(0);
+	private void updateLivePeers(List<PeerStatus> currentPeers) {
+		this.livePeers.set(currentPeers);
+		this.newestConfigVersion = currentPeers.stream().mapToLong(PeerStatus::configVersion).max().orElse(0);
 	}
 
-	private void logLostPeers(List<PeerStatus> known) {
-		final Set<String> now = known.stream().map(PeerStatus::daemonId).collect(Collectors.toSet());
-		for (final PeerStatus before : this.livePeers.get()) {
-			if (!now.contains(before.daemonId())) {
-				Events.log(EventId.PEER_LOST, "daemon", before.daemonId(), "address", before.peerAddress());
+	private void logLostPeers(List<PeerStatus> currentPeers) {
+		final Set<String> currentIds = currentPeers.stream().map(PeerStatus::daemonId).collect(Collectors.toSet());
+		for (final PeerStatus previous : this.livePeers.get()) {
+			if (!currentIds.contains(previous.daemonId())) {
+				Events.log(EventId.PEER_LOST, "daemon", previous.daemonId(), "address", previous.peerAddress());
 			}
 		}
 	}
 
 	/**
-	 * Sends one heartbeat to many peers soon, so that they learn of a change at once.
+	 * Sends a heartbeat to many peers without waiting for the next tick, so that they
+	 * learn of a change immediately.
 	 */
 	public void sendHeartbeat() {
 		this.duty.offer(HEARTBEAT_NOW);
@@ -393,9 +402,9 @@
 		final Set<String> addresses = new TreeSet<>(this.seeds.get());
 		this.livePeers.get().forEach((peer) -> addresses.add(peer.peerAddress()));
 		addresses.remove(status.peerAddress());
-		final List<String> chosen = new ArrayList<>(addresses);
-		Collections.shuffle(chosen, ThreadLocalRandom.current());
-		chosen.stream().limit(fanOut).forEach((address) -> this.transport.send(address, frame));
+		final List<String> recipients = new ArrayList<>(addresses);
+		Collections.shuffle(recipients, ThreadLocalRandom.current());
+		recipients.stream().limit(fanOut).forEach((address) -> this.transport.send(address, frame));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerLimits.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerLimits.java
@@ -1,28 +1,28 @@
 package org.pistachioline.daemon.peer;
 
 /**
- * What one connection on the peer port may cost, and how many there may be.
+ * Resource limits for the connections on the peer port.
  * <p>
- * Anybody who reaches the port can connect. Without these limits a stranger's bytes grow
- * the daemon's memory: by a length that announces a huge frame, by frames that never end,
- * by connections that say nothing, or by frames faster than the duty takes them. One
- * would notice a growing process and heartbeats that come late.
+ * Any process that reaches the port can connect. Without these limits it could exhaust
+ * the daemon's memory with a length prefix that announces a huge frame, with frames that
+ * never end, with idle connections, or with frames that arrive faster than the duty
+ * handles them. The symptoms would be a growing process and late heartbeats.
  */
 final class PeerLimits {
 
-	/** The longest frame: a part of a checkpoint with its head. */
+	/** The maximum frame size: one part of a checkpoint with its header. */
 	static final int MAX_FRAME_BYTES = 320 * 1024;
 
 	/**
-	 * Frames that one connection may bring in a second: a peer sends some ten, and a
-	 * checkpoint comes part by part.
+	 * The maximum number of frames that one connection may send per second. A peer sends
+	 * about ten, apart from checkpoints, which take one frame per part.
 	 */
 	static final int MAX_FRAMES_PER_SECOND = 200;
 
 	/**
-	 * How long a connection may stay without a whole frame. Gossip takes turns among
-	 * peers, so that links not in use are closed on either side and their number stays
-	 * bounded in a large fleet.
+	 * How long a connection may stay open without a complete frame. Gossip selects
+	 * different peers over time, so closing unused connections on either side keeps their
+	 * number bounded in a large fleet.
 	 */
 	static final int IDLE_TIMEOUT_SECONDS = 15;
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerMeter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerMeter.java
@@ -7,7 +7,7 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Counts the frames of each kind and their bytes.
+ * Counts the frames of each kind and their bytes, for metrics.
  */
 public final class PeerMeter {
 
@@ -30,18 +30,19 @@
 	}
 
 	/**
-	 * Returns how many frames were counted.
+	 * Returns the number of frames of a kind.
 	 * @param kind the kind of frame
-	 * @return the frames since the start
+	 * @return the number since the start
 	 */
 	public long frameCount(PeerFrame.BodyCase kind) {
 		return this.frameCount.get(kind).sum();
 	}
 
 	/**
-	 * Returns how many bytes were counted, without those of TCP and TLS.
+	 * Returns the number of bytes in the frames of a kind, excluding the overhead of TCP
+	 * and TLS.
 	 * @param kind the kind of frame
-	 * @return the bytes since the start
+	 * @return the number since the start
 	 */
 	public long byteCount(PeerFrame.BodyCase kind) {
 		return this.byteCount.get(kind).sum();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTls.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTls.java
@@ -11,9 +11,10 @@
 import io.netty.handler.ssl.SslHandler;
 
 /**
- * Mutual TLS on the links between daemons: each side shows a certificate that the
- * operators' own authority signed. Names are not compared, as daemons talk by IP numbers
- * and any daemon may take any address; the authority must sign nothing but daemons.
+ * Provides mutual TLS for the connections between daemons: each side presents a
+ * certificate signed by the operator's certificate authority. Host names are not
+ * verified, as daemons connect by IP address and any daemon may have any address. The
+ * authority must therefore sign certificates for daemons only.
  */
 public final class PeerTls {
 
@@ -27,29 +28,31 @@
 	}
 
 	/**
-	 * Reads the files.
+	 * Loads certificates and key from files.
 	 * @param certificate the daemon's certificate with its chain, as PEM
-	 * @param key its private key, as PEM
-	 * @param trust the certificates of the authority, as PEM
-	 * @return the contexts of both sides
+	 * @param key the private key of the certificate, as PEM
+	 * @param authority the certificates of the authority, as PEM
+	 * @return the TLS contexts for both sides of a connection
+	 * @throws IllegalArgumentException if a file cannot be used
 	 */
-	public static PeerTls read(File certificate, File key, File trust) {
+	public static PeerTls read(File certificate, File key, File authority) {
 		try {
 			return new PeerTls(
 					SslContextBuilder.forServer(certificate, key)
-						.trustManager(trust)
+						.trustManager(authority)
 						.clientAuth(ClientAuth.REQUIRE)
 						.protocols("TLSv1.3")
 						.build(),
 					SslContextBuilder.forClient()
 						.keyManager(certificate, key)
-						.trustManager(trust)
+						.trustManager(authority)
 						.endpointIdentificationAlgorithm(null)
 						.protocols("TLSv1.3")
 						.build());
 		}
 		catch (SSLException | IllegalArgumentException ex) {
-			throw new IllegalArgumentException("The files of peers.tls_* cannot be used: " + ex.getMessage(), ex);
+			throw new IllegalArgumentException("Cannot load the files configured by peers.tls_*: " + ex.getMessage(),
+					ex);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTransport.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTransport.java
@@ -24,8 +24,8 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Carries frames between daemons: one port that listens, one connection to each peer that
- * is spoken to, closed when it is not used for a while.
+ * Transfers frames between daemons. It listens on one port and opens one outbound
+ * connection to each peer that it sends to, which is closed after a period without use.
  */
 public final class PeerTransport implements Lifecycle {
 
@@ -35,8 +35,8 @@
 			2 * PeerLimits.MAX_FRAME_BYTES);
 
 	/**
-	 * Frames are small and some ten a second: a pool with its arenas would hold megabytes
-	 * and load its classes before the first of them.
+	 * Frames are small and only about ten are sent per second. A pooled allocator would
+	 * hold megabytes of arenas and load its classes before the first frame.
 	 */
 	private static final ByteBufAllocator ALLOCATOR = new UnpooledByteBufAllocator(false, true);
 
@@ -59,11 +59,11 @@
 	private Channel serverChannel;
 
 	/**
-	 * Creates a transport.
-	 * @param address where to listen, as host and port
-	 * @param tls what secures the links; null for none
-	 * @param maxConnections how many connections others may hold here
-	 * @param receiver takes each frame, on the transport's thread
+	 * Creates a transport that does not listen yet.
+	 * @param address the listen address, as host and port
+	 * @param tls the TLS contexts; null for plain TCP
+	 * @param maxConnections the maximum number of inbound connections
+	 * @param receiver receives each frame, on the transport's thread
 	 */
 	public PeerTransport(String address, PeerTls tls, int maxConnections, Consumer<PeerFrame> receiver) {
 		this.address = address;
@@ -96,7 +96,7 @@
 	}
 
 	/**
-	 * Returns where this daemon listens.
+	 * Returns the address on which this daemon listens.
 	 * @return the address, as host and port
 	 */
 	public String localAddress() {
@@ -105,61 +105,61 @@
 	}
 
 	/**
-	 * Returns what was sent.
-	 * @return the counts
+	 * Returns the meter of sent frames.
+	 * @return the meter
 	 */
 	public PeerMeter sentMeter() {
 		return this.sentMeter;
 	}
 
 	/**
-	 * Returns what was received.
-	 * @return the counts
+	 * Returns the meter of received frames.
+	 * @return the meter
 	 */
 	public PeerMeter receivedMeter() {
 		return this.receivedMeter;
 	}
 
 	/**
-	 * Returns how many connections are open, both ways.
-	 * @return how many
+	 * Returns the number of open connections, inbound and outbound.
+	 * @return the number of connections
 	 */
 	public int connectionCount() {
 		return this.connectionCount.openConnections() + this.outboundConnections.size();
 	}
 
 	/**
-	 * Sends a frame to a peer if its link can take it; otherwise the frame is dropped, as
-	 * the next heartbeat brings newer word. Where the link is being made the frame goes
-	 * out when it is: were it dropped, each question to a new peer would wait for its
-	 * time limit, and so would the answer on the way back.
-	 * @param peerAddress the peer's address
+	 * Sends a frame to a peer. The frame is dropped if the connection cannot accept it,
+	 * as the next heartbeat carries newer data. While the connection is being
+	 * established, frames are queued: if they were dropped, each request to a new peer
+	 * would wait for its timeout, and so would the response on the way back.
+	 * @param peerAddress the peer's address, as host and port
 	 * @param frame the frame
 	 */
 	public void send(String peerAddress, PeerFrame frame) {
-		final ChannelFuture link = this.outboundConnections.computeIfAbsent(peerAddress, this::connect);
-		if (link.isDone()) {
-			write(peerAddress, link, frame);
+		final ChannelFuture connection = this.outboundConnections.computeIfAbsent(peerAddress, this::connect);
+		if (connection.isDone()) {
+			write(peerAddress, connection, frame);
 		}
 		else {
-			// Bounded by the time limit of connecting and what is sent to one peer in it.
-			link.addListener((done) -> write(peerAddress, link, frame));
+			// Bounded by what is sent to one peer within the connect timeout.
+			connection.addListener((connected) -> write(peerAddress, connection, frame));
 		}
 	}
 
-	private void write(String peerAddress, ChannelFuture link, PeerFrame frame) {
-		if (!link.isSuccess() || !link.channel().isActive()) {
-			this.outboundConnections.remove(peerAddress, link);
+	private void write(String peerAddress, ChannelFuture connection, PeerFrame frame) {
+		if (!connection.isSuccess() || !connection.channel().isActive()) {
+			this.outboundConnections.remove(peerAddress, connection);
 			return;
 		}
-		if (link.channel().isWritable()) {
+		if (connection.channel().isWritable()) {
 			this.sentMeter.count(frame);
-			link.channel().writeAndFlush(frame, link.channel().voidPromise());
+			connection.channel().writeAndFlush(frame, connection.channel().voidPromise());
 		}
 	}
 
 	private ChannelFuture connect(String peerAddress) {
-		final ChannelFuture link = new Bootstrap().group(this.eventLoops)
+		final ChannelFuture connection = new Bootstrap().group(this.eventLoops)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.ALLOCATOR, ALLOCATOR)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
@@ -167,10 +167,12 @@
 			.option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
 			.handler(new PeerChannelInitializer(this.tls, null, this.receiver))
 			.connect(socketOf(peerAddress));
-		// A link that idles out must not stay in the table, or addresses of daemons long
-		// replaced would pile up.
-		link.channel().closeFuture().addListener((closed) -> this.outboundConnections.remove(peerAddress, link));
-		return link;
+		// Removes connections closed for idleness; otherwise the addresses of replaced
+		// daemons would accumulate.
+		connection.channel()
+			.closeFuture()
+			.addListener((closed) -> this.outboundConnections.remove(peerAddress, connection));
+		return connection;
 	}
 
 	private static InetSocketAddress socketOf(String address) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/SuspectExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/SuspectExchange.java
@@ -10,7 +10,7 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * What daemons tell each other of requests under which targets died.
+ * Exchanges requests that are suspected of crashing targets with other daemons.
  */
 public final class SuspectExchange {
 
@@ -18,19 +18,19 @@
 
 	private volatile Supplier<List<SuspectedRequest>> newcomerSuspects = List::of;
 
-	private volatile Consumer<List<SuspectedRequest>> receiver = (told) -> {
+	private volatile Consumer<List<SuspectedRequest>> receiver = (reported) -> {
 	};
 
 	/**
-	 * Sets what is told and what takes what others tell.
-	 * @param heartbeatSample some of what this daemon knows, for one heartbeat
-	 * @param forNewcomers what it tells a daemon that has just started
-	 * @param listener takes what a peer knows; it must not block
+	 * Sets the sources and the receiver of suspected requests.
+	 * @param heartbeatSample supplies a sample of the known suspects for one heartbeat
+	 * @param suspectsForNewcomers supplies the suspects to send to a newly started daemon
+	 * @param listener receives the suspects that a peer knows; it must not block
 	 */
-	public void bind(Supplier<List<SuspectedRequest>> heartbeatSample, Supplier<List<SuspectedRequest>> forNewcomers,
-			Consumer<List<SuspectedRequest>> listener) {
+	public void bind(Supplier<List<SuspectedRequest>> heartbeatSample,
+			Supplier<List<SuspectedRequest>> suspectsForNewcomers, Consumer<List<SuspectedRequest>> listener) {
 		this.heartbeatSample = heartbeatSample;
-		this.newcomerSuspects = forNewcomers;
+		this.newcomerSuspects = suspectsForNewcomers;
 		this.receiver = listener;
 	}
 
@@ -39,15 +39,15 @@
 	}
 
 	/**
-	 * Tells a daemon that has just started. Until it hears, it runs what all others
-	 * refuse.
+	 * Sends the known suspects to a newly started daemon. Until it receives them, it runs
+	 * requests that all other daemons refuse.
 	 * @param nowNanos the monotonic time
-	 * @param link sends a frame to that daemon
+	 * @param sender sends a frame to that daemon
 	 */
-	void sendToNewcomer(long nowNanos, Consumer<PeerFrame> link) {
-		final List<SuspectedRequest> all = this.newcomerSuspects.get();
-		if (!all.isEmpty()) {
-			link.accept(toNotice(all, nowNanos));
+	void sendToNewcomer(long nowNanos, Consumer<PeerFrame> sender) {
+		final List<SuspectedRequest> suspects = this.newcomerSuspects.get();
+		if (!suspects.isEmpty()) {
+			sender.accept(toNotice(suspects, nowNanos));
 		}
 	}
 
@@ -57,9 +57,9 @@
 			.build();
 	}
 
-	void onPeerSuspects(List<CrashSuspect> told, long nowNanos) {
-		if (!told.isEmpty()) {
-			this.receiver.accept(CrashCodec.decode(told, nowNanos));
+	void onPeerSuspects(List<CrashSuspect> reported, long nowNanos) {
+		if (!reported.isEmpty()) {
+			this.receiver.accept(CrashCodec.decode(reported, nowNanos));
 		}
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
@@ -40,12 +40,13 @@
 		return bytes;
 	}
 
-	private static CheckpointFetch fetch(long floorOffset) {
-		return new CheckpointFetch("fleet", "new", "survivor", floorOffset);
+	private static CheckpointFetch fetch(long minNextOffset) {
+		return new CheckpointFetch("fleet", "new", "survivor", minNextOffset);
 	}
 
-	// All daemons but one are replaced at once while the log is down. The new ones can
-	// have the state from nobody but the survivor, and it is larger than one frame.
+	// Guards against new daemons that cannot obtain the state of the only surviving
+	// daemon when all others are replaced at once while the log is down. The state is
+	// larger than one frame.
 	@Test
 	void aCheckpointLargerThanOneFrameIsFetchedPartByPart() {
 		final CheckpointFetch fetch = fetch(42);
@@ -62,8 +63,8 @@
 		assertThat(Arrays.equals(fetch.snapshot().orElseThrow().stateBytes(), this.stateBytes)).isTrue();
 	}
 
-	// A peer that is behind answers first. Its state would revert what another daemon had
-	// in force already.
+	// Guards against reverting state that is already in force on another daemon, which
+	// would happen if a peer that is behind answers first.
 	@Test
 	void aCheckpointOlderThanAReportedOffsetIsRejected() {
 		final CheckpointFetch fetch = fetch(43);
@@ -77,46 +78,46 @@
 		assertThat(fetch.snapshot()).isEmpty();
 	}
 
-	// The survivor folds on between two parts. Parts of two states put together would be
-	// a state that never was.
+	// Guards against combining parts of two checkpoints into a state that never existed,
+	// when the provider's state advances between two parts.
 	@Test
 	void partsOfTwoCheckpointsAreNeverCombined() {
 		final CheckpointFetch fetch = fetch(42);
 		fetch.onReply(this.provider.respond(fetch.nextRequest(0), 0));
 		this.throughOffset++;
 		this.provider.respond(CheckpointRequest.newBuilder().setStream("fleet").build(), TimeUnit.SECONDS.toNanos(2));
-		final CheckpointReply second = this.provider.respond(fetch.nextRequest(0), TimeUnit.SECONDS.toNanos(2));
-		assertThat(second.getAvailable()).isFalse();
-		assertThat(fetch.onReply(second)).isEqualTo(CheckpointFetch.Progress.FAILED);
+		final CheckpointReply secondPart = this.provider.respond(fetch.nextRequest(0), TimeUnit.SECONDS.toNanos(2));
+		assertThat(secondPart.getAvailable()).isFalse();
+		assertThat(fetch.onReply(secondPart)).isEqualTo(CheckpointFetch.Progress.FAILED);
 	}
 
-	// A stranger, or a late reply, sends parts that nobody asked for. They must neither
-	// grow memory nor end up in a state.
+	// Guards against forged or late replies whose unrequested parts would grow memory or
+	// end up in the state.
 	@Test
 	void unrequestedAndOversizedPartsEndTheFetch() {
-		final CheckpointReply.Builder good = CheckpointReply.newBuilder()
+		final CheckpointReply.Builder valid = CheckpointReply.newBuilder()
 			.setAvailable(true)
 			.setThroughOffset(THROUGH_OFFSET)
 			.setParts(2);
-		assertThat(fetch(42).onReply(good.clone().setPart(1).build())).isEqualTo(CheckpointFetch.Progress.FAILED);
-		assertThat(fetch(42).onReply(good.clone().setParts(CheckpointParts.MAX_PARTS + 1).build()))
+		assertThat(fetch(42).onReply(valid.clone().setPart(1).build())).isEqualTo(CheckpointFetch.Progress.FAILED);
+		assertThat(fetch(42).onReply(valid.clone().setParts(CheckpointParts.MAX_PARTS + 1).build()))
 			.isEqualTo(CheckpointFetch.Progress.FAILED);
 		final ByteString oversize = ByteString.copyFrom(new byte[CheckpointParts.PART_BYTES + 1]);
-		assertThat(fetch(42).onReply(good.clone().setState(oversize).build()))
+		assertThat(fetch(42).onReply(valid.clone().setState(oversize).build()))
 			.isEqualTo(CheckpointFetch.Progress.FAILED);
 	}
 
-	// Hundreds of new daemons ask the survivor at once. If it encoded its state for each,
-	// it would have no time left for its callers.
+	// Guards against a surviving daemon that encodes its state for each of hundreds of
+	// new daemons that request it at once, which would leave no time for callers.
 	@Test
 	void theStateIsEncodedOncePerSecondForAllRequestersAndReleasedAfterwards() {
-		for (int asker = 0; asker < 370; asker++) {
-			assertThat(this.provider.respond(fetch(42).nextRequest(0), asker).getAvailable()).isTrue();
+		for (int requester = 0; requester < 370; requester++) {
+			assertThat(this.provider.respond(fetch(42).nextRequest(0), requester).getAvailable()).isTrue();
 		}
 		assertThat(this.encodings).isEqualTo(1);
 		this.provider.expire(TimeUnit.SECONDS.toNanos(11));
-		final CheckpointRequest second = CheckpointRequest.newBuilder().setPart(1).build();
-		assertThat(this.provider.respond(second, TimeUnit.SECONDS.toNanos(11)).getAvailable()).isFalse();
+		final CheckpointRequest secondPart = CheckpointRequest.newBuilder().setPart(1).build();
+		assertThat(this.provider.respond(secondPart, TimeUnit.SECONDS.toNanos(11)).getAvailable()).isFalse();
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CrashCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CrashCodecTests.java
@@ -29,32 +29,32 @@
 
 	@Test
 	void suspectsKeepTheAgesOfTheirCrashes() {
-		final List<SuspectedRequest> told = List.of(new SuspectedRequest(FINGERPRINT, crashes(SENDER_NANOS)));
-		assertThat(CrashCodec.decode(CrashCodec.encode(told, SENDER_NANOS), RECEIVER_NANOS))
+		final List<SuspectedRequest> sent = List.of(new SuspectedRequest(FINGERPRINT, crashes(SENDER_NANOS)));
+		assertThat(CrashCodec.decode(CrashCodec.encode(sent, SENDER_NANOS), RECEIVER_NANOS))
 			.containsExactly(new SuspectedRequest(FINGERPRINT, crashes(RECEIVER_NANOS)));
 	}
 
 	/**
-	 * Guards against a broken frame that bars a request.
+	 * Guards against an invalid frame that quarantines a request.
 	 */
 	@Test
 	void invalidEntriesAreLeftOut() {
 		final CrashSuspect.Builder suspect = CrashSuspect.newBuilder().setFingerprint(ByteString.copyFromUtf8("f"));
-		final List<CrashSuspect> broken = List.of(CrashSuspect.getDefaultInstance(), suspect.build(),
+		final List<CrashSuspect> invalid = List.of(CrashSuspect.getDefaultInstance(), suspect.build(),
 				suspect.addTargets(CrashedTarget.newBuilder().setTargetId("i-1").setAgeMillis(-1))
 					.addTargets(CrashedTarget.newBuilder().setAgeMillis(1))
 					.build());
-		assertThat(CrashCodec.decode(broken, RECEIVER_NANOS)).flatExtracting(SuspectedRequest::deaths).isEmpty();
+		assertThat(CrashCodec.decode(invalid, RECEIVER_NANOS)).flatExtracting(SuspectedRequest::deaths).isEmpty();
 	}
 
 	/**
-	 * Guards against frames that grow with the number of targets that die.
+	 * Guards against frames that grow with the number of crashed targets.
 	 */
 	@Test
 	void theNumberOfSuspectsPerFrameIsBounded() {
-		final List<SuspectedRequest> many = Collections.nCopies(1_000,
+		final List<SuspectedRequest> suspects = Collections.nCopies(1_000,
 				new SuspectedRequest(FINGERPRINT, Collections.nCopies(100, crashes(0).get(0))));
-		assertThat(CrashCodec.encode(many, SENDER_NANOS)).hasSize(CrashCodec.MAX_REQUESTS)
+		assertThat(CrashCodec.encode(suspects, SENDER_NANOS)).hasSize(CrashCodec.MAX_REQUESTS)
 			.allMatch((suspect) -> suspect.getTargetsCount() == CrashCodec.MAX_CRASHES);
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
@@ -24,31 +24,32 @@
 
 	@Test
 	void limitsAndTheirRemovalKeepTheirAge() {
-		final List<StatedLimit> told = List.of(
+		final List<StatedLimit> sent = List.of(
 				new StatedLimit("i-1", OptionalDouble.of(1.1), SENDER_NANOS - 2_000_000_000L),
 				new StatedLimit("i-2", OptionalDouble.of(0), SENDER_NANOS),
 				new StatedLimit("i-3", OptionalDouble.empty(), SENDER_NANOS - 30_000_000L));
-		assertThat(decodeFromHeartbeat(LimitCodec.encode(told, SENDER_NANOS))).containsExactly(
+		assertThat(decodeFromHeartbeat(LimitCodec.encode(sent, SENDER_NANOS))).containsExactly(
 				new StatedLimit("i-1", OptionalDouble.of(1.1), RECEIVER_NANOS - 2_000_000_000L),
 				new StatedLimit("i-2", OptionalDouble.of(0), RECEIVER_NANOS),
 				new StatedLimit("i-3", OptionalDouble.empty(), RECEIVER_NANOS - 30_000_000L));
 	}
 
 	/**
-	 * Guards against a broken frame that stops all requests to a target, or frees it.
+	 * Guards against an invalid frame that stops all requests to a target or lifts its
+	 * limit.
 	 */
 	@Test
 	void invalidLimitsAreLeftOut() {
-		final List<TargetLimit> broken = List.of(
+		final List<TargetLimit> invalid = List.of(
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(-1).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(Double.NaN).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(Double.POSITIVE_INFINITY).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setHeardAgeMillis(-1).build());
-		assertThat(decodeFromHeartbeat(broken)).isEmpty();
+		assertThat(decodeFromHeartbeat(invalid)).isEmpty();
 	}
 
 	/**
-	 * Guards against heartbeats that grow with the number of targets in need.
+	 * Guards against heartbeats that grow with the number of targets that state a limit.
 	 */
 	@Test
 	void theNumberOfLimitsPerHeartbeatIsBounded() {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitGossipTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitGossipTests.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Daemons that tell each other of limits, over real connections.
+ * Tests that daemons exchange the limits of targets over real connections.
  */
 class LimitGossipTests {
 
@@ -28,24 +28,24 @@
 	}
 
 	/**
-	 * Guards against a daemon that sends nothing to a target in need, and never hears
-	 * that its limit has changed or is over.
+	 * Guards against a daemon that sends nothing to a target with a limit and never
+	 * learns that the limit has changed or ended.
 	 */
 	@Test
 	void heartbeatsCarryTheLimitsThatAnotherDaemonKnows() throws InterruptedException {
-		final BlockingQueue<List<StatedLimit>> heard = new LinkedBlockingQueue<>();
+		final BlockingQueue<List<StatedLimit>> received = new LinkedBlockingQueue<>();
 		final PeerDuty second = this.peers.daemon("second", List.of());
-		second.setLimitExchange(List::of, heard::add);
+		second.setLimitExchange(List::of, received::add);
 		second.start();
 		final PeerDuty first = this.peers.daemon("first", List.of(second.localAddress()));
 		first.setLimitExchange(
 				() -> List.of(new StatedLimit("i-1", OptionalDouble.of(1.1), 0),
 						new StatedLimit("i-2", OptionalDouble.empty(), 0)),
-				(told) -> assertThat(told).as("the second one knows of none").isEmpty());
+				(reported) -> assertThat(reported).as("limits that the second daemon reports").isEmpty());
 		first.start();
-		final List<StatedLimit> told = heard.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
-		assertThat(told).extracting(StatedLimit::instanceId).containsExactly("i-1", "i-2");
-		assertThat(told).extracting(StatedLimit::requestsPerSecond)
+		final List<StatedLimit> reported = received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+		assertThat(reported).extracting(StatedLimit::instanceId).containsExactly("i-1", "i-2");
+		assertThat(reported).extracting(StatedLimit::requestsPerSecond)
 			.containsExactly(OptionalDouble.of(1.1), OptionalDouble.empty());
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LoopbackPeers.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LoopbackPeers.java
@@ -11,7 +11,7 @@
 import org.pistachioline.core.peer.PeerStatus;
 
 /**
- * Daemons that send each other heartbeats over real connections, and nothing else.
+ * Runs several peer duties in one process that exchange heartbeats over real connections.
  */
 final class LoopbackPeers implements AutoCloseable {
 
@@ -24,10 +24,10 @@
 	private final List<PeerDuty> daemons = new ArrayList<>();
 
 	/**
-	 * Creates a daemon, which is not started yet.
-	 * @param id its name
-	 * @param seeds where others listen
-	 * @return the duty that talks to others
+	 * Creates a daemon that is not started yet.
+	 * @param id the daemon's id
+	 * @param seeds the addresses of daemons to contact first
+	 * @return the daemon's peer duty
 	 */
 	PeerDuty daemon(String id, List<String> seeds) {
 		final AtomicReference<PeerDuty> self = new AtomicReference<>();
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerTransportTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerTransportTests.java
@@ -46,9 +46,9 @@
 	}
 
 	private static PeerTls tls(String authority, String daemon) {
-		final String folder = "src/test/resources/peer-tls/";
-		return PeerTls.read(new File(folder + daemon + "-daemon.pem"), new File(folder + daemon + "-daemon.key"),
-				new File(folder + authority + "-authority.pem"));
+		final String directory = "src/test/resources/peer-tls/";
+		return PeerTls.read(new File(directory + daemon + "-daemon.pem"), new File(directory + daemon + "-daemon.key"),
+				new File(directory + authority + "-authority.pem"));
 	}
 
 	private static Socket connect(PeerTransport transport) throws IOException {
@@ -76,9 +76,9 @@
 			.isEqualTo(first.sentMeter().frameCount(PeerFrame.BodyCase.HEARTBEAT) * (FRAME.getSerializedSize() + 4));
 	}
 
-	// A stranger in the network opens the peer port and speaks the protocol without TLS,
-	// or
-	// with a certificate of its own. It could make up daemons and send callers to them.
+	// Guards against a client that speaks the protocol without TLS, or with a
+	// certificate of another authority, and forges daemons to which callers would be
+	// sent.
 	@Test
 	void aClientWithoutATrustedCertificateIsDisconnectedBeforeAnyFrame() throws IOException {
 		final PeerTransport daemon = transport(tls("ours", "ours"));
@@ -86,9 +86,9 @@
 			plain.getOutputStream().write(new byte[] { 0, 0, 0, 2, 10, 0 });
 			assertThat(isClosedByPeer(plain)).isTrue();
 		}
-		final PeerTransport stranger = transport(tls("ours", "other"));
+		final PeerTransport untrusted = transport(tls("ours", "other"));
 		for (int i = 0; i < 20; i++) {
-			stranger.send(daemon.localAddress(), FRAME);
+			untrusted.send(daemon.localAddress(), FRAME);
 		}
 		assertThat(this.received).isEmpty();
 		assertThat(daemon.receivedMeter().frameCount(PeerFrame.BodyCase.HEARTBEAT)).isZero();
@@ -97,26 +97,25 @@
 	@Test
 	void anOversizedFrameIsRefusedByItsLengthPrefix() throws IOException {
 		final PeerTransport daemon = transport(null);
-		try (Socket stranger = connect(daemon)) {
-			stranger.getOutputStream().write(new byte[] { 0x7f, 0, 0, 0 });
-			assertThat(isClosedByPeer(stranger)).isTrue();
+		try (Socket client = connect(daemon)) {
+			client.getOutputStream().write(new byte[] { 0x7f, 0, 0, 0 });
+			assertThat(isClosedByPeer(client)).isTrue();
 		}
 	}
 
 	@Test
 	void anUndecodableFrameClosesTheConnectionAndIsNotDelivered() throws IOException {
 		final PeerTransport daemon = transport(null);
-		try (Socket stranger = connect(daemon)) {
-			stranger.getOutputStream().write(new byte[] { 0, 0, 0, 3, -1, -1, -1 });
-			assertThat(isClosedByPeer(stranger)).isTrue();
+		try (Socket client = connect(daemon)) {
+			client.getOutputStream().write(new byte[] { 0, 0, 0, 3, -1, -1, -1 });
+			assertThat(isClosedByPeer(client)).isTrue();
 		}
 		assertThat(this.received).isEmpty();
 	}
 
-	// A scanner, or a fault elsewhere, opens connection after connection and holds them.
-	// Each
-	// costs buffers; without a cap they add up until the daemon has no memory for
-	// callers.
+	// Guards against a scanner or a fault that opens and holds connection after
+	// connection. Each costs buffers, so that without a limit the daemon runs out of
+	// memory.
 	@Test
 	void connectionsAboveTheLimitAreClosedAtOnce() throws IOException, InterruptedException {
 		final PeerTransport daemon = transport(null);
@@ -127,8 +126,8 @@
 				held.get(i).getOutputStream().write(frameBytes());
 				assertThat(this.received.take()).isEqualTo(FRAME);
 			}
-			try (Socket over = connect(daemon)) {
-				assertThat(isClosedByPeer(over)).isTrue();
+			try (Socket excess = connect(daemon)) {
+				assertThat(isClosedByPeer(excess)).isTrue();
 			}
 			held.remove(0).close();
 			held.get(0).getOutputStream().write(frameBytes());
@@ -144,17 +143,17 @@
 	@Test
 	void aConnectionAboveTheFrameRateLimitIsClosedAndOneAtTheLimitIsNot() {
 		final AtomicLong nowNanos = new AtomicLong();
-		final EmbeddedChannel honest = new EmbeddedChannel(new FrameRateLimiter(nowNanos::get));
+		final EmbeddedChannel atLimit = new EmbeddedChannel(new FrameRateLimiter(nowNanos::get));
 		for (int i = 0; i < 10 * PeerLimits.MAX_FRAMES_PER_SECOND; i++) {
 			nowNanos.addAndGet(TimeUnit.SECONDS.toNanos(1) / PeerLimits.MAX_FRAMES_PER_SECOND);
-			honest.writeInbound(Unpooled.EMPTY_BUFFER);
+			atLimit.writeInbound(Unpooled.EMPTY_BUFFER);
 		}
-		assertThat(honest.isOpen()).isTrue();
-		final EmbeddedChannel flood = new EmbeddedChannel(new FrameRateLimiter(nowNanos::get));
+		assertThat(atLimit.isOpen()).isTrue();
+		final EmbeddedChannel aboveLimit = new EmbeddedChannel(new FrameRateLimiter(nowNanos::get));
 		for (int i = 0; i <= PeerLimits.MAX_FRAMES_PER_SECOND; i++) {
-			flood.writeInbound(Unpooled.EMPTY_BUFFER);
+			aboveLimit.writeInbound(Unpooled.EMPTY_BUFFER);
 		}
-		assertThat(flood.isOpen()).isFalse();
+		assertThat(aboveLimit.isOpen()).isFalse();
 	}
 
 	private static byte[] frameBytes() {
@@ -165,7 +164,8 @@
 		return bytes;
 	}
 
-	// Whether the other side closes; a read that times out throws.
+	// Returns whether the other side closes the connection; a read that times out
+	// throws.
 	private static boolean isClosedByPeer(Socket socket) throws IOException {
 		try {
 			while (socket.getInputStream().read() >= 0) {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/SuspectGossipTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/SuspectGossipTests.java
@@ -15,7 +15,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Daemons that tell each other of requests under which targets died, over real
+ * Tests that daemons exchange requests suspected of crashing targets over real
  * connections.
  */
 class SuspectGossipTests {
@@ -40,12 +40,13 @@
 	}
 
 	/**
-	 * Guards against a daemon that has just started and runs what all others refuse.
+	 * Guards against a newly started daemon that runs requests which all other daemons
+	 * refuse.
 	 */
 	@Test
 	void aNewDaemonReceivesSuspectsFromTheFirstDaemonItContacts() throws InterruptedException {
 		final PeerDuty first = this.peers.daemon("first", List.of());
-		first.suspectExchange().bind(List::of, () -> KNOWN, (told) -> {
+		first.suspectExchange().bind(List::of, () -> KNOWN, (reported) -> {
 		});
 		first.start();
 		final PeerDuty second = this.peers.daemon("second", List.of(first.localAddress()));
@@ -60,7 +61,7 @@
 		second.suspectExchange().bind(List::of, List::of, this.received::add);
 		second.start();
 		final PeerDuty first = this.peers.daemon("first", List.of(second.localAddress()));
-		first.suspectExchange().bind(() -> KNOWN, List::of, (told) -> {
+		first.suspectExchange().bind(() -> KNOWN, List::of, (reported) -> {
 		});
 		first.start();
 		assertReceived();
