--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -66,9 +66,9 @@
 import org.pistachioline.daemon.peer.PeerDuty;
 import org.pistachioline.daemon.peer.PeerTls;
 import org.pistachioline.daemon.peer.PeerTransport;
-import org.pistachioline.daemon.traffic.Exchanges;
-import org.pistachioline.daemon.traffic.KillerReports;
-import org.pistachioline.daemon.traffic.ShareKeeper;
+import org.pistachioline.daemon.traffic.ExchangeStarter;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
+import org.pistachioline.daemon.traffic.LogSuspectReporter;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 import org.pistachioline.protocol.peer.PeerFrame;
@@ -106,7 +106,7 @@
 
 	private final TraceRecorder recorder;
 
-	private final ShareKeeper shares;
+	private final LimitShareUpdater shares;
 
 	private final TrafficDuty traffic;
 
@@ -163,22 +163,22 @@
 				this.peers::send);
 		this.peers.setClaimReceiver(this.claims::onFrame);
 		this.recorder = new TraceRecorder(settings.flag(Setting.TRACE_RECORD));
-		this.shares = new ShareKeeper(selfId, this.peers::activeDaemonIds,
+		this.shares = new LimitShareUpdater(selfId, this.peers::activeDaemonIds,
 				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.traffic = new TrafficDuty(this.system,
 				new TrafficCore(StandardPolicies.create(settings.text(Setting.DAEMON_AVAILABILITY_ZONE),
 						this.incarnation ^ ((long) selfId.hashCode() << Integer.SIZE))),
-				this.claims, this.shares, new KillerReports(this.appender, settings.text(Setting.LOG_FLEET_STREAM)),
-				this.recorder);
+				this.claims, this.shares,
+				new LogSuspectReporter(this.appender, settings.text(Setting.LOG_FLEET_STREAM)), this.recorder);
 		this.peers.setDemandExchange(this.shares::demand,
-				(peer, demand) -> this.traffic.peerDemand(peer.daemonId(), peer.leaving(), demand));
+				(peer, demand) -> this.traffic.onPeerDemand(peer.daemonId(), peer.leaving(), demand));
 		final CacheEventDuty caches = new CacheEventDuty(this.system, engines, this.instances::view,
-				this.traffic::cacheEvents);
+				this.traffic::onCacheEvents);
 		final CallerLimits limits = new CallerLimits(settings.whole(Setting.CALLERS_MAX_BODY_BYTES),
 				settings.whole(Setting.CALLERS_BODY_TIMEOUT_MILLIS),
 				settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS));
-		final CallerHandler callerHandler = new CallerHandler(this, new Exchanges(http, this.traffic), http, limits,
-				writer + "-");
+		final CallerHandler callerHandler = new CallerHandler(this, new ExchangeStarter(http, this.traffic), http,
+				limits, writer + "-");
 		this.callers = new HttpServer(this.system, settings.text(Setting.CALLERS_ADDRESS), callerHandler::handle);
 		this.admin = new AdminServer(settings.text(Setting.ADMIN_ADDRESS), new AdminHandler(this));
 		// The state first, then what derives from it, then what shows it, callers last.
@@ -221,12 +221,12 @@
 		this.config.onChange(() -> {
 			final ConfigState state = this.config.view().state();
 			if (state.version() != inForce.getAndSet(state.version())) {
-				this.traffic.configure(state.manifest());
+				this.traffic.onManifest(state.manifest());
 				Events.log(EventId.CONFIG_IN_FORCE, "version", state.version(), "offset", state.acceptedOffset());
 			}
 		});
-		this.fleet.onChange(() -> this.traffic.fleet(this.fleet.view().state()));
-		this.instances.onChange((view) -> this.traffic.targets(view.targets()));
+		this.fleet.onChange(() -> this.traffic.onFleetState(this.fleet.view().state()));
+		this.instances.onChange((view) -> this.traffic.onTargets(view.targets()));
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.appender, this.peers, this.config, this.fleet);
 		this.parts.all().forEach((part) -> part.rings().forEach(meters::bind));
@@ -258,8 +258,8 @@
 		while (System.nanoTime() - begunAtNanos < keptNanos) {
 			LockSupport.parkNanos(DRAIN_CHECK_NANOS);
 		}
-		this.traffic.leave();
-		while (this.traffic.held() > 0 && System.nanoTime() - begunAtNanos < LONGEST_DRAIN_NANOS) {
+		this.traffic.stopAdmission();
+		while (this.traffic.activeRequestCount() > 0 && System.nanoTime() - begunAtNanos < LONGEST_DRAIN_NANOS) {
 			LockSupport.parkNanos(DRAIN_CHECK_NANOS);
 		}
 		stop();
@@ -302,7 +302,7 @@
 			.mapToInt(TargetView::slots)
 			.sum();
 		// Each daemon may use its part of the slots; above 1 requests wait here.
-		return this.traffic.held() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
+		return this.traffic.activeRequestCount() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
 	}
 
 	private int daemonCount() {
@@ -359,7 +359,7 @@
 		}
 		final Map<String, Integer> replicas = new HashMap<>();
 		this.instances.view().targets().forEach((target) -> replicas.merge(target.name(), 1, Integer::sum));
-		return Optional.of(this.recorder.lines(this.settings.text(Setting.DAEMON_ID), manifest(), replicas));
+		return Optional.of(this.recorder.toJsonLines(this.settings.text(Setting.DAEMON_ID), manifest(), replicas));
 	}
 
 	@Override
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceNews.java
@@ -14,12 +14,12 @@
 
 	@Override
 	public void onBackoff(String instanceId, long forMillis) {
-		this.traffic.backoffHeard(instanceId, forMillis);
+		this.traffic.onBackoff(instanceId, forMillis);
 	}
 
 	@Override
 	public void onLeaving(String instanceId) {
-		this.traffic.leavingHeard(instanceId);
+		this.traffic.onLeaving(instanceId);
 		this.replicas.onInstanceLeaving(instanceId);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -11,11 +11,11 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.endpoints.EndpointSelector;
-import org.pistachioline.core.endpoints.WarmUpRule;
+import org.pistachioline.core.endpoints.WarmUpPolicy;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.peer.PeerStatus;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.replica.PlannerCandidates;
 import org.pistachioline.core.replica.ServingInstance;
 import org.pistachioline.core.route.RouteTable;
@@ -32,9 +32,9 @@
 import org.pistachioline.daemon.peer.PeerTransport;
 import org.pistachioline.daemon.relay.Relay;
 import org.pistachioline.daemon.replica.ReplicaDuty;
-import org.pistachioline.daemon.traffic.CrashWatch;
+import org.pistachioline.daemon.traffic.CrashMonitor;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
 import org.pistachioline.daemon.traffic.NoClaims;
-import org.pistachioline.daemon.traffic.ShareKeeper;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
@@ -78,7 +78,7 @@
 
 	private final PeerDuty peers;
 
-	private final ShareKeeper shares;
+	private final LimitShareUpdater shares;
 
 	private final TrafficDuty traffic;
 
@@ -116,18 +116,18 @@
 		this.peers = new PeerDuty(system,
 				(receiver) -> new PeerTransport(settings.peerAddress(), null, MOST_PEER_CONNECTIONS, receiver),
 				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_MILLIS);
-		this.shares = new ShareKeeper(settings.daemonId(), this.peers::activeDaemonIds, HEARTBEAT_MILLIS);
+		this.shares = new LimitShareUpdater(settings.daemonId(), this.peers::activeDaemonIds, HEARTBEAT_MILLIS);
 		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.shares,
 				(suspect, nowMillis) -> {
 					// Daemons tell each other directly of the targets that died.
 				}, new TraceRecorder(false));
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
-				this.traffic::targets, this::beforeTraffic);
+				this.traffic::onTargets, this::beforeTraffic);
 		this.listing = new ListingDuty(system, settings.daemonId(), settings.listAgeMillis(), ports.instances(),
 				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::activeDaemonIds, this.peers::send,
 				this::listed);
 		final InstanceNews news = new InstanceNews(this.traffic, this.replicas);
-		ports.orders().onAnswers(news);
+		ports.orders().setInstanceListener(news);
 		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.table, this.traffic,
 				this.replicas::onLoadReport, news, () -> this.leaving);
 		this.parts.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing, ports.lease(),
@@ -138,27 +138,27 @@
 	private TrafficPolicies policies() {
 		final long seed = this.incarnation ^ ((long) this.settings.daemonId().hashCode() << Integer.SIZE);
 		return RoutingPolicies.create(this.settings.availabilityZone(), seed, this.settings.retryBudget(),
-				this::daemonCount, new SharedDeaths());
+				this::daemonCount, new GossipQuarantine());
 	}
 
 	private void connect() {
-		this.ports.routes().onRoutes((next) -> {
+		this.ports.routes().setRouteListener((next) -> {
 			this.table = next;
 			this.replicas.configure(next);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
 		});
-		this.ports.routes().followOthers(() -> this.peers.livePeers().size() + 1, this.peers::newestConfigVersion);
-		this.ports.lease().onlyIf(this::isPlannerCandidate);
+		this.ports.routes().setFleetView(() -> this.peers.livePeers().size() + 1, this.peers::newestConfigVersion);
+		this.ports.lease().setCandidacy(this::isPlannerCandidate);
 		this.peers.setListingReceiver(this.listing::onFrame);
-		this.traffic.onStalled((targetId) -> {
+		this.traffic.setStallListener((targetId) -> {
 			this.replicas.onTargetStalled(targetId);
 			this.peers.broadcastStall(targetId);
 		});
-		this.peers.setLimitExchange(this.traffic::statedLimits, this.traffic::limitsTold);
+		this.peers.setLimitExchange(this.traffic::latestLimits, this.traffic::onPeerLimits);
 		this.peers.setStallListener(this.replicas::onTargetStalled);
-		final CrashWatch crashes = this.traffic.crashes();
-		this.peers.suspectExchange().bind(crashes::sample, crashes::known, crashes::onTold);
-		crashes.onNews(this.peers::broadcastSuspects);
+		final CrashMonitor crashes = this.traffic.crashMonitor();
+		this.peers.suspectExchange().bind(crashes::gossipSample, crashes::knownSuspects, crashes::onPeerReports);
+		crashes.setBroadcaster(this.peers::broadcastSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
 		this.parts.all().forEach((part) -> part.rings().forEach(meters::bind));
@@ -210,7 +210,7 @@
 	 */
 	public void leave() {
 		final long begunAtNanos = System.nanoTime();
-		Events.log(EventId.STOPPING, "held", this.traffic.held());
+		Events.log(EventId.STOPPING, "held", this.traffic.activeRequestCount());
 		this.leaving = true;
 		this.ports.lease().release();
 		this.peers.sendHeartbeat();
@@ -218,11 +218,11 @@
 			.toNanos(Math.max(0, this.settings.graceMillis() - STOP_MARGIN_MILLIS));
 		final long lingerNanos = Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
 		long waitedNanos = 0;
-		while (waitedNanos < lingerNanos || (this.traffic.held() > 0 && waitedNanos < mostNanos)) {
+		while (waitedNanos < lingerNanos || (this.traffic.activeRequestCount() > 0 && waitedNanos < mostNanos)) {
 			LockSupport.parkNanos(STOP_CHECK_NANOS);
 			waitedNanos = System.nanoTime() - begunAtNanos;
 		}
-		Events.log(EventId.STOPPED, "held", this.traffic.held(), "waited_millis",
+		Events.log(EventId.STOPPED, "held", this.traffic.activeRequestCount(), "waited_millis",
 				TimeUnit.NANOSECONDS.toMillis(waitedNanos));
 	}
 
@@ -240,7 +240,7 @@
 	 * @return whether they can
 	 */
 	public boolean mayHoldBack() {
-		return WarmUpRule.mayHoldBack(status(), this.peers.livePeers());
+		return WarmUpPolicy.shouldWarmUp(status(), this.peers.livePeers());
 	}
 
 	/**
@@ -266,7 +266,7 @@
 		return new PeerStatus(this.settings.daemonId(), this.settings.peerAddress(), this.settings.callerAddress(),
 				this.settings.adminAddress(), this.settings.availabilityZone(), this.incarnation,
 				this.heartbeats.incrementAndGet(), configVersion(), 0, 0, this.offered && notReadyReason().isEmpty(),
-				this.leaving, this.traffic.held(), 0);
+				this.leaving, this.traffic.activeRequestCount(), 0);
 	}
 
 	/**
@@ -275,7 +275,7 @@
 	 * @return the addresses, the best first
 	 */
 	public List<String> endpoints(String availabilityZone) {
-		final List<String> chosen = EndpointSelector.choose(daemons(), availabilityZone, this.lookups.getAndIncrement())
+		final List<String> chosen = EndpointSelector.select(daemons(), availabilityZone, this.lookups.getAndIncrement())
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
@@ -355,13 +355,14 @@
 		dump.put("daemon", status());
 		dump.put("not_ready_reason", notReadyReason().orElse(""));
 		dump.put("config", Map.of("version", configVersion()));
-		dump.put("requests", Map.of("held", this.traffic.held(), "queued", this.traffic.queued()));
+		dump.put("requests",
+				Map.of("held", this.traffic.activeRequestCount(), "queued", this.traffic.queuedRequestCount()));
 		dump.put("listing",
 				Map.of("age_millis", this.listing.ageMillis(), "reads_for_others", this.listing.readsForOthers()));
 		dump.put("serving_targets", this.replicas.servingTargetCount());
-		dump.put("limited_targets", this.traffic.limits());
-		dump.put("backoff_targets", this.traffic.backoffs());
-		dump.put("crash_suspects", this.traffic.crashes().reports());
+		dump.put("limited_targets", this.traffic.limitReports());
+		dump.put("backoff_targets", this.traffic.backoffReports());
+		dump.put("crash_suspects", this.traffic.crashMonitor().reports());
 		dump.put("planned_groups", this.replicas.plannedGroups());
 		dump.put("peers", daemons());
 		return dump;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
@@ -6,9 +6,9 @@
 
 import com.google.protobuf.ByteString;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.CrashedTarget;
 
@@ -42,16 +42,16 @@
 		return CrashSuspect.newBuilder()
 			.setFingerprint(ByteString.copyFrom(HexFormat.of().parseHex(request.fingerprint())))
 			.addAllTargets(
-					request.deaths().stream().limit(MAX_CRASHES).map((crash) -> encode(crash, nowNanos)).toList())
+					request.evidence().stream().limit(MAX_CRASHES).map((crash) -> encode(crash, nowNanos)).toList())
 			.build();
 	}
 
-	private static CrashedTarget encode(TargetDeath crash, long nowNanos) {
-		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - crash.diedAtNanos());
+	private static CrashedTarget encode(CrashEvidence crash, long nowNanos) {
+		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - crash.crashedAtNanos());
 		return CrashedTarget.newBuilder()
 			.setTargetId(crash.targetId())
 			.setAgeMillis(Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)))
-			.setUnderWay(crash.phase() == DeathPhase.UNDER_WAY)
+			.setUnderWay(crash.phase() == CrashPhase.IN_PROGRESS)
 			.setExcused(crash.excused())
 			.build();
 	}
@@ -76,9 +76,9 @@
 			.toList();
 	}
 
-	private static TargetDeath decode(CrashedTarget crash, long nowNanos) {
-		return new TargetDeath(crash.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(crash.getAgeMillis()),
-				crash.getUnderWay() ? DeathPhase.UNDER_WAY : DeathPhase.BEGINNING, crash.getExcused());
+	private static CrashEvidence decode(CrashedTarget crash, long nowNanos) {
+		return new CrashEvidence(crash.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(crash.getAgeMillis()),
+				crash.getUnderWay() ? CrashPhase.IN_PROGRESS : CrashPhase.STARTING, crash.getExcused());
 	}
 
 	private static boolean isValid(CrashSuspect request) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/LimitCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/LimitCodec.java
@@ -4,7 +4,7 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.TimeUnit;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.protocol.peer.Heartbeat;
 import org.pistachioline.protocol.peer.TargetLimit;
 
@@ -25,12 +25,12 @@
 	private LimitCodec() {
 	}
 
-	static List<TargetLimit> encode(List<StatedLimit> limits, long nowNanos) {
+	static List<TargetLimit> encode(List<AdvertisedLimit> limits, long nowNanos) {
 		return limits.stream().limit(MAX_LIMITS).map((limit) -> encode(limit, nowNanos)).toList();
 	}
 
-	private static TargetLimit encode(StatedLimit limit, long nowNanos) {
-		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - limit.heardAtNanos());
+	private static TargetLimit encode(AdvertisedLimit limit, long nowNanos) {
+		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - limit.receivedAtNanos());
 		final TargetLimit.Builder encoded = TargetLimit.newBuilder()
 			.setInstanceId(limit.instanceId())
 			.setHeardAgeMillis(Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)));
@@ -44,12 +44,12 @@
 	 * @param nowNanos the monotonic time
 	 * @return the valid limits
 	 */
-	static List<StatedLimit> decode(Heartbeat heartbeat, long nowNanos) {
+	static List<AdvertisedLimit> decode(Heartbeat heartbeat, long nowNanos) {
 		return heartbeat.getTargetLimitsList()
 			.stream()
 			.limit(MAX_LIMITS)
 			.filter(LimitCodec::isValid)
-			.map((limit) -> new StatedLimit(limit.getInstanceId(),
+			.map((limit) -> new AdvertisedLimit(limit.getInstanceId(),
 					limit.hasRequestsPerSecond() ? OptionalDouble.of(limit.getRequestsPerSecond())
 							: OptionalDouble.empty(),
 					nowNanos - TimeUnit.MILLISECONDS.toNanos(limit.getHeardAgeMillis())))
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 import org.pistachioline.core.peer.GossipSample;
-import org.pistachioline.core.peer.PeerNews;
 import org.pistachioline.core.peer.PeerStatus;
+import org.pistachioline.core.peer.PeerUpdate;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.DaemonNews;
 import org.pistachioline.protocol.peer.DaemonStatus;
@@ -45,8 +45,8 @@
 			.setSender(encode(self))
 			.addAllTargetLimits(limits)
 			.addAllCrashSuspects(suspects);
-		sample.whole().forEach((peer) -> heartbeat.addKnown(encode(peer)));
-		sample.news().forEach((news) -> heartbeat.addNews(encode(news)));
+		sample.statuses().forEach((peer) -> heartbeat.addKnown(encode(peer)));
+		sample.updates().forEach((news) -> heartbeat.addNews(encode(news)));
 		// Workspaces without demand are omitted: receivers treat a missing workspace as
 		// no demand.
 		demand.forEach((workspace, requestsPerSecond) -> {
@@ -84,7 +84,7 @@
 				status.getLeaving(), status.getLoadRatio(), status.getLogAgeMillis());
 	}
 
-	static DaemonNews encode(PeerNews news) {
+	static DaemonNews encode(PeerUpdate news) {
 		return DaemonNews.newBuilder()
 			.setDaemonId(news.daemonId())
 			.setIncarnation(news.incarnation())
@@ -95,8 +95,8 @@
 			.build();
 	}
 
-	static PeerNews decode(DaemonNews news) {
-		return new PeerNews(news.getDaemonId(), news.getIncarnation(), news.getSequence(), news.getConfigVersion(),
+	static PeerUpdate decode(DaemonNews news) {
+		return new PeerUpdate(news.getDaemonId(), news.getIncarnation(), news.getSequence(), news.getConfigVersion(),
 				news.getReady(), news.getLeaving());
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
@@ -18,7 +18,7 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.peer.PeerTable;
 import org.pistachioline.core.quarantine.SuspectedRequest;
@@ -82,9 +82,9 @@
 	private volatile BiConsumer<PeerStatus, Map<String, Double>> demandReceiver = (status, reported) -> {
 	};
 
-	private volatile Supplier<List<StatedLimit>> ownLimits = List::of;
+	private volatile Supplier<List<AdvertisedLimit>> ownLimits = List::of;
 
-	private volatile Consumer<List<StatedLimit>> limitReceiver = (reported) -> {
+	private volatile Consumer<List<AdvertisedLimit>> limitReceiver = (reported) -> {
 	};
 
 	private final SuspectExchange suspectExchange = new SuspectExchange();
@@ -267,7 +267,7 @@
 	 * @param own supplies the limits that this daemon knows
 	 * @param receiver receives the limits that a peer knows; it must not block
 	 */
-	public void setLimitExchange(Supplier<List<StatedLimit>> own, Consumer<List<StatedLimit>> receiver) {
+	public void setLimitExchange(Supplier<List<AdvertisedLimit>> own, Consumer<List<AdvertisedLimit>> receiver) {
 		this.ownLimits = own;
 		this.limitReceiver = receiver;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-import org.pistachioline.core.backoff.BackoffBook;
+import org.pistachioline.core.backoff.BackoffRegistry;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.daemon.port.InstanceListener;
 
@@ -19,7 +19,7 @@
  */
 final class BackoffGate {
 
-	private final BackoffBook backoffs = new BackoffBook();
+	private final BackoffRegistry backoffs = new BackoffRegistry();
 
 	private final InstanceListener listener;
 
@@ -54,7 +54,7 @@
 	}
 
 	boolean maySend(String targetId) {
-		return !this.backoffs.holds(this.clockNanos.getAsLong(), TargetView.instanceId(targetId));
+		return !this.backoffs.isActive(this.clockNanos.getAsLong(), TargetView.instanceId(targetId));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
@@ -10,7 +10,7 @@
 import org.pistachioline.core.route.RouteTable;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -52,13 +52,14 @@
 	 * instances
 	 * @param leaving whether the daemon is shutting down
 	 */
-	public Relay(String address, RelayDialect protocol, Supplier<RouteTable> routes, TrafficDuty traffic,
+	public Relay(String address, RelayProtocol protocol, Supplier<RouteTable> routes, TrafficDuty traffic,
 			BiConsumer<String, LoadReport> loadReceiver, InstanceListener instances, BooleanSupplier leaving) {
 		final WebClient client = new WebClient(this.loop, CONNECT_TIMEOUT_MILLIS, IDLE_CONNECTION_MILLIS,
 				MAX_IDLE_PER_TARGET);
-		final RelayContext context = new RelayContext(this.loop, client, protocol, this.streams, traffic::callerGone,
-				new TargetReportDispatcher(loadReceiver, traffic), new BackoffGate(instances, System::nanoTime),
-				new CrashProbe(client::askWhetherRefused, traffic.crashes()::onCrash));
+		final RelayContext context = new RelayContext(this.loop, client, protocol, this.streams,
+				traffic::onCallerDisconnected, new TargetReportDispatcher(loadReceiver, traffic),
+				new BackoffGate(instances, System::nanoTime),
+				new CrashProbe(client::askWhetherRefused, traffic.crashMonitor()::onCrash));
 		this.handler = new RelayHandler(routes, context, traffic, leaving);
 		this.callerServer = new CallerServer(this.loop, address, this.handler, routes);
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -12,8 +12,8 @@
 import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.AnswerVerdict;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.port.ResponseVerdict;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 /**
@@ -74,7 +74,7 @@
 		this.targetCall = context.client()
 			.send(this.start.target().address(),
 					context.protocol()
-						.toTarget(this.exchange.request(), this.start.target(), remainingMillis,
+						.toTargetRequest(this.exchange.request(), this.start.target(), remainingMillis,
 								this.exchange.position().lastEventId()),
 					!this.exchange.info().idempotent(), this);
 	}
@@ -90,20 +90,20 @@
 
 	@Override
 	public void onHead(AnswerHead head) {
-		final RelayDialect protocol = this.exchange.context().protocol();
+		final RelayProtocol protocol = this.exchange.context().protocol();
 		this.responseHead = head;
 		protocol.load(head, System.nanoTime())
 			.ifPresent((load) -> this.exchange.context().targetReports().onLoad(this.start.target().targetId(), load));
-		final AnswerVerdict verdict = protocol.judge(this.exchange.request(), head);
+		final ResponseVerdict verdict = protocol.classify(this.exchange.request(), head);
 		reportLimit(verdict, protocol.requestLimit(head));
-		if (verdict != AnswerVerdict.MISMATCHED) {
+		if (verdict != ResponseVerdict.MISMATCHED) {
 			reportBackoff(protocol, head);
 		}
 		switch (verdict) {
 			case DECLINED -> expectOutcome(AttemptOutcome.DECLINED);
 			case FAILURE -> expectOutcome(AttemptOutcome.FAILURE_ANSWERED);
 			case MISMATCHED -> abort(AttemptOutcome.MISMATCHED);
-			case ANSWER -> {
+			case VALID -> {
 				expectOutcome(AttemptOutcome.COMPLETE);
 				if (this.exchange.streaming() && head.status() == OK) {
 					startStream();
@@ -115,19 +115,19 @@
 	// A declined or failed request's response may omit the limit, and a mismatched
 	// response is not the target's own, so the absence of a limit is reported for valid
 	// responses only.
-	private void reportLimit(AnswerVerdict verdict, OptionalDouble requestsPerSecond) {
-		final boolean stated = requestsPerSecond.isPresent() && verdict != AnswerVerdict.MISMATCHED;
-		if (stated || verdict == AnswerVerdict.ANSWER) {
+	private void reportLimit(ResponseVerdict verdict, OptionalDouble requestsPerSecond) {
+		final boolean stated = requestsPerSecond.isPresent() && verdict != ResponseVerdict.MISMATCHED;
+		if (stated || verdict == ResponseVerdict.VALID) {
 			this.exchange.context()
 				.targetReports()
 				.onLimit(this.start.target().targetId(), this.sentAtNanos, requestsPerSecond);
 		}
 	}
 
-	private void reportBackoff(RelayDialect protocol, AnswerHead head) {
+	private void reportBackoff(RelayProtocol protocol, AnswerHead head) {
 		final String targetId = this.start.target().targetId();
 		this.exchange.context().backoffGate().onBackoff(targetId, protocol.backoffMillis(head));
-		if (protocol.leaving(head)) {
+		if (protocol.isLeaving(head)) {
 			this.exchange.context().backoffGate().onLeaving(targetId);
 		}
 	}
@@ -234,7 +234,7 @@
 	private void reportBrokenConnection() {
 		final int deliveredByAttempt = this.exchange.position().deliveredEvents() - this.start.resumeFromTokens();
 		final String fingerprint = this.exchange.info().fingerprint();
-		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.request().head().requestId(), "fingerprint",
+		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.request().metadata().requestId(), "fingerprint",
 				fingerprint, "target", this.start.target().targetId(), "status",
 				(this.responseHead != null) ? this.responseHead.status() : 0, "events", deliveredByAttempt);
 		this.exchange.context()
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayContext.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayContext.java
@@ -4,7 +4,7 @@
 import java.util.function.LongConsumer;
 
 import org.pistachioline.adapters.web.WebClient;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
 
 /**
  * The collaborators that all exchanges of a daemon share.
@@ -18,7 +18,7 @@
  * @param backoffGate withholds attempts at targets that requested backoff or are leaving
  * @param crashProbe determines which targets have crashed
  */
-record RelayContext(Executor loop, WebClient client, RelayDialect protocol, ActiveStreams streams,
+record RelayContext(Executor loop, WebClient client, RelayProtocol protocol, ActiveStreams streams,
 		LongConsumer disconnectListener, TargetReportListener targetReports, BackoffGate backoffGate,
 		CrashProbe crashProbe) {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -13,7 +13,7 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
 import org.pistachioline.daemon.traffic.AttemptListener;
 import org.pistachioline.daemon.traffic.Exchange;
 
@@ -28,7 +28,7 @@
 
 	private final RequestInfo info;
 
-	private final RelayedCall request;
+	private final RelayedRequest request;
 
 	private final boolean streaming;
 
@@ -52,14 +52,14 @@
 
 	private boolean callerDisconnected;
 
-	RelayExchange(RequestInfo info, RelayedCall request, boolean streaming, RelayContext context,
+	RelayExchange(RequestInfo info, RelayedRequest request, boolean streaming, RelayContext context,
 			CallerResponse response) {
 		this.info = info;
 		this.request = request;
 		this.streaming = streaming;
 		this.context = context;
 		this.response = response;
-		this.position = new StreamPosition(request.head().lastEventId());
+		this.position = new StreamPosition(request.metadata().lastEventId());
 	}
 
 	@Override
@@ -67,7 +67,7 @@
 		return this.info;
 	}
 
-	RelayedCall request() {
+	RelayedRequest request() {
 		return this.request;
 	}
 
@@ -108,9 +108,9 @@
 				TimeUnit.NANOSECONDS.toMillis(this.info.totalDeadlineNanos() - System.nanoTime()));
 		this.attemptCount++;
 		if (this.attemptCount > 1) {
-			Events.log(EventId.REQUEST_RESENT, "request", this.request.head().requestId(), "attempt", this.attemptCount,
-					"from", this.lastTargetId, "to", start.target().targetId(), "events", start.resumeFromTokens(),
-					"left_millis", remainingMillis);
+			Events.log(EventId.REQUEST_RESENT, "request", this.request.metadata().requestId(), "attempt",
+					this.attemptCount, "from", this.lastTargetId, "to", start.target().targetId(), "events",
+					start.resumeFromTokens(), "left_millis", remainingMillis);
 		}
 		this.lastTargetId = start.target().targetId();
 		this.currentAttempt = new RelayAttempt(this, start, listener);
@@ -164,15 +164,16 @@
 		final boolean useTargetResponse = kind == ErrorKind.TARGET_FAILED && this.failureResponse != null
 				&& !this.failureResponse.promisesNotRun();
 		final WebAnswer failure = useTargetResponse ? this.failureResponse.response() : RelayErrorResponses
-			.of(this.request.head().requestId(), kindConsistentWith(kind, runState), runState, retryAfterMillis);
+			.of(this.request.metadata().requestId(), kindConsistentWith(kind, runState), runState, retryAfterMillis);
 		final boolean responseSent = this.response.fail(failure);
 		if (kind != ErrorKind.CALLER_GONE) {
-			Events.log(EventId.REQUEST_FAILED, "request", this.request.head().requestId(), "kind", kind.code(), "run",
-					runState.headerValue(), "status", responseSent ? failure.status() : 0, "name", this.info.name(),
-					"workspace", this.info.workspace(), "fingerprint", this.info.fingerprint(), "attempts",
-					this.attemptCount, "last_target", this.lastTargetId, "events", this.position.deliveredEvents(),
-					"held_millis", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedAtNanos),
-					"retry_after_millis", retryAfterMillis);
+			Events.log(EventId.REQUEST_FAILED, "request", this.request.metadata().requestId(), "kind", kind.code(),
+					"run", runState.headerValue(), "status", responseSent ? failure.status() : 0, "name",
+					this.info.name(), "workspace", this.info.workspace(), "fingerprint", this.info.fingerprint(),
+					"attempts", this.attemptCount, "last_target", this.lastTargetId, "events",
+					this.position.deliveredEvents(), "held_millis",
+					TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedAtNanos), "retry_after_millis",
+					retryAfterMillis);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -32,8 +32,8 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.CallHead;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -93,28 +93,29 @@
 		final long arrivedAtNanos = System.nanoTime();
 		final RouteTable table = this.routes.get();
 		require(table.isKnown(), ErrorKind.NOT_READY);
-		final CallHead metadata = this.context.protocol().read(request.headers());
+		final RequestMetadata metadata = this.context.protocol().readRequest(request.headers());
 		final Route route = table.route(request.headers().first("Host").orElse(""), request.path())
 			.orElseThrow(() -> new PistachiolineException(ErrorKind.NOT_FOUND));
 		final Optional<WorkspaceApiKeys> keyHolder = findApiKeyHolder(table, metadata);
 		final boolean anonymous = route.anonymous() || table.workspaceApiKeys().isEmpty();
 		require(anonymous || keyHolder.isPresent(), ErrorKind.UNAUTHENTICATED);
 		final Optional<String> workspace = anonymous ? Optional.empty() : keyHolder.map(WorkspaceApiKeys::name);
-		final RelayedCall relayed = new RelayedCall(metadata, request.method(), request.target(),
+		final RelayedRequest relayed = new RelayedRequest(metadata, request.method(), request.target(),
 				HopByHopHeaders.removeFrom(request.headers()), request.body(), workspace);
 		final RequestInfo info = requestInfoOf(id, arrivedAtNanos, table, route, relayed, keyHolder);
 		final RelayExchange exchange = new RelayExchange(info, relayed, route.kind() == RouteKind.STREAM, this.context,
 				response);
 		reply.listen(exchange);
-		this.traffic.arrive(exchange);
+		this.traffic.submit(exchange);
 	}
 
 	private static RequestInfo requestInfoOf(long id, long arrivedAtNanos, RouteTable table, Route route,
-			RelayedCall relayed, Optional<WorkspaceApiKeys> keyHolder) {
-		final CallHead metadata = relayed.head();
+			RelayedRequest relayed, Optional<WorkspaceApiKeys> keyHolder) {
+		final RequestMetadata metadata = relayed.metadata();
 		final String service = route.selectService(ThreadLocalRandom.current().nextDouble());
 		final boolean grouped = table.service(service).filter((spec) -> spec.grouped()).isPresent();
-		final long timeoutMillis = Math.min(route.timeoutMillis(), metadata.waitMillis().orElse(route.timeoutMillis()));
+		final long timeoutMillis = Math.min(route.timeoutMillis(),
+				metadata.timeoutMillis().orElse(route.timeoutMillis()));
 		final long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
 		final long firstTokenDeadlineNanos = arrivedAtNanos
 				+ TimeUnit.MILLISECONDS.toNanos(QueueTimeBudget.maxQueueMillis(route, timeoutMillis));
@@ -131,11 +132,11 @@
 
 	// Compares every hash, so that the response time does not reveal how much of a
 	// guessed key is right.
-	private static Optional<WorkspaceApiKeys> findApiKeyHolder(RouteTable table, CallHead metadata) {
-		if (metadata.key().isEmpty()) {
+	private static Optional<WorkspaceApiKeys> findApiKeyHolder(RouteTable table, RequestMetadata metadata) {
+		if (metadata.apiKey().isEmpty()) {
 			return Optional.empty();
 		}
-		final byte[] callerKeySha256 = DigestUtils.sha256(metadata.key().get().getBytes(StandardCharsets.UTF_8));
+		final byte[] callerKeySha256 = DigestUtils.sha256(metadata.apiKey().get().getBytes(StandardCharsets.UTF_8));
 		WorkspaceApiKeys found = null;
 		for (final WorkspaceApiKeys keyHolder : table.workspaceApiKeys()) {
 			for (final String keySha256 : keyHolder.keySha256()) {
@@ -182,7 +183,7 @@
 
 	private String requestIdOf(WebRequest request) {
 		try {
-			return this.context.protocol().read(request.headers()).requestId();
+			return this.context.protocol().readRequest(request.headers()).requestId();
 		}
 		catch (PistachiolineException ex) {
 			// Already reported: the refusal being built is about the unreadable headers.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
@@ -6,7 +6,7 @@
 
 import org.apache.commons.codec.digest.DigestUtils;
 
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
 
 /**
  * Computes a fingerprint that is equal for all attempts and retries of the same request.
@@ -33,10 +33,10 @@
 	 * @param request the request
 	 * @return the fingerprint, in hex
 	 */
-	static String of(RelayedCall request) {
+	static String of(RelayedRequest request) {
 		final MessageDigest digest = DigestUtils.getSha256Digest();
 		add(digest, request.method());
-		add(digest, request.target());
+		add(digest, request.pathAndQuery());
 		add(digest, request.workspace().orElse(""));
 		request.body().digest(digest);
 		return HexFormat.of().formatHex(digest.digest(), 0, FINGERPRINT_BYTES);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StandaloneRelay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StandaloneRelay.java
@@ -6,7 +6,7 @@
 
 import org.apache.pekko.actor.typed.ActorSystem;
 
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.retry.RetryBudget;
 import org.pistachioline.core.route.RouteTable;
 import org.pistachioline.core.traffic.RoutingPolicies;
@@ -14,9 +14,9 @@
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
 import org.pistachioline.daemon.traffic.NoClaims;
-import org.pistachioline.daemon.traffic.ShareKeeper;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
@@ -45,12 +45,14 @@
 	 * @param table the configuration
 	 * @param targets the targets
 	 */
-	public StandaloneRelay(ActorSystem<?> system, String callerAddress, RelayDialect protocol, RouteTable table,
+	public StandaloneRelay(ActorSystem<?> system, String callerAddress, RelayProtocol protocol, RouteTable table,
 			List<TargetView> targets) {
 		this.targets = List.copyOf(targets);
-		this.traffic = new TrafficDuty(system, new TrafficCore(RoutingPolicies.create("", 1,
-				new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1, new SharedDeaths())),
-				new NoClaims(), new ShareKeeper(DAEMON_ID, () -> Set.of(DAEMON_ID), HEARTBEAT_MILLIS),
+		this.traffic = new TrafficDuty(system,
+				new TrafficCore(RoutingPolicies.create("", 1,
+						new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1,
+						new GossipQuarantine())),
+				new NoClaims(), new LimitShareUpdater(DAEMON_ID, () -> Set.of(DAEMON_ID), HEARTBEAT_MILLIS),
 				(suspect, nowMillis) -> {
 					// Requests are not expected to crash the fixed targets.
 				}, new TraceRecorder(false));
@@ -62,7 +64,7 @@
 	@Override
 	public void start() {
 		this.traffic.start();
-		this.traffic.targets(this.targets);
+		this.traffic.onTargets(this.targets);
 		this.relay.start();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportDispatcher.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportDispatcher.java
@@ -22,7 +22,7 @@
 
 	@Override
 	public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
-		this.traffic.limitHeard(targetId, sentAtNanos, requestsPerSecond);
+		this.traffic.onLimit(targetId, sentAtNanos, requestsPerSecond);
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CrashCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CrashCodecTests.java
@@ -6,9 +6,9 @@
 import com.google.protobuf.ByteString;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.CrashedTarget;
 
@@ -22,9 +22,9 @@
 
 	private static final String FINGERPRINT = "00ff17";
 
-	private static List<TargetDeath> crashes(long nowNanos) {
-		return List.of(new TargetDeath("i-1@1", nowNanos - 2_000_000_000L, DeathPhase.BEGINNING, false),
-				new TargetDeath("i-2@1", nowNanos, DeathPhase.UNDER_WAY, true));
+	private static List<CrashEvidence> crashes(long nowNanos) {
+		return List.of(new CrashEvidence("i-1@1", nowNanos - 2_000_000_000L, CrashPhase.STARTING, false),
+				new CrashEvidence("i-2@1", nowNanos, CrashPhase.IN_PROGRESS, true));
 	}
 
 	@Test
@@ -44,7 +44,7 @@
 				suspect.addTargets(CrashedTarget.newBuilder().setTargetId("i-1").setAgeMillis(-1))
 					.addTargets(CrashedTarget.newBuilder().setAgeMillis(1))
 					.build());
-		assertThat(CrashCodec.decode(invalid, RECEIVER_NANOS)).flatExtracting(SuspectedRequest::deaths).isEmpty();
+		assertThat(CrashCodec.decode(invalid, RECEIVER_NANOS)).flatExtracting(SuspectedRequest::evidence).isEmpty();
 	}
 
 	/**
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.protocol.peer.Heartbeat;
 import org.pistachioline.protocol.peer.TargetLimit;
 
@@ -18,20 +18,20 @@
 
 	private static final long RECEIVER_NANOS = -7_000_000_000L;
 
-	private static List<StatedLimit> decodeFromHeartbeat(List<TargetLimit> limits) {
+	private static List<AdvertisedLimit> decodeFromHeartbeat(List<TargetLimit> limits) {
 		return LimitCodec.decode(Heartbeat.newBuilder().addAllTargetLimits(limits).build(), RECEIVER_NANOS);
 	}
 
 	@Test
 	void limitsAndTheirRemovalKeepTheirAge() {
-		final List<StatedLimit> sent = List.of(
-				new StatedLimit("i-1", OptionalDouble.of(1.1), SENDER_NANOS - 2_000_000_000L),
-				new StatedLimit("i-2", OptionalDouble.of(0), SENDER_NANOS),
-				new StatedLimit("i-3", OptionalDouble.empty(), SENDER_NANOS - 30_000_000L));
+		final List<AdvertisedLimit> sent = List.of(
+				new AdvertisedLimit("i-1", OptionalDouble.of(1.1), SENDER_NANOS - 2_000_000_000L),
+				new AdvertisedLimit("i-2", OptionalDouble.of(0), SENDER_NANOS),
+				new AdvertisedLimit("i-3", OptionalDouble.empty(), SENDER_NANOS - 30_000_000L));
 		assertThat(decodeFromHeartbeat(LimitCodec.encode(sent, SENDER_NANOS))).containsExactly(
-				new StatedLimit("i-1", OptionalDouble.of(1.1), RECEIVER_NANOS - 2_000_000_000L),
-				new StatedLimit("i-2", OptionalDouble.of(0), RECEIVER_NANOS),
-				new StatedLimit("i-3", OptionalDouble.empty(), RECEIVER_NANOS - 30_000_000L));
+				new AdvertisedLimit("i-1", OptionalDouble.of(1.1), RECEIVER_NANOS - 2_000_000_000L),
+				new AdvertisedLimit("i-2", OptionalDouble.of(0), RECEIVER_NANOS),
+				new AdvertisedLimit("i-3", OptionalDouble.empty(), RECEIVER_NANOS - 30_000_000L));
 	}
 
 	/**
@@ -53,9 +53,9 @@
 	 */
 	@Test
 	void theNumberOfLimitsPerHeartbeatIsBounded() {
-		final List<StatedLimit> many = new ArrayList<>();
+		final List<AdvertisedLimit> many = new ArrayList<>();
 		for (int i = 0; i < 1_000; i++) {
-			many.add(new StatedLimit("i-" + i, OptionalDouble.of(1), SENDER_NANOS));
+			many.add(new AdvertisedLimit("i-" + i, OptionalDouble.of(1), SENDER_NANOS));
 		}
 		assertThat(LimitCodec.encode(many, SENDER_NANOS)).hasSize(LimitCodec.MAX_LIMITS);
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitGossipTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitGossipTests.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -33,19 +33,19 @@
 	 */
 	@Test
 	void heartbeatsCarryTheLimitsThatAnotherDaemonKnows() throws InterruptedException {
-		final BlockingQueue<List<StatedLimit>> received = new LinkedBlockingQueue<>();
+		final BlockingQueue<List<AdvertisedLimit>> received = new LinkedBlockingQueue<>();
 		final PeerDuty second = this.peers.daemon("second", List.of());
 		second.setLimitExchange(List::of, received::add);
 		second.start();
 		final PeerDuty first = this.peers.daemon("first", List.of(second.localAddress()));
 		first.setLimitExchange(
-				() -> List.of(new StatedLimit("i-1", OptionalDouble.of(1.1), 0),
-						new StatedLimit("i-2", OptionalDouble.empty(), 0)),
+				() -> List.of(new AdvertisedLimit("i-1", OptionalDouble.of(1.1), 0),
+						new AdvertisedLimit("i-2", OptionalDouble.empty(), 0)),
 				(reported) -> assertThat(reported).as("limits that the second daemon reports").isEmpty());
 		first.start();
-		final List<StatedLimit> reported = received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
-		assertThat(reported).extracting(StatedLimit::instanceId).containsExactly("i-1", "i-2");
-		assertThat(reported).extracting(StatedLimit::requestsPerSecond)
+		final List<AdvertisedLimit> reported = received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+		assertThat(reported).extracting(AdvertisedLimit::instanceId).containsExactly("i-1", "i-2");
+		assertThat(reported).extracting(AdvertisedLimit::requestsPerSecond)
 			.containsExactly(OptionalDouble.of(1.1), OptionalDouble.empty());
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/SuspectGossipTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/SuspectGossipTests.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -23,7 +23,7 @@
 	private static final long MAX_WAIT_SECONDS = 60;
 
 	private static final List<SuspectedRequest> KNOWN = List
-		.of(new SuspectedRequest("00ff", List.of(new TargetDeath("i-1@1", 0, DeathPhase.BEGINNING, false))));
+		.of(new SuspectedRequest("00ff", List.of(new CrashEvidence("i-1@1", 0, CrashPhase.STARTING, false))));
 
 	private final LoopbackPeers peers = new LoopbackPeers();
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
@@ -28,11 +28,11 @@
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficAction;
-import org.pistachioline.daemon.port.AnswerVerdict;
-import org.pistachioline.daemon.port.CallHead;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
+import org.pistachioline.daemon.port.ResponseVerdict;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -138,10 +138,9 @@
 				ClaimRequirement.NONE, "", List.of());
 	}
 
-	private static RelayedCall request() {
-		return new RelayedCall(
-				new CallHead("r7", OptionalLong.empty(), Optional.empty(), Optional.empty(), 100, 60, Optional.empty()),
-				"POST", "/copy/1", HeaderFields.EMPTY, Body.EMPTY, Optional.empty());
+	private static RelayedRequest request() {
+		return new RelayedRequest(new RequestMetadata("r7", OptionalLong.empty(), Optional.empty(), Optional.empty(),
+				100, 60, Optional.empty()), "POST", "/copy/1", HeaderFields.EMPTY, Body.EMPTY, Optional.empty());
 	}
 
 	private final class RecordingAttemptListener implements AttemptListener {
@@ -158,25 +157,25 @@
 
 	}
 
-	private static final class StubProtocol implements RelayDialect {
+	private static final class StubProtocol implements RelayProtocol {
 
 		private int requestsBuilt;
 
 		@Override
-		public CallHead read(HeaderFields headers) {
-			return request().head();
+		public RequestMetadata readRequest(HeaderFields headers) {
+			return request().metadata();
 		}
 
 		@Override
-		public WebRequest toTarget(RelayedCall request, TargetView target, long remainingMillis,
+		public WebRequest toTargetRequest(RelayedRequest request, TargetView target, long remainingMillis,
 				Optional<String> lastEventId) {
 			this.requestsBuilt++;
-			return new WebRequest(request.method(), request.target(), request.headers(), request.body());
+			return new WebRequest(request.method(), request.pathAndQuery(), request.headers(), request.body());
 		}
 
 		@Override
-		public AnswerVerdict judge(RelayedCall request, AnswerHead head) {
-			return AnswerVerdict.ANSWER;
+		public ResponseVerdict classify(RelayedRequest request, AnswerHead head) {
+			return ResponseVerdict.VALID;
 		}
 
 		@Override
@@ -195,7 +194,7 @@
 		}
 
 		@Override
-		public boolean leaving(AnswerHead head) {
+		public boolean isLeaving(AnswerHead head) {
 			return false;
 		}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RequestFingerprintTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RequestFingerprintTests.java
@@ -7,8 +7,8 @@
 
 import org.pistachioline.adapters.web.Body;
 import org.pistachioline.adapters.web.HeaderFields;
-import org.pistachioline.daemon.port.CallHead;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,10 +16,11 @@
 
 	private static final String FIRST = RequestFingerprint.of(request("r1", "POST", "/copy/1", "prompt", "shop"));
 
-	private static RelayedCall request(String requestId, String method, String target, String body, String workspace) {
-		final CallHead head = new CallHead(requestId, OptionalLong.of(8_000), Optional.of("key"), Optional.empty(), 100,
-				60, Optional.of("3"));
-		return new RelayedCall(head, method, target, HeaderFields.EMPTY.with("X-Request", requestId), Body.of(body),
+	private static RelayedRequest request(String requestId, String method, String target, String body,
+			String workspace) {
+		final RequestMetadata head = new RequestMetadata(requestId, OptionalLong.of(8_000), Optional.of("key"),
+				Optional.empty(), 100, 60, Optional.of("3"));
+		return new RelayedRequest(head, method, target, HeaderFields.EMPTY.with("X-Request", requestId), Body.of(body),
 				Optional.of(workspace).filter((workspaceName) -> !workspaceName.isEmpty()));
 	}
 
