--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
@@ -60,9 +60,10 @@
 	}
 
 	/**
-	 * A caller leaves in the middle of its stream. Were the end of the attempt told
-	 * before the caller's leaving, the request would be sent to another target, which
-	 * would begin to work for nobody and use up a part of the budget for repeats.
+	 * Guards against a request that is sent to another target after its caller
+	 * disconnected in the middle of the stream. This happens if the end of the attempt is
+	 * reported before the disconnect; the other target then works for nobody and the
+	 * attempt uses up retry budget.
 	 */
 	@Test
 	void aCallerDisconnectIsReportedBeforeTheAttemptEnds() {
@@ -73,9 +74,9 @@
 	}
 
 	/**
-	 * A daemon that has just started runs most of a second late. A caller leaves while
-	 * the order to send its request once more is on its way between two threads. Sent all
-	 * the same, it would keep a target at work for nobody.
+	 * Guards against an attempt that is sent after its caller disconnected while the
+	 * start command was queued between two threads, which takes up to a second on a
+	 * daemon that has just started. The target would work for nobody.
 	 */
 	@Test
 	void noAttemptIsSentAfterTheCallerDisconnected() {
@@ -87,8 +88,8 @@
 	}
 
 	/**
-	 * Guards against an attempt that was decided before its target asked for rest, and
-	 * that is sent after it.
+	 * Guards against an attempt that was scheduled before its target requested backoff
+	 * and is sent afterwards.
 	 */
 	@Test
 	void noAttemptIsSentToATargetThatRequestedBackoffMeanwhile() {
@@ -99,7 +100,8 @@
 	}
 
 	/**
-	 * Guards against an attempt that is sent to a target which has said that it leaves.
+	 * Guards against an attempt that is sent to a target which has announced that it is
+	 * leaving.
 	 */
 	@Test
 	void noAttemptIsSentToALeavingTarget() {
@@ -110,8 +112,8 @@
 	}
 
 	/**
-	 * Guards against a status that promises that a request has not run where it may have:
-	 * its caller would send a booking again.
+	 * Guards against a status that promises that a request has not run when it may have:
+	 * the caller would retry a request that is not idempotent.
 	 */
 	@Test
 	void aRequestThatMayHaveRunIsNotRefusedAsNotRun() {
@@ -123,11 +125,12 @@
 	}
 
 	private RelayExchange exchange() {
-		final RelayContext tools = new RelayContext(Runnable::run, new WebClient(this.loop, 1_000, 1_000, 1),
+		final RelayContext context = new RelayContext(Runnable::run, new WebClient(this.loop, 1_000, 1_000, 1),
 				this.protocol, new ActiveStreams(), (requestId) -> this.notifications.add("gone " + requestId),
 				new NoOpListener(), this.gate, new CrashProbe((address, receiver) -> receiver.accept(false),
 						(crash) -> this.notifications.add("crash " + crash.targetId())));
-		return new RelayExchange(info(), request(), true, tools, new CallerResponse(new RecordingReply(), () -> false));
+		return new RelayExchange(info(), request(), true, context,
+				new CallerResponse(new RecordingReply(), () -> false));
 	}
 
 	private static RequestInfo info() {
@@ -148,8 +151,8 @@
 		}
 
 		@Override
-		public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
-			RelayExchangeTests.this.notifications.add(how.name());
+		public void onEnd(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) {
+			RelayExchangeTests.this.notifications.add(outcome.name());
 		}
 
 	}
@@ -164,34 +167,34 @@
 		}
 
 		@Override
-		public WebRequest toTargetRequest(RelayedRequest call, TargetView target, long leftMillis,
+		public WebRequest toTargetRequest(RelayedRequest request, TargetView target, long remainingMillis,
 				Optional<String> lastEventId) {
 			this.requestsBuilt++;
-			return new WebRequest(call.method(), call.pathAndQuery(), call.headers(), call.body());
+			return new WebRequest(request.method(), request.pathAndQuery(), request.headers(), request.body());
 		}
 
 		@Override
-		public ResponseVerdict classify(RelayedRequest call, AnswerHead answer) {
+		public ResponseVerdict classify(RelayedRequest request, AnswerHead head) {
 			return ResponseVerdict.VALID;
 		}
 
 		@Override
-		public Optional<LoadReport> load(AnswerHead answer, long nowNanos) {
+		public Optional<LoadReport> load(AnswerHead head, long nowNanos) {
 			return Optional.empty();
 		}
 
 		@Override
-		public OptionalDouble requestLimit(AnswerHead answer) {
+		public OptionalDouble requestLimit(AnswerHead head) {
 			return OptionalDouble.empty();
 		}
 
 		@Override
-		public OptionalLong backoffMillis(AnswerHead answer) {
+		public OptionalLong backoffMillis(AnswerHead head) {
 			return OptionalLong.empty();
 		}
 
 		@Override
-		public boolean isLeaving(AnswerHead answer) {
+		public boolean isLeaving(AnswerHead head) {
 			return false;
 		}
 
@@ -201,22 +204,22 @@
 
 		@Override
 		public void onLoad(String targetId, LoadReport load) {
-			// No test here asks for loads.
+			// Loads are not part of these tests.
 		}
 
 		@Override
 		public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
-			// No test here asks for limits.
+			// Limits are not part of these tests.
 		}
 
 		@Override
-		public void onBackoff(String instanceId, long forMillis) {
-			// No test here asks for backoffs.
+		public void onBackoff(String instanceId, long backoffMillis) {
+			// The listener's notifications are not part of these tests.
 		}
 
 		@Override
 		public void onLeaving(String instanceId) {
-			// No test here asks for targets that leave.
+			// The listener's notifications are not part of these tests.
 		}
 
 	}
@@ -224,33 +227,33 @@
 	private final class RecordingReply implements WebReply {
 
 		@Override
-		public void whole(WebAnswer answer) {
-			RelayExchangeTests.this.responses.add(answer);
+		public void whole(WebAnswer response) {
+			RelayExchangeTests.this.responses.add(response);
 		}
 
 		@Override
 		public void begin(AnswerHead head) {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void piece(byte[] bytes, int offset, int length) {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void flush() {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void end() {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
 		public void breakOff() {
-			// Nobody reads it.
+			// Streamed output is not part of these tests.
 		}
 
 		@Override
@@ -260,7 +263,7 @@
 
 		@Override
 		public void listen(CallerListener listener) {
-			// The test tells it by itself.
+			// The tests call the listener directly.
 		}
 
 	}
