--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -143,7 +143,7 @@
 		final boolean nowStale = ageNanos > this.maxAgeNanos;
 		if (nowStale != this.stale) {
 			this.stale = nowStale;
-			Events.log(nowStale ? EventId.LISTING_OLD : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
+			Events.log(nowStale ? EventId.LISTING_STALE : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -234,8 +234,8 @@
 	private void reportBrokenConnection() {
 		final int deliveredByAttempt = this.exchange.position().deliveredEvents() - this.start.resumeFromTokens();
 		final String fingerprint = this.exchange.info().fingerprint();
-		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.request().metadata().requestId(), "fingerprint",
-				fingerprint, "target", this.start.target().targetId(), "status",
+		Events.log(EventId.TARGET_CONNECTION_LOST, "request", this.exchange.request().metadata().requestId(),
+				"fingerprint", fingerprint, "target", this.start.target().targetId(), "status",
 				(this.responseHead != null) ? this.responseHead.status() : 0, "events", deliveredByAttempt);
 		this.exchange.context()
 			.crashProbe()
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -108,7 +108,7 @@
 				TimeUnit.NANOSECONDS.toMillis(this.info.totalDeadlineNanos() - System.nanoTime()));
 		this.attemptCount++;
 		if (this.attemptCount > 1) {
-			Events.log(EventId.REQUEST_RESENT, "request", this.request.metadata().requestId(), "attempt",
+			Events.log(EventId.REQUEST_RETRIED, "request", this.request.metadata().requestId(), "attempt",
 					this.attemptCount, "from", this.lastTargetId, "to", start.target().targetId(), "events",
 					start.resumeFromTokens(), "left_millis", remainingMillis);
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
@@ -92,7 +92,7 @@
 		}
 		catch (RuntimeException ex) {
 			// The remaining actions concern other requests, which would hang.
-			Events.log(EventId.REQUEST_FAULT, ex, "request", action.requestId());
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, ex, "request", action.requestId());
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
@@ -83,7 +83,7 @@
 	 * @return whether this brought a request into quarantine
 	 */
 	boolean applyCrash(long nowNanos, TargetCrash crash, TrafficCore core) {
-		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.startingFingerprints().size(),
+		Events.log(EventId.TARGET_CRASHED, "target", crash.targetId(), "beginning", crash.startingFingerprints().size(),
 				"under_way", crash.inProgressFingerprints().size());
 		final boolean quarantinedMore = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
 		takeSnapshot(nowNanos, core);
@@ -150,7 +150,7 @@
 					report.targetIds()));
 		this.quarantined.stream()
 			.filter((fingerprint) -> !now.contains(fingerprint))
-			.forEach((fingerprint) -> Events.log(EventId.REQUEST_RELEASED, "fingerprint", fingerprint));
+			.forEach((fingerprint) -> Events.log(EventId.QUARANTINE_ENDED, "fingerprint", fingerprint));
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -372,7 +372,7 @@
 				|| ended.outcome() == AttemptOutcome.MISMATCHED;
 		if (ended.outcome() == AttemptOutcome.MISMATCHED || (hasResponse && !this.core.isLive(ended.attempt()))) {
 			this.droppedResponseCount++;
-			Events.log(EventId.ANSWER_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.outcome());
+			Events.log(EventId.RESPONSE_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.outcome());
 		}
 		else if (ended.outcome() != AttemptOutcome.COMPLETE && ended.outcome() != AttemptOutcome.CANCELLED
 				&& ended.outcome() != AttemptOutcome.WITHHELD && this.core.isLive(ended.attempt())) {
