--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
@@ -39,9 +39,9 @@
 
 	private final TrafficDuty traffic;
 
-	private final ShareKeeper shares;
+	private final ShareKeeper limitShares;
 
-	private final List<Lifecycle> parts;
+	private final List<Lifecycle> components;
 
 	DaemonDump(StreamDuty<ConfigState> config, StreamDuty<FleetState> fleet, FleetDuty instances, PlannerDuty planner,
 			AppendDuty appender, TrafficDuty traffic, ShareKeeper shares, List<Lifecycle> parts) {
@@ -51,8 +51,8 @@
 		this.planner = planner;
 		this.appender = appender;
 		this.traffic = traffic;
-		this.shares = shares;
-		this.parts = parts;
+		this.limitShares = shares;
+		this.components = parts;
 	}
 
 	Map<String, Object> sections(long configAgeMillis, List<PeerStatus> daemons) {
@@ -101,8 +101,8 @@
 		for (final WorkspaceSpec workspace : this.config.view().state().manifest().workspaces()) {
 			rows.add(Map.of("workspace", workspace.name(), "requests_per_second", workspace.requestsPerSecond(),
 					"tokens_in_flight", workspace.tokensInFlight(), "queued_requests", workspace.queuedRequests(),
-					"share_ratio", this.shares.shareRatios().getOrDefault(workspace.name(), 0.0), "demand_per_second",
-					this.shares.demand().getOrDefault(workspace.name(), 0.0), "failures",
+					"share_ratio", this.limitShares.shareRatios().getOrDefault(workspace.name(), 0.0),
+					"demand_per_second", this.limitShares.demand().getOrDefault(workspace.name(), 0.0), "failures",
 					this.traffic.failures().of(workspace.name())));
 		}
 		return rows;
@@ -110,10 +110,10 @@
 
 	private List<Map<String, Object>> rings() {
 		final List<Map<String, Object>> rows = new ArrayList<>();
-		for (final Lifecycle part : this.parts) {
+		for (final Lifecycle part : this.components) {
 			for (final Ring<?> ring : part.rings()) {
 				rows.add(Map.of("ring", ring.name(), "messages", ring.size(), "capacity", ring.capacity(), "refused",
-						ring.refused()));
+						ring.refusedCount()));
 			}
 		}
 		return rows;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -93,7 +93,8 @@
 	void bind(Ring<?> ring) {
 		this.metrics.gauge("pistachioline.ring.messages", "Messages that wait in a ring between duties", ring.name(),
 				ring::size);
-		this.metrics.counter("pistachioline.ring.refused", "Times that a ring had no room", ring.name(), ring::refused);
+		this.metrics.counter("pistachioline.ring.refused", "Times that a ring had no room", ring.name(),
+				ring::refusedCount);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceSignalDispatcher.java
@@ -10,7 +10,7 @@
  * @param traffic sends requests
  * @param replicas plans groups
  */
-record InstanceNews(TrafficDuty traffic, ReplicaDuty replicas) implements InstanceListener {
+record InstanceSignalDispatcher(TrafficDuty traffic, ReplicaDuty replicas) implements InstanceListener {
 
 	@Override
 	public void onBackoff(String instanceId, long forMillis) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -45,9 +45,9 @@
 public final class RoutingDaemon implements DaemonView {
 
 	/** Word of a peer's leaving or death must be round before callers ask again. */
-	private static final long HEARTBEAT_MILLIS = 300;
+	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
-	private static final int MOST_PEER_CONNECTIONS = 256;
+	private static final int MAX_PEER_CONNECTIONS = 256;
 
 	/** What is left of the time to stop when the last requests are given up. */
 	private static final long STOP_MARGIN_MILLIS = 700;
@@ -56,11 +56,11 @@
 	private static final long LINGER_MILLIS = 3_500;
 
 	/** Some heartbeats, and the time to connect. */
-	private static final long HEAR_OTHERS_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+	private static final long PEER_DISCOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-	private static final long STOP_CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+	private static final long DRAIN_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-	private static final long LONGEST_FIRST_START_NANOS = TimeUnit.MINUTES.toNanos(1);
+	private static final long MAX_FIRST_START_NANOS = TimeUnit.MINUTES.toNanos(1);
 
 	private final RoutingSettings settings;
 
@@ -72,13 +72,13 @@
 
 	private final long startedAtNanos = System.nanoTime();
 
-	private final AtomicLong heartbeats = new AtomicLong();
+	private final AtomicLong heartbeatSequence = new AtomicLong();
 
-	private final AtomicLong lookups = new AtomicLong();
+	private final AtomicLong lookupCount = new AtomicLong();
 
 	private final PeerDuty peers;
 
-	private final ShareKeeper shares;
+	private final ShareKeeper limitShares;
 
 	private final TrafficDuty traffic;
 
@@ -90,17 +90,17 @@
 
 	private final Metrics metrics = new Metrics();
 
-	private final Parts parts = new Parts();
+	private final Components components = new Components();
 
-	private volatile RouteTable table = RouteTable.UNKNOWN;
+	private volatile RouteTable routeTable = RouteTable.UNKNOWN;
 
-	private volatile boolean listed;
+	private volatile boolean instanceListKnown;
 
 	private volatile boolean leaving;
 
-	private volatile boolean offered = true;
+	private volatile boolean acceptingTraffic = true;
 
-	private volatile int mostDaemons = 1;
+	private volatile int maxDaemonCount = 1;
 
 	/**
 	 * Wires a daemon.
@@ -112,27 +112,27 @@
 		this.system = system;
 		this.settings = settings;
 		this.ports = ports;
-		this.metrics.process();
+		this.metrics.addProcessMeters();
 		this.peers = new PeerDuty(system,
-				(receiver) -> new PeerTransport(settings.peerAddress(), null, MOST_PEER_CONNECTIONS, receiver),
-				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_MILLIS);
-		this.shares = new ShareKeeper(settings.daemonId(), this.peers::daemonIds, HEARTBEAT_MILLIS);
-		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.shares,
+				(receiver) -> new PeerTransport(settings.peerAddress(), null, MAX_PEER_CONNECTIONS, receiver),
+				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_INTERVAL_MILLIS);
+		this.limitShares = new ShareKeeper(settings.daemonId(), this.peers::daemonIds, HEARTBEAT_INTERVAL_MILLIS);
+		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.limitShares,
 				(suspect, nowMillis) -> {
 					// Daemons tell each other directly of the targets that died.
 				}, new TraceRecorder(false));
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
-				this.traffic::targets, this::beforeTraffic);
-		this.listing = new ListingDuty(system, settings.daemonId(), settings.listAgeMillis(), ports.instances(),
+				this.traffic::targets, this::isBeforeFirstTraffic);
+		this.listing = new ListingDuty(system, settings.daemonId(), settings.maxListAgeMillis(), ports.instances(),
 				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::daemonIds, this.peers::send,
-				this::listed);
-		final InstanceNews news = new InstanceNews(this.traffic, this.replicas);
+				this::onInstanceList);
+		final InstanceSignalDispatcher news = new InstanceSignalDispatcher(this.traffic, this.replicas);
 		ports.orders().onAnswers(news);
-		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.table, this.traffic,
+		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.routeTable, this.traffic,
 				this.replicas::onLoadReport, news, () -> this.leaving);
-		this.parts.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing, ports.lease(),
-				new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
-		connect();
+		this.components.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing,
+				ports.lease(), new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
+		registerListeners();
 	}
 
 	private TrafficPolicies policies() {
@@ -141,9 +141,9 @@
 				this::daemonCount, new SharedDeaths());
 	}
 
-	private void connect() {
+	private void registerListeners() {
 		this.ports.routes().onRoutes((next) -> {
-			this.table = next;
+			this.routeTable = next;
 			this.replicas.configure(next);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
 		});
@@ -161,7 +161,7 @@
 		crashes.onNews(this.peers::tellSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
-		this.parts.all().forEach((part) -> part.rings().forEach(meters::bind));
+		this.components.all().forEach((part) -> part.rings().forEach(meters::bind));
 		this.metrics.gauge("pistachioline.config.version", "Version of the configuration in force",
 				this::configVersion);
 		this.metrics.gauge("pistachioline.listing.age", "Time since the platform was asked for the known list",
@@ -173,32 +173,32 @@
 	// A daemon that has just started knows of no other, and would take itself for the
 	// first.
 	private boolean isPlannerCandidate() {
-		return System.nanoTime() - this.startedAtNanos >= HEAR_OTHERS_NANOS
+		return System.nanoTime() - this.startedAtNanos >= PEER_DISCOVERY_NANOS
 				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.daemonIds());
 	}
 
-	private void listed(List<ServingInstance> instances) {
-		this.listed = true;
+	private void onInstanceList(List<ServingInstance> instances) {
+		this.instanceListKnown = true;
 		this.replicas.updateInstances(instances);
 	}
 
 	// A daemon that has just started counts few others; the most it has ever seen is a
 	// better guess of how many spend from the same budget.
 	private int daemonCount() {
-		this.mostDaemons = Math.max(this.mostDaemons, this.peers.others().size() + 1);
-		return this.mostDaemons;
+		this.maxDaemonCount = Math.max(this.maxDaemonCount, this.peers.others().size() + 1);
+		return this.maxDaemonCount;
 	}
 
-	private boolean beforeTraffic() {
+	private boolean isBeforeFirstTraffic() {
 		return this.settings.firstStart() && this.relay.arrived() == 0
-				&& System.nanoTime() - this.startedAtNanos < LONGEST_FIRST_START_NANOS;
+				&& System.nanoTime() - this.startedAtNanos < MAX_FIRST_START_NANOS;
 	}
 
 	/**
 	 * Starts all parts in order.
 	 */
 	public void start() {
-		this.parts.start();
+		this.components.start();
 		Events.log(EventId.STARTED, "daemon", this.settings.daemonId(), "callers", this.settings.callerAddress(),
 				"admin", this.settings.adminAddress(), "peers", this.settings.peerAddress(), "start_millis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.startedAtNanos));
@@ -219,7 +219,7 @@
 		final long lingerNanos = Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
 		long waitedNanos = 0;
 		while (waitedNanos < lingerNanos || (this.traffic.held() > 0 && waitedNanos < mostNanos)) {
-			LockSupport.parkNanos(STOP_CHECK_NANOS);
+			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 			waitedNanos = System.nanoTime() - begunAtNanos;
 		}
 		Events.log(EventId.STOPPED, "held", this.traffic.held(), "waited_millis",
@@ -230,7 +230,7 @@
 	 * Stops all started parts in reverse order.
 	 */
 	public void stop() {
-		this.parts.stop();
+		this.components.stop();
 		this.system.terminate();
 	}
 
@@ -239,7 +239,7 @@
 	 * warm.
 	 * @return whether they can
 	 */
-	public boolean mayHoldBack() {
+	public boolean canDeferTraffic() {
 		return WarmUpRule.mayHoldBack(status(), this.peers.others());
 	}
 
@@ -247,26 +247,26 @@
 	 * Keeps callers away until they are let in again; those who come all the same are
 	 * served.
 	 */
-	public void holdBack() {
-		this.offered = false;
+	public void deferTraffic() {
+		this.acceptingTraffic = false;
 		this.peers.beat();
 	}
 
 	/**
 	 * Lets callers be sent here.
 	 */
-	public void offer() {
-		this.offered = true;
+	public void acceptTraffic() {
+		this.acceptingTraffic = true;
 		this.peers.beat();
-		Events.log(EventId.CALLERS_WELCOME, "start_millis",
+		Events.log(EventId.TRAFFIC_ACCEPTED, "start_millis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.startedAtNanos));
 	}
 
 	private PeerStatus status() {
 		return new PeerStatus(this.settings.daemonId(), this.settings.peerAddress(), this.settings.callerAddress(),
 				this.settings.adminAddress(), this.settings.availabilityZone(), this.incarnation,
-				this.heartbeats.incrementAndGet(), configVersion(), 0, 0, this.offered && notReadyReason().isEmpty(),
-				this.leaving, this.traffic.held(), 0);
+				this.heartbeatSequence.incrementAndGet(), configVersion(), 0, 0,
+				this.acceptingTraffic && notReadyReason().isEmpty(), this.leaving, this.traffic.held(), 0);
 	}
 
 	/**
@@ -275,7 +275,8 @@
 	 * @return the addresses, the best first
 	 */
 	public List<String> endpoints(String availabilityZone) {
-		final List<String> chosen = EndpointSelector.choose(daemons(), availabilityZone, this.lookups.getAndIncrement())
+		final List<String> chosen = EndpointSelector
+			.choose(daemons(), availabilityZone, this.lookupCount.getAndIncrement())
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
@@ -322,7 +323,7 @@
 
 	@Override
 	public long configVersion() {
-		return this.table.version();
+		return this.routeTable.version();
 	}
 
 	@Override
@@ -330,10 +331,10 @@
 		if (!this.relay.listening()) {
 			return Optional.of("callers are not served yet");
 		}
-		if (!this.table.isKnown()) {
+		if (!this.routeTable.isKnown()) {
 			return Optional.of("no configuration is known");
 		}
-		if (!this.listed) {
+		if (!this.instanceListKnown) {
 			return Optional.of("the instance list has not been read");
 		}
 		return this.leaving ? Optional.of("the daemon is leaving") : Optional.empty();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
@@ -216,7 +216,7 @@
 				? failure.getCause() : failure;
 		final ErrorKind kind = kindOf(cause);
 		if (kind == ErrorKind.INTERNAL) {
-			Events.log(EventId.REQUEST_FAULT, cause, "request", requestIdText);
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, cause, "request", requestIdText);
 		}
 		return ErrorAnswers.of(requestIdText, kind, kind.runState(), kind.retryable() ? 1_000 : 0);
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -141,7 +141,7 @@
 		final boolean now = ageNanos > this.mostAgeNanos;
 		if (now != this.old) {
 			this.old = now;
-			Events.log(now ? EventId.LISTING_OLD : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
+			Events.log(now ? EventId.LISTING_STALE : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
@@ -329,7 +329,7 @@
 		frame.getHeartbeat().getKnownList().forEach((status) -> merge(PeerCodec.decode(status), nowNanos));
 		frame.getHeartbeat().getNewsList().forEach((news) -> {
 			if (this.table.merge(PeerCodec.decode(news), nowNanos)) {
-				Events.log(EventId.PEER_FOUND, "daemon", news.getDaemonId());
+				Events.log(EventId.PEER_DISCOVERED, "daemon", news.getDaemonId());
 			}
 		});
 		if (frame.getHeartbeat().getTargetLimitsCount() > 0) {
@@ -349,7 +349,7 @@
 
 	private void merge(PeerStatus status, long nowNanos) {
 		if (this.table.merge(status, nowNanos)) {
-			Events.log(EventId.PEER_FOUND, "daemon", status.daemonId(), "address", status.peerAddress());
+			Events.log(EventId.PEER_DISCOVERED, "daemon", status.daemonId(), "address", status.peerAddress());
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -225,7 +225,7 @@
 	private void onBreak() {
 		final int given = this.exchange.position().events() - this.start.resumeFromTokens();
 		final String fingerprint = this.exchange.info().fingerprint();
-		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.call().head().requestId(), "fingerprint",
+		Events.log(EventId.TARGET_CONNECTION_LOST, "request", this.exchange.call().head().requestId(), "fingerprint",
 				fingerprint, "target", this.start.target().targetId(), "status",
 				(this.head != null) ? this.head.status() : 0, "events", given);
 		this.exchange.tools().crashes().onBreak(this.start.target(), fingerprint, given > FEW_EVENTS);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -107,7 +107,7 @@
 				TimeUnit.NANOSECONDS.toMillis(this.info.totalDeadlineNanos() - System.nanoTime()));
 		this.attempts++;
 		if (this.attempts > 1) {
-			Events.log(EventId.REQUEST_RESENT, "request", this.call.head().requestId(), "attempt", this.attempts,
+			Events.log(EventId.REQUEST_RETRIED, "request", this.call.head().requestId(), "attempt", this.attempts,
 					"from", this.lastTargetId, "to", start.target().targetId(), "events", start.resumeFromTokens(),
 					"left_millis", leftMillis);
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -145,7 +145,7 @@
 		final ErrorKind kind = (cause instanceof PistachiolineException known) ? known.kind() : ErrorKind.INTERNAL;
 		final String requestId = idOf(request);
 		if (kind == ErrorKind.INTERNAL) {
-			Events.log(EventId.REQUEST_FAULT, cause, "request", requestId);
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, cause, "request", requestId);
 		}
 		else {
 			logRefusal(requestId, kind, request.path());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
@@ -91,7 +91,7 @@
 		}
 		catch (RuntimeException ex) {
 			// The actions after this one are other requests'; left out, those would hang.
-			Events.log(EventId.REQUEST_FAULT, ex, "request", action.requestId());
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, ex, "request", action.requestId());
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
@@ -79,8 +79,8 @@
 	 * @return whether a request is quarantined since
 	 */
 	boolean hear(long nowNanos, TargetCrash crash, TrafficCore core) {
-		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.beginning().size(), "under_way",
-				crash.underWay().size());
+		Events.log(EventId.TARGET_CRASHED, "target", crash.targetId(), "beginning", crash.beginning().size(),
+				"under_way", crash.underWay().size());
 		final boolean news = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
 		show(nowNanos, core);
 		tell(nowNanos, core);
@@ -146,7 +146,7 @@
 					report.targetIds()));
 		this.quarantined.stream()
 			.filter((fingerprint) -> !now.contains(fingerprint))
-			.forEach((fingerprint) -> Events.log(EventId.REQUEST_RELEASED, "fingerprint", fingerprint));
+			.forEach((fingerprint) -> Events.log(EventId.QUARANTINE_ENDED, "fingerprint", fingerprint));
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -363,7 +363,7 @@
 		final boolean answered = ended.how() == AttemptOutcome.COMPLETE || ended.how() == AttemptOutcome.MISMATCHED;
 		if (ended.how() == AttemptOutcome.MISMATCHED || (answered && !this.core.isLive(ended.attempt()))) {
 			this.answersDropped++;
-			Events.log(EventId.ANSWER_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.how());
+			Events.log(EventId.RESPONSE_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.how());
 		}
 		else if (ended.how() != AttemptOutcome.COMPLETE && ended.how() != AttemptOutcome.CANCELLED
 				&& ended.how() != AttemptOutcome.WITHHELD && this.core.isLive(ended.attempt())) {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
@@ -40,7 +40,7 @@
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.core.traffic.TrafficPolicies;
-import org.pistachioline.daemon.MemoryLog;
+import org.pistachioline.daemon.InMemoryLog;
 import org.pistachioline.daemon.agreed.AppendDuty;
 import org.pistachioline.daemon.claims.ClaimService;
 
@@ -54,7 +54,7 @@
 
 	private static final int BREAKS_AT = 3;
 
-	private final MemoryLog log = new MemoryLog();
+	private final InMemoryLog log = new InMemoryLog();
 
 	private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
@@ -181,7 +181,7 @@
 		final HttpResponse first = call(1, "k");
 		assertThat(first.status().intValue()).isEqualTo(502);
 		assertThat(runHeader(first)).isEqualTo("unknown");
-		this.log.await("claims-0", 2).join();
+		this.log.awaitEntries("claims-0", 2).join();
 		for (int i = 2; i < 6; i++) {
 			final HttpResponse repeat = call(i, "k");
 			assertThat(repeat.status().intValue()).isEqualTo(409);
