--- a/pistachioline-core/src/main/java/org/pistachioline/core/error/PistachiolineException.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/error/PistachiolineException.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.error;
 
 /**
- * Carries an error kind through a failed {@code CompletableFuture}.
+ * Failure with an {@link ErrorKind}, thrown or set on a failed {@code CompletableFuture}.
  */
 public final class PistachiolineException extends RuntimeException {
 
@@ -10,7 +10,7 @@
 	private final ErrorKind kind;
 
 	/**
-	 * Creates a failure of the given kind.
+	 * Creates an exception of a kind, with the kind's message.
 	 * @param kind the error kind
 	 */
 	public PistachiolineException(ErrorKind kind) {
@@ -19,9 +19,9 @@
 	}
 
 	/**
-	 * Creates a failure of the given kind with a cause.
+	 * Creates an exception of a kind with a cause, with the kind's message.
 	 * @param kind the error kind
-	 * @param cause what led to it
+	 * @param cause the failure that led to it
 	 */
 	public PistachiolineException(ErrorKind kind, Throwable cause) {
 		super(kind.message(), cause);
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Returns the error kind.
+	 * Returns the error kind that determines the error response.
 	 * @return the kind
 	 */
 	public ErrorKind kind() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/error/RunState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/error/RunState.java
@@ -1,14 +1,14 @@
 package org.pistachioline.core.error;
 
 /**
- * Says whether a request that failed may have been run by a target.
+ * States whether a failed request may have been run by a target.
  */
 public enum RunState {
 
-	/** No byte of the request was handed to a target. */
+	/** No byte of the request was sent to a target. */
 	NOT_RUN("not-run"),
 
-	/** A target ran the request. */
+	/** A target is known to have run the request. */
 	RAN("ran"),
 
 	/** Bytes of the request may have reached a target; whether it ran is not known. */
@@ -21,7 +21,8 @@
 	}
 
 	/**
-	 * Returns the value of the {@code Pistachioline-Run} header.
+	 * Returns the value that stands for this state in the {@code Pistachioline-Run}
+	 * header.
 	 * @return the header's value
 	 */
 	public String headerValue() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/error/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/error/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The closed list of error kinds and the exception that carries one.
+ * Closed set of error kinds that callers can get, and the exception that carries one.
  */
 package org.pistachioline.core.error;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/event/EventId.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/event/EventId.java
@@ -1,231 +1,252 @@
 package org.pistachioline.core.event;
 
 /**
- * The numbered events of the system; docs/EVENTS.md holds one row for each.
+ * Catalogue of the numbered log events. The table in docs/EVENTS.md is generated from it.
+ * <p>
+ * Numbers are grouped by area: 1xx process, 2xx log, store and instance list, 3xx
+ * configuration, 4xx groups, instances and targets, 5xx requests, 6xx peers, 7xx duties.
  */
 public enum EventId {
 
-	/** The process has started. */
+	/** Logged when all components are running. */
 	STARTED(100, EventLevel.INFO, "The process has started."),
 
-	/** The process is stopping. */
-	STOPPING(101, EventLevel.INFO, "The process is stopping; requests in progress are finished first."),
+	/** Logged when the process is told to stop, before it drains. */
+	STOPPING(101, EventLevel.INFO,
+			"The process is stopping; active requests are completed first, within a time limit."),
 
-	/** The process has stopped. */
+	/** Logged after draining. */
 	STOPPED(102, EventLevel.INFO, "The process has stopped."),
 
-	/** A service failed to start. */
-	START_FAILED(103, EventLevel.ERROR, "A part of the process failed to start."),
+	/** Logged also for a settings file that is unreadable or invalid. */
+	START_FAILED(103, EventLevel.ERROR, "Starting a component or reading the settings failed."),
 
-	/** The daemon became ready. */
-	READY(104, EventLevel.INFO, "The daemon is ready to take requests."),
+	/** Reserved for the transition to ready; not logged at present. */
+	READY(104, EventLevel.INFO, "The daemon is ready to accept requests."),
 
-	/** The daemon is no longer ready. */
-	NOT_READY(105, EventLevel.WARN, "The daemon is not ready to take requests."),
+	/** Reserved for the transition to not ready; not logged at present. */
+	NOT_READY(105, EventLevel.WARN, "The daemon is not ready to accept requests."),
 
-	/** The rehearsal failed. */
-	WARM_UP_FAILED(107, EventLevel.WARN,
-			"The requests that are relayed before callers come failed; the first callers are served more slowly."),
+	/**
+	 * Logged when the requests that a daemon relays to itself before it accepts traffic
+	 * fail. The daemon serves all the same.
+	 */
+	WARM_UP_FAILED(107, EventLevel.WARN, "The warm-up requests failed; the first callers are served more slowly."),
 
-	/** Callers may be sent here. */
-	TRAFFIC_ACCEPTED(108, EventLevel.INFO, "Callers are sent to this daemon from now on."),
+	/** Logged when the daemon is first offered to callers, after any warm-up. */
+	TRAFFIC_ACCEPTED(108, EventLevel.INFO, "Callers are directed to this daemon from now on."),
 
-	/** The settings were read again. */
-	SETTINGS_CHECKED(106, EventLevel.INFO, "The settings file has changed and was read again."),
+	/** Logged on a signal to reload. The settings in use do not change. */
+	SETTINGS_CHECKED(106, EventLevel.INFO,
+			"The settings file was read again and is valid; changes apply at the next start."),
 
-	/** The log cannot be read. */
-	LOG_UNAVAILABLE(200, EventLevel.WARN, "The platform's log cannot be read; serving on from what is known."),
+	/** Logged at the first of several failed reads of a stream. */
+	LOG_UNAVAILABLE(200, EventLevel.WARN,
+			"The platform's log cannot be read; serving continues with the last known state."),
 
-	/** The log can be read again. */
+	/** Logged at the first successful read after {@link #LOG_UNAVAILABLE}. */
 	LOG_AVAILABLE(201, EventLevel.INFO, "The platform's log can be read again."),
 
-	/** A record could not be decoded. */
-	RECORD_CORRUPT(202, EventLevel.WARN, "A record on the log could not be decoded and was skipped."),
+	/** Logged for records of the log or of the platform's store. */
+	RECORD_CORRUPT(202, EventLevel.WARN, "A record could not be decoded and was skipped."),
 
-	/** A record was rejected by the reducer. */
+	/** Reserved for records that the reducer rejects; not logged at present. */
 	RECORD_REJECTED(203, EventLevel.INFO, "A record was rejected by the state at its offset."),
 
-	/** An append's answer was lost. */
-	APPEND_AMBIGUOUS(204, EventLevel.WARN, "An append's answer was lost; reading on to learn whether it landed."),
+	/** Logged when it is unknown whether a record was appended. */
+	APPEND_AMBIGUOUS(204, EventLevel.WARN,
+			"The response to an append was lost; the stream is read on to learn whether the record was appended."),
 
-	/** Records have expired before they were read. */
+	/** Logged when the log's oldest offset lies past the next offset to read. */
 	LOG_GAP(205, EventLevel.ERROR, "Records expired before they were read; a checkpoint is needed."),
 
-	/** A checkpoint was appended. */
+	/** Logged after the last part of a checkpoint was appended. */
 	CHECKPOINT_WRITTEN(206, EventLevel.INFO, "A checkpoint was appended to the log."),
 
-	/** A checkpoint was loaded. */
-	CHECKPOINT_LOADED(207, EventLevel.INFO, "A checkpoint was loaded."),
+	/** Logged when state was restored from a checkpoint. */
+	CHECKPOINT_LOADED(207, EventLevel.INFO, "The state was restored from a checkpoint."),
 
-	/** An entry is larger than the log's limit. */
-	RECORD_OVERSIZE(208, EventLevel.WARN, "An entry on the log is over the size limit and was skipped."),
+	/** Logged when another writer appended an entry over the size limit. */
+	RECORD_OVERSIZE(208, EventLevel.WARN, "An entry of the log exceeds the size limit and was skipped."),
 
-	/** A record needs a newer release. */
+	/** Logged when a stream holds a record of a kind that this release does not know. */
 	RECORD_UNSUPPORTED(209, EventLevel.ERROR,
-			"A record needs a newer release of this daemon; the stream is followed no further."),
+			"A record requires a newer release of this daemon; reading of the stream has stopped."),
 
-	/** The reducer failed on a record. */
-	REDUCER_FAILED(210, EventLevel.ERROR, "The reducer failed on a record, which was skipped on all daemons alike."),
+	/** Logged when the reducer throws. All daemons skip the record, so states agree. */
+	REDUCER_FAILED(210, EventLevel.ERROR, "The reducer failed on a record; every daemon skips this record."),
 
-	/** The log's end lies before what was read. */
-	LOG_END_REGRESSED(211, EventLevel.ERROR, "The log ends before what was read of it; keeping what is known."),
+	/**
+	 * Logged when the log has lost its end. Its shorter history is not applied, since the
+	 * state would revert to an older one.
+	 */
+	LOG_END_REGRESSED(211, EventLevel.ERROR,
+			"The log ends before an offset that was already read; the known state is kept."),
 
-	/** An entry is missing inside a page. */
-	LOG_ENTRY_MISSING(212, EventLevel.ERROR, "The log left out an entry; reading again from there."),
+	/** Logged when a page lacks an offset between two of its entries. */
+	LOG_ENTRY_MISSING(212, EventLevel.ERROR, "The log omitted an entry; it is read again from that offset."),
 
-	/** A record of ours is over the size limit. */
-	APPEND_TOO_LARGE(213, EventLevel.ERROR, "A record is over the log's size limit and was given up."),
+	/** Logged for a record of this daemon, which is not sent again. */
+	APPEND_TOO_LARGE(213, EventLevel.ERROR, "A record exceeds the log's size limit and was discarded."),
 
-	/** A peer gave a checkpoint. */
-	CHECKPOINT_FETCHED(214, EventLevel.INFO, "A checkpoint was taken over from a peer."),
+	/** Logged when a checkpoint was received from a peer instead of the log. */
+	CHECKPOINT_FETCHED(214, EventLevel.INFO, "A checkpoint was received from a peer."),
 
-	/** The platform's store does not answer. */
-	STORE_UNAVAILABLE(215, EventLevel.WARN, "The platform's store does not answer; serving on from what is known."),
+	/** Logged at the first of several failed calls to the store. */
+	STORE_UNAVAILABLE(215, EventLevel.WARN,
+			"The platform's store does not respond; serving continues with the last known state."),
 
-	/** The platform's store answers again. */
-	STORE_AVAILABLE(216, EventLevel.INFO, "The platform's store answers again."),
+	/** Logged at the first successful call after {@link #STORE_UNAVAILABLE}. */
+	STORE_AVAILABLE(216, EventLevel.INFO, "The platform's store responds again."),
 
-	/** The store's history was dropped. */
+	/** Logged when the offset to be read next is older than what the store retains. */
 	STORE_HISTORY_TRUNCATED(217, EventLevel.INFO,
-			"The store has dropped the history that was to be read; reading its newest records."),
+			"The store no longer retains the history to be read; its latest records are read instead."),
 
-	/** An entry of the instance list names no instance that could be used. */
-	ENTRY_UNUSABLE(218, EventLevel.WARN, "Entries of the instance list name no instance and are ignored."),
+	/** Logged for some of the ignored entries only, with the count of all. */
+	ENTRY_UNUSABLE(218, EventLevel.WARN, "Entries of the instance list do not describe an instance and are ignored."),
 
-	/** The list of instances is out of date. */
+	/** Logged when the known list exceeds its maximum age. */
 	LISTING_STALE(219, EventLevel.WARN,
-			"Nothing fresh was heard of the list of instances in time; reading it from the platform."),
+			"The instance list was not refreshed in time by other daemons; it is read from the platform."),
 
-	/** The list of instances is up to date again. */
-	LISTING_FRESH(220, EventLevel.INFO, "The list of instances is up to date."),
+	/** Logged when the list is within its maximum age again. */
+	LISTING_FRESH(220, EventLevel.INFO, "The instance list is up to date."),
 
-	/** The store came back from a copy. */
+	/** Logged when the store names a higher era than before. */
 	STORE_RESTORED(221, EventLevel.WARN,
-			"The platform's store came back from a copy; what was written since then is lost and its offsets begin anew."),
+			"The platform's store was restored from a backup; later writes are lost and its offsets start over."),
 
-	/** A configuration came into force. */
+	/** Logged when the daemon applies another version than before. */
 	CONFIG_IN_FORCE(300, EventLevel.INFO, "A configuration version is in force on this daemon."),
 
-	/** The configuration in use is stale. */
-	CONFIG_STALE(301, EventLevel.ERROR, "The configuration may be out of date beyond the bound; refusing work."),
+	/** Logged when the configuration exceeds its staleness bound. */
+	CONFIG_STALE(301, EventLevel.ERROR,
+			"The configuration may be older than the staleness bound; requests are refused."),
 
-	/** The configuration is fresh again. */
-	CONFIG_FRESH(302, EventLevel.INFO, "The configuration is known to be fresh again; taking work."),
+	/** Logged when the configuration is within its staleness bound again. */
+	CONFIG_FRESH(302, EventLevel.INFO, "The configuration is within the staleness bound again; requests are accepted."),
 
-	/** A configuration was found that is no newer. */
+	/** Logged for a version that is ignored, since versions never decrease. */
 	CONFIG_NOT_NEWER(303, EventLevel.INFO,
-			"The platform's store shows a configuration that is no newer than the one in force."),
+			"The platform's store holds a configuration that is no newer than the one in force; it is ignored."),
 
-	/** A group was formed. */
+	/** Logged by the planner once the log has accepted the formation. */
 	GROUP_FORMED(400, EventLevel.INFO, "A replica group was formed."),
 
-	/** A group was dissolved. */
+	/** Logged by the planner once the log has accepted the dissolution. */
 	GROUP_DISSOLVED(401, EventLevel.INFO, "A replica group was dissolved."),
 
-	/** A group serves. */
-	GROUP_SERVING(402, EventLevel.INFO, "A replica group serves: all its members are present."),
+	/** Logged when this daemon has a proof of presence of each member. */
+	GROUP_SERVING(402, EventLevel.INFO, "A replica group is serving: all its members are present."),
 
-	/** A group no longer serves. */
-	GROUP_NOT_SERVING(403, EventLevel.WARN, "A replica group does not serve: a member is missing."),
+	/** Logged when a proof of presence of a member expires. */
+	GROUP_NOT_SERVING(403, EventLevel.WARN, "A replica group is not serving: a member is missing."),
 
-	/** A group is draining. */
-	GROUP_DRAINING(404, EventLevel.INFO, "A replica group takes no new work and finishes what it has."),
+	/** Logged by the planner once the log has accepted the drain. */
+	GROUP_DRAINING(404, EventLevel.INFO, "A replica group accepts no new requests and completes its active ones."),
 
-	/** An order to an instance was refused or failed. */
+	/** Logged when an order was refused, or its outcome is unknown. */
 	ORDER_FAILED(405, EventLevel.WARN, "An order to an instance failed and will be repeated."),
 
-	/** This daemon became the planner of a fabric domain. */
-	PLANNER_CLAIMED(406, EventLevel.INFO, "This daemon plans a fabric domain."),
+	/** Logged once the log has accepted this daemon's claim. */
+	PLANNER_CLAIMED(406, EventLevel.INFO, "This daemon is the planner of a fabric domain."),
 
-	/** A whole fabric domain or availability zone is dark. */
+	/**
+	 * Logged when most instances of a domain disappear together, as in an outage of the
+	 * domain. Its groups are not changed until it is known which instances are left.
+	 */
 	DOMAIN_UNRESPONSIVE(407, EventLevel.ERROR,
-			"Most of a fabric domain stopped answering at once; changes there wait."),
+			"Most of a fabric domain stopped responding at once; changes to it are deferred."),
 
-	/** An order was answered. */
-	ORDER_COMPLETED(408, EventLevel.INFO, "An order was given to an instance."),
+	/** Logged with the outcome of the order, whatever it is. */
+	ORDER_COMPLETED(408, EventLevel.INFO, "An order to an instance has completed."),
 
-	/** This daemon holds the planner's lease. */
+	/** Logged when this daemon becomes the planner. */
 	LEASE_ACQUIRED(409, EventLevel.INFO, "This daemon holds the planner's lease."),
 
-	/** This daemon no longer holds the planner's lease. */
+	/** Logged when the lease was released, has expired or went to another daemon. */
 	LEASE_LOST(410, EventLevel.INFO, "This daemon no longer holds the planner's lease."),
 
-	/** A target appeared. */
-	TARGET_SERVING(411, EventLevel.INFO, "A target takes requests."),
+	/** Logged when a target becomes eligible for requests. */
+	TARGET_SERVING(411, EventLevel.INFO, "A target accepts requests."),
 
-	/** A target takes no requests any more. */
-	TARGET_STOPPED(412, EventLevel.INFO, "A target takes no more requests: it left, closed or lost a member."),
+	/** Logged when a target is no longer eligible for requests. */
+	TARGET_STOPPED(412, EventLevel.INFO, "A target accepts no more requests: it left, closed or lost a member."),
 
-	/** A member of a group that stands still does not answer. */
+	/**
+	 * Logged when a member of a stalled group fails a probe that another member answers.
+	 * The planner treats it as lost.
+	 */
 	INSTANCE_UNRESPONSIVE(413, EventLevel.WARN,
-			"A member of a group that stands still does not answer and counts as gone."),
+			"A member of a stalled group does not respond to a probe and is treated as lost."),
 
 	/**
-	 * Where the instances of a service are; while this daemon plans, at most once in two
-	 * seconds.
+	 * Logged by the planner with the number of instances in each state, for each service
+	 * at most once in two seconds.
 	 */
-	POOL_SUMMARY(414, EventLevel.INFO, "Where the instances of a service are, as its planner sees them."),
+	POOL_SUMMARY(414, EventLevel.INFO, "The instances of a service by state, as its planner sees them."),
 
-	/** A target names a limit. */
-	TARGET_LIMITED(415, EventLevel.WARN, "A target names how many requests it takes from all daemons together."),
+	/** Logged when a target states a request limit that is new to this daemon. */
+	TARGET_LIMITED(415, EventLevel.WARN, "A target has stated a request rate limit for all daemons together."),
 
-	/** A target names no limit any more. */
-	TARGET_UNLIMITED(416, EventLevel.INFO, "A target no longer names a limit."),
+	/** Logged when a target has withdrawn its request limit. */
+	TARGET_UNLIMITED(416, EventLevel.INFO, "A target no longer states a request rate limit."),
 
-	/** A target wants no requests of this daemon for a while. */
-	TARGET_BACKOFF(417, EventLevel.WARN, "A target wants no requests of this daemon for a while."),
+	/** Logged when a target rejects a request and names a time to stay away. */
+	TARGET_BACKOFF(417, EventLevel.WARN, "A target has asked this daemon to send it no requests for a time."),
 
-	/** A target leaves. */
-	TARGET_LEAVING(418, EventLevel.INFO, "A target said in an answer that it leaves."),
+	/** Logged when a target announces in a response that it is about to stop. */
+	TARGET_LEAVING(418, EventLevel.INFO, "A target has announced in a response that it is leaving."),
 
-	/** A target died. */
-	TARGET_CRASHED(419, EventLevel.WARN, "A target died while it had requests of this daemon."),
+	/** Logged with the number of requests that the target had from this daemon. */
+	TARGET_CRASHED(419, EventLevel.WARN, "A target crashed while it was running requests of this daemon."),
 
-	/** A request was quarantined. */
+	/** Logged when the evidence that a request crashes its targets suffices. */
 	REQUEST_QUARANTINED(500, EventLevel.ERROR, "A request that crashes targets was quarantined."),
 
-	/** An answer did not match its attempt. */
-	RESPONSE_DROPPED(501, EventLevel.WARN, "An answer that does not match its attempt was dropped."),
+	/** Logged when a response names another attempt, or its attempt has ended. */
+	RESPONSE_DROPPED(501, EventLevel.WARN, "A response that does not match a live attempt was dropped."),
 
-	/** An attempt failed. */
+	/** Logged for live attempts that were neither completed nor cancelled. */
 	ATTEMPT_FAILED(502, EventLevel.WARN, "An attempt at a target failed."),
 
-	/** A request failed inside the daemon. */
-	REQUEST_INTERNAL_ERROR(503, EventLevel.ERROR, "A request failed through a fault of the daemon."),
+	/** Logged with the exception that failed the request. */
+	REQUEST_INTERNAL_ERROR(503, EventLevel.ERROR, "A request failed because of an internal error of the daemon."),
 
-	/** A group died under a request. */
+	/** Logged when a target crashed under a request for the first time. */
 	REQUEST_SUSPECTED(504, EventLevel.WARN,
-			"A group died under a request; it runs once more, apart from other suspects."),
+			"A target crashed under a request; the request runs once more, apart from other suspects."),
 
-	/** A request goes to another target. */
-	REQUEST_RETRIED(505, EventLevel.INFO, "A request goes to another target after one that failed or stood still."),
+	/** Logged for each attempt after the first. */
+	REQUEST_RETRIED(505, EventLevel.INFO, "A request is sent again after its target failed or stalled."),
 
-	/** A request ended without success. */
-	REQUEST_FAILED(506, EventLevel.WARN, "A request ended without an answer of a target, or with a failure."),
+	/** Logged with the kind of error, unless the caller has gone. */
+	REQUEST_FAILED(506, EventLevel.WARN, "A request ended without a response from a target, or with a failure."),
 
-	/** A request was refused before it could be placed. */
+	/** Logged with the kind of error, for example of an unauthenticated request. */
 	REQUEST_REFUSED(507, EventLevel.WARN, "A request was refused before it was queued."),
 
-	/** A target broke off under a request. */
-	TARGET_CONNECTION_LOST(508, EventLevel.WARN, "A target broke off while it had a request."),
+	/** Logged when a connection breaks after the request was sent on it. */
+	TARGET_CONNECTION_LOST(508, EventLevel.WARN, "The connection to a target broke while it was running a request."),
 
-	/** A quarantine is over. */
+	/** Logged when a quarantine expires. */
 	QUARANTINE_ENDED(509, EventLevel.INFO, "A request is no longer quarantined."),
 
-	/** A peer link failed. */
-	PEER_LOST(600, EventLevel.INFO, "A peer daemon cannot be reached."),
+	/** Logged when the heartbeats of a live peer have timed out. */
+	PEER_LOST(600, EventLevel.INFO, "A peer daemon is no longer live."),
 
-	/** A peer link works. */
-	PEER_DISCOVERED(601, EventLevel.INFO, "A peer daemon was found."),
+	/** Logged for new peers and for lost peers that have returned. */
+	PEER_DISCOVERED(601, EventLevel.INFO, "A peer daemon was discovered."),
 
-	/** A frame from a peer was refused. */
+	/** Logged for frames that are malformed, too large or too frequent. */
 	PEER_FRAME_REFUSED(602, EventLevel.WARN, "A frame on the peer port was refused and its connection closed."),
 
-	/** A ring between duties was full. */
+	/** Reserved for full rings, which the metrics count; not logged at present. */
 	RING_FULL(700, EventLevel.WARN, "A ring between duties was full."),
 
-	/** A duty failed on one message. */
-	DUTY_FAILED(701, EventLevel.ERROR, "A duty failed on one message and goes on with the next.");
+	/** Logged when a duty's handler throws. */
+	DUTY_FAILED(701, EventLevel.ERROR, "A duty failed on one message or tick and continues with the next.");
 
 	private final int number;
 
@@ -240,7 +261,7 @@
 	}
 
 	/**
-	 * Returns the event's number.
+	 * Returns the event's unique number.
 	 * @return the number
 	 */
 	public int number() {
@@ -248,7 +269,7 @@
 	}
 
 	/**
-	 * Returns the event's level.
+	 * Returns the severity with which the event is logged.
 	 * @return the level
 	 */
 	public EventLevel level() {
@@ -256,16 +277,16 @@
 	}
 
 	/**
-	 * Returns the event's sentence.
-	 * @return the text
+	 * Returns the description that is logged with the event.
+	 * @return the text, a full sentence
 	 */
 	public String text() {
 		return this.text;
 	}
 
 	/**
-	 * Returns the name by which logs and the client refer to the event.
-	 * @return the name, such as {@code PL-0200}
+	 * Returns the label that identifies the event in logs and in {@code pistachioctl}.
+	 * @return the label, such as {@code PL-0200}
 	 */
 	public String label() {
 		return String.format("PL-%04d", this.number);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/event/EventLevel.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/event/EventLevel.java
@@ -5,13 +5,13 @@
  */
 public enum EventLevel {
 
-	/** Normal running. */
+	/** Part of normal operation. */
 	INFO,
 
-	/** Something an operator may want to look at. */
+	/** May need an operator's attention. */
 	WARN,
 
-	/** Something an operator must look at. */
+	/** Needs an operator's attention. */
 	ERROR
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/event/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/event/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The catalogue of numbered log events.
+ * Catalogue of the numbered log events.
  */
 package org.pistachioline.core.event;
