--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/Events.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/Events.java
@@ -10,7 +10,7 @@
 import org.pistachioline.core.event.EventLevel;
 
 /**
- * Writes numbered events; no key, prompt or answer text may be given as a value.
+ * Logs numbered events. No key, prompt or response text may be logged as a field's value.
  */
 public final class Events {
 
@@ -25,7 +25,7 @@
 	private Events() {
 	}
 
-	// Lines of JSON need no configuration file; all other forms are described by one.
+	// The JSON format is configured in code, other formats by Log4j's configuration file.
 	private static Logger createLogger() {
 		if (JSON.equals(System.getProperty(FORMAT_PROPERTY))) {
 			Configurator.initialize(Events.class.getClassLoader(), new JsonLinesConfiguration());
@@ -34,28 +34,28 @@
 	}
 
 	/**
-	 * Configures logging by the form that {@code pistachioline.logging.format} names; to
-	 * be called before any library makes a logger, which would read the file of the other
-	 * forms.
+	 * Configures logging for the format in the system property
+	 * {@code pistachioline.logging.format}. It must be called before any library creates
+	 * a logger, since that would load Log4j's configuration file instead.
 	 */
 	public static void configure() {
-		// Loading this class has configured it.
+		// The static initializer has done the work.
 	}
 
 	/**
-	 * Writes an event.
+	 * Logs an event at its level.
 	 * @param event the event
-	 * @param fields names and values, by turns
+	 * @param fields alternating names and values of its fields
 	 */
 	public static void log(EventId event, Object... fields) {
 		LOGGER.log(levelOf(event), message(event, fields));
 	}
 
 	/**
-	 * Writes an event with its cause.
+	 * Logs an event at its level, with the exception as its field {@code cause}.
 	 * @param event the event
-	 * @param cause what led to it
-	 * @param fields names and values, by turns
+	 * @param cause the exception that led to it
+	 * @param fields alternating names and values of its fields
 	 */
 	public static void log(EventId event, Throwable cause, Object... fields) {
 		final StringMapMessage message = message(event, fields);
@@ -64,7 +64,8 @@
 	}
 
 	/**
-	 * Writes what is still in the buffer and ends logging; to be called last of all.
+	 * Flushes buffered events and stops logging. Later events are lost, so it must be the
+	 * last step of a shutdown.
 	 */
 	public static void close() {
 		LogManager.shutdown();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesConfiguration.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesConfiguration.java
@@ -8,11 +8,10 @@
 import org.apache.logging.log4j.core.config.LoggerConfig;
 
 /**
- * Logs events as lines of JSON on standard output.
+ * Log4j configuration that writes events to standard output as JSON lines.
  * <p>
- * It is assembled in code. The library would find a file by trying the readers of five
- * formats, parse it and make objects of it by reflection, in each start of a process
- * whose callers wait.
+ * It is built in code to shorten the start of a process. To load a configuration file,
+ * Log4j tries the parsers of five formats and creates its objects by reflection.
  */
 final class JsonLinesConfiguration extends AbstractConfiguration {
 
@@ -20,18 +19,17 @@
 
 	private static final String BUFFER_APPENDER = "json";
 
-	/** Some seconds of a daemon's events while whoever reads the output does not. */
+	/** Holds some seconds of a daemon's events while standard output is blocked. */
 	private static final int BUFFER_CAPACITY_EVENTS = 8_192;
 
-	/** What is buffered when a process ends is written within this time, or lost. */
+	/** Buffered events that are not written within this time at shutdown are lost. */
 	private static final long FLUSH_TIMEOUT_MILLIS = 1_000;
 
 	JsonLinesConfiguration() {
 		super(null, ConfigurationSource.NULL_SOURCE);
 		setName("json-lines");
-		// A process that is told to stop drains for seconds, and its last events tell
-		// what
-		// it still held. The library's own hook would end logging at the signal.
+		// A daemon drains for seconds after the signal to stop, and its last events name
+		// the requests that it still held. Log4j's hook would stop logging at the signal.
 		this.isShutdownHookEnabled = false;
 	}
 
@@ -46,8 +44,8 @@
 		getRootLogger().setLevel(Level.WARN);
 	}
 
-	// Whoever reads the output may stop reading. Then a duty that logs must not stand
-	// still: a full buffer drops events, and says so on standard error.
+	// The process that reads standard output may stop reading. A duty must not block on
+	// logging then: a full buffer drops events and reports it on standard error.
 	private void addBuffer() {
 		final AsyncAppender buffer = AsyncAppender.newBuilder()
 			.setName(BUFFER_APPENDER)
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesLayout.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesLayout.java
@@ -15,10 +15,10 @@
 import org.apache.logging.log4j.message.Message;
 
 /**
- * Writes each event as one line of JSON, with the fields of an event as an object.
+ * Formats each event as one line of JSON, with its fields as a nested object.
  * <p>
- * A layout that the library assembles from a template would be parsed and built in each
- * start of a process, before it can serve anybody.
+ * It replaces Log4j's template layout, which parses its template at each start of a
+ * process and delays the start by that.
  */
 final class JsonLinesLayout extends AbstractStringLayout {
 
@@ -48,7 +48,7 @@
 			json.writeEndObject();
 		}
 		catch (IOException ex) {
-			// A writer in memory does not fail.
+			// A StringWriter does not throw.
 			throw new UncheckedIOException(ex);
 		}
 		return line.append('\n').toString();
@@ -71,7 +71,8 @@
 		json.writeEndObject();
 	}
 
-	// Without a formatter, whose parsed pattern and locale cost more than all else here.
+	// Avoids DateTimeFormatter: its pattern and locale data would take more time to load
+	// than everything else here.
 	private static String timestamp(LogEvent event) {
 		final LocalDateTime time = LocalDateTime.ofEpochSecond(event.getInstant().getEpochSecond(),
 				event.getInstant().getNanoOfSecond(), ZoneOffset.UTC);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/OutputAppender.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/OutputAppender.java
@@ -13,10 +13,10 @@
 import org.apache.logging.log4j.core.config.Property;
 
 /**
- * Writes events to standard output, as many at once as wait for it.
+ * Log4j appender that writes events to standard output and flushes once per batch.
  * <p>
- * The library's own appender for this checks itself by reflection over its annotations
- * when it is made, which costs each start of a process as much as the rest of logging.
+ * It replaces Log4j's console appender, which validates itself by reflection over its
+ * annotations; that takes as long at each start of a process as the rest of logging.
  */
 final class OutputAppender extends AbstractAppender {
 
@@ -35,7 +35,7 @@
 			}
 		}
 		catch (IOException ex) {
-			// The library reports it on standard error and goes on with the next event.
+			// Log4j reports it on standard error and continues with the next event.
 			throw new UncheckedIOException(ex);
 		}
 	}
@@ -46,8 +46,8 @@
 			this.output.flush();
 		}
 		catch (IOException ex) {
-			// Nobody reads the output any more; there is nowhere else to say it.
-			getHandler().error("The last events could not be written", ex);
+			// The reader has closed standard output; this reports to standard error.
+			getHandler().error("Could not flush the last events to standard output", ex);
 		}
 		super.stop();
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Writing of numbered events.
+ * Logging of numbered events, as text or as JSON lines.
  */
 package org.pistachioline.daemon.event;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/BlockedOutputTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/BlockedOutputTests.java
@@ -17,8 +17,8 @@
 	private static final long CHECK_INTERVAL_NANOS = 10_000_000L;
 
 	/**
-	 * The program that collects a daemon's output stops reading it. The pipe fills, and a
-	 * daemon that waited for room would serve nobody until someone reads again.
+	 * Guards against a daemon that blocks on logging: when the program that collects its
+	 * output stops reading, the pipe fills, and requests would wait until it reads again.
 	 */
 	@Test
 	void aProcessKeepsRunningWhenItsOutputIsNotRead(@TempDir Path folder) throws IOException {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/EventBurst.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/EventBurst.java
@@ -7,7 +7,8 @@
 import org.pistachioline.core.event.EventId;
 
 /**
- * A process that writes more events than a pipe and the buffer hold, and then a file.
+ * Main class that logs more events than a pipe and the log buffer hold, then writes a
+ * file.
  */
 public final class EventBurst {
 
@@ -17,8 +18,8 @@
 	}
 
 	/**
-	 * Writes the events.
-	 * @param args the file that is written in the end
+	 * Logs the events, then writes the file.
+	 * @param args the path of the file
 	 * @throws IOException if it cannot be written
 	 */
 	public static void main(String[] args) throws IOException {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesConfigurationTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesConfigurationTests.java
@@ -7,8 +7,8 @@
 class JsonLinesConfigurationTests {
 
 	/**
-	 * A daemon is told to stop and drains for some seconds. Were logging to end at the
-	 * signal, nobody could see afterwards which requests it gave up.
+	 * Guards against the loss of the events of a shutdown: a daemon drains for seconds
+	 * after the signal to stop, and its last events name the requests that it abandoned.
 	 */
 	@Test
 	void loggingContinuesUntilTheDaemonStops() {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesLayoutTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesLayoutTests.java
@@ -43,8 +43,8 @@
 
 	@Test
 	void aLibraryMessageIsOneLineWithItsException() {
-		assertThat(lineOf(new SimpleMessage("it broke"), new IllegalStateException("why")))
-			.endsWith("\"message\":\"it broke\",\"exception\":\"why\"}\n");
+		assertThat(lineOf(new SimpleMessage("connection failed"), new IllegalStateException("timed out")))
+			.endsWith("\"message\":\"connection failed\",\"exception\":\"timed out\"}\n");
 	}
 
 }
