--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Duty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Duty.java
@@ -15,19 +15,20 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * One duty: a typed actor on a thread of its own, which empties its ring and ticks.
+ * Event loop of one area of the daemon: a typed actor with a thread of its own, which
+ * passes the messages of its ring to a handler in order, and ticks at regular intervals.
  * <p>
- * The actor's mailbox holds at most one wake-up and one tick; all messages wait in the
- * bounded ring. A fault in one message is logged and the duty goes on with the next,
- * since a dead duty would leave the daemon running but deaf.
+ * Messages wait in the bounded ring, so the actor's mailbox holds at most one wake-up and
+ * one tick. An exception of the handler is logged and the duty continues with the next
+ * message, since the daemon would otherwise keep running without handling any of them.
  *
- * @param <M> the type of message
+ * @param <M> the type of messages
  */
 public final class Duty<M> implements Lifecycle {
 
 	private static final int MAX_BATCH_MESSAGES = 256;
 
-	/** An actor system has each name once; several duties of one kind may run on it. */
+	/** Makes actor names unique, as several duties of one name may share a system. */
 	private static final AtomicLong NAME_SEQUENCE = new AtomicLong();
 
 	private final ActorSystem<?> system;
@@ -43,12 +44,12 @@
 	private volatile ActorRef<Signal> actor;
 
 	/**
-	 * Creates a duty.
+	 * Creates a duty without starting it.
 	 * @param system the process's actor system
-	 * @param name its name
-	 * @param capacity how many messages its ring holds
-	 * @param tickInterval the time between two ticks
-	 * @param handler what it does
+	 * @param name the name of the duty and its ring, in logs, metrics and dumps
+	 * @param capacity the capacity of its ring, in messages
+	 * @param tickInterval the time between the end of a tick and the next one
+	 * @param handler the handler of messages and ticks
 	 */
 	public Duty(ActorSystem<?> system, String name, int capacity, Duration tickInterval, DutyHandler<M> handler) {
 		this.system = system;
@@ -73,18 +74,19 @@
 	}
 
 	/**
-	 * Sends a message, where there is room.
+	 * Sends a message unless the ring is full.
 	 * @param message the message
-	 * @return whether there was room
+	 * @return whether the message was accepted
 	 */
 	public boolean offer(M message) {
-		final boolean taken = this.ring.offer(message);
+		final boolean accepted = this.ring.offer(message);
 		wake();
-		return taken;
+		return accepted;
 	}
 
 	/**
-	 * Sends a message and waits for room.
+	 * Sends a message and blocks while the ring is full. The duty's own thread must not
+	 * call it.
 	 * @param message the message
 	 */
 	public void put(M message) {
@@ -122,8 +124,7 @@
 			case WAKE -> drain();
 			case TICK -> {
 				runGuarded(this.handler::onTick);
-				// Should a wake-up ever be lost, the ring waits for one tick and not for
-				// ever.
+				// Bounds the delay of messages by one tick if a wake-up is ever lost.
 				drain();
 			}
 			case STOP -> {
@@ -142,15 +143,15 @@
 			runGuarded(() -> this.handler.onMessage(message));
 		}
 		this.wakePending.set(false);
-		// A message may have come between the last poll and the line above.
+		// A message that was offered since the last poll has not sent a wake-up.
 		if (this.ring.size() > 0) {
 			wake();
 		}
 	}
 
-	private void runGuarded(Runnable step) {
+	private void runGuarded(Runnable action) {
 		try {
-			step.run();
+			action.run();
 		}
 		catch (RuntimeException ex) {
 			Events.log(EventId.DUTY_FAILED, ex, "duty", this.ring.name(), "at",
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/DutyHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/DutyHandler.java
@@ -1,20 +1,21 @@
 package org.pistachioline.daemon.duty;
 
 /**
- * What a duty does; one thread calls it.
+ * Handler of the messages and ticks of a {@link Duty}. It is called by the duty's thread
+ * only, so it needs no synchronization.
  *
- * @param <M> the type of message
+ * @param <M> the type of messages
  */
 public interface DutyHandler<M> {
 
 	/**
-	 * Handles a message.
+	 * Called for each message, in the order in which the ring received them.
 	 * @param message the message
 	 */
 	void onMessage(M message);
 
 	/**
-	 * Lets time pass.
+	 * Called at the duty's tick interval, for timeouts and periodic work.
 	 */
 	void onTick();
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Ring.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Ring.java
@@ -6,9 +6,9 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * A bounded ring from many threads to one duty.
+ * Bounded queue of messages from many producer threads to one duty, as the only consumer.
  *
- * @param <M> the type of message
+ * @param <M> the type of messages
  */
 public final class Ring<M> {
 
@@ -22,8 +22,8 @@
 
 	/**
 	 * Creates an empty ring.
-	 * @param name its name in metrics and dumps
-	 * @param capacity how many messages it holds
+	 * @param name the name in metrics and dumps
+	 * @param capacity the number of messages that it holds; rounded up to a power of two
 	 */
 	public Ring(String name, int capacity) {
 		this.name = name;
@@ -31,9 +31,9 @@
 	}
 
 	/**
-	 * Puts a message in, where there is room; the sender decides what happens otherwise.
+	 * Adds a message unless the ring is full; the sender handles the refusal.
 	 * @param message the message
-	 * @return whether there was room
+	 * @return whether the message was added
 	 */
 	public boolean offer(M message) {
 		if (this.queue.offer(message)) {
@@ -44,8 +44,9 @@
 	}
 
 	/**
-	 * Puts a message in and waits for room; for messages whose loss would leave a request
-	 * without an end. The duty itself must not call it on its own ring.
+	 * Adds a message and blocks while the ring is full. It is meant for messages without
+	 * which a request would never end. The consuming duty must not call it, as it would
+	 * wait for itself.
 	 * @param message the message
 	 */
 	public void put(M message) {
@@ -56,15 +57,15 @@
 	}
 
 	/**
-	 * Takes a message; only the duty calls it.
-	 * @return the message, or null
+	 * Removes the oldest message. Only the consuming duty may call it.
+	 * @return the message; null if the ring is empty
 	 */
 	public M poll() {
 		return this.queue.poll();
 	}
 
 	/**
-	 * Returns how many messages wait.
+	 * Returns the number of messages in the ring.
 	 * @return the number of messages
 	 */
 	public int size() {
@@ -72,7 +73,7 @@
 	}
 
 	/**
-	 * Returns how many messages it holds at most.
+	 * Returns the number of messages that the ring can hold.
 	 * @return the number of messages
 	 */
 	public int capacity() {
@@ -80,15 +81,16 @@
 	}
 
 	/**
-	 * Returns how often there was no room.
-	 * @return the number of times
+	 * Returns how often the ring was full when a message was to be added; each retry of
+	 * {@link #put(Object)} counts.
+	 * @return the number of refusals
 	 */
 	public long refusedCount() {
 		return this.refusedCount.get();
 	}
 
 	/**
-	 * Returns the ring's name.
+	 * Returns the ring's name in metrics and dumps.
 	 * @return the name
 	 */
 	public String name() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One thread for each duty, joined to the others by bounded rings.
+ * Event loops, each with a thread and a bounded message queue of its own.
  */
 package org.pistachioline.daemon.duty;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/duty/RingLincheckTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/duty/RingLincheckTests.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks that a ring behaves as a bounded queue under any interleaving; Lincheck needs
- * the class to be public.
+ * Checks that a ring is linearizable as a bounded queue. Lincheck requires the class to
+ * be public.
  */
 public class RingLincheckTests {
 
@@ -15,9 +15,9 @@
 	private final Ring<Integer> ring = new Ring<>("test", CAPACITY);
 
 	/**
-	 * Puts a message in.
+	 * Adds a message unless the ring is full.
 	 * @param message the message
-	 * @return whether there was room
+	 * @return whether the message was added
 	 */
 	@Operation
 	public boolean offer(int message) {
@@ -25,18 +25,18 @@
 	}
 
 	/**
-	 * Takes a message; only one thread does.
-	 * @return the message, or null
+	 * Removes a message. Lincheck calls it from one thread only, as the ring requires.
+	 * @return the message; null if the ring is empty
 	 */
 	@Operation(nonParallelGroup = "duty")
 	public Integer poll() {
 		return this.ring.poll();
 	}
 
-	// Two threads hand a duty messages while it empties its ring. A message that is lost
-	// or seen twice would leave a request without an end, or end it twice. Model checking
-	// takes its interleavings one by one, so that its length does not hang on the load of
-	// the machine, as that of stress runs does.
+	// Guards against messages that are lost or duplicated when two threads add to the
+	// ring while the duty drains it: a request would never end, or end twice. Model
+	// checking enumerates the interleavings, so unlike that of a stress test its duration
+	// does not depend on the load of the machine.
 	@Test
 	void messagesAreNeitherLostNorDuplicatedNorReordered() {
 		new ModelCheckingOptions().iterations(6)
