--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Components.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Components.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * The parts of one daemon, which are started in order and stopped in reverse. Where one
- * fails to start, those before it can still be stopped.
+ * Ordered components of one daemon, which are started in order and stopped in reverse
+ * order. After a failed start, {@link #stop()} stops only those that were started.
  */
 final class Components {
 
@@ -16,8 +16,8 @@
 
 	private final Deque<Lifecycle> started = new ArrayDeque<>();
 
-	void add(List<? extends Lifecycle> parts) {
-		this.all.addAll(parts);
+	void add(List<? extends Lifecycle> components) {
+		this.all.addAll(components);
 	}
 
 	List<Lifecycle> all() {
@@ -25,9 +25,9 @@
 	}
 
 	void start() {
-		for (final Lifecycle part : this.all) {
-			part.start();
-			this.started.push(part);
+		for (final Lifecycle component : this.all) {
+			component.start();
+			this.started.push(component);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/ConfigFreshness.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/ConfigFreshness.java
@@ -13,8 +13,8 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Knows how old a daemon's configuration may be, by its own reads of the log and by what
- * its peers have read.
+ * Tracks how old a daemon's configuration may be, from its own reads of the log and from
+ * the log ages in its peers' heartbeats.
  */
 final class ConfigFreshness {
 
@@ -33,28 +33,29 @@
 	}
 
 	/**
-	 * Returns how long ago the log was read with success.
-	 * @return the time, in milliseconds
+	 * Returns the time since this daemon last read the log successfully.
+	 * @return the age, in milliseconds
 	 */
 	long logAgeMillis() {
 		return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.config.get().readAtNanos());
 	}
 
 	/**
-	 * Returns how long ago the configuration was known to be the newest.
-	 * @return the time, in milliseconds
+	 * Returns the time since the configuration was last known to be the newest.
+	 * @return the age, in milliseconds
 	 */
 	long ageMillis() {
 		final long ownAgeMillis = logAgeMillis();
-		// The peers are asked only where their word can matter, as each request asks
-		// this.
+		// Called for each request, so the peers' statuses are read only where they can
+		// change the result.
 		return this.bound.isPast(ownAgeMillis)
 				? this.bound.ageMillis(ownAgeMillis, this.config.get().nextOffset(), this.peers.get()) : ownAgeMillis;
 	}
 
 	/**
-	 * Returns whether the configuration is too old to go by; each change is logged.
-	 * @return whether it is
+	 * Returns whether the configuration's age exceeds the staleness bound, and logs each
+	 * change.
+	 * @return whether it is stale
 	 */
 	boolean isStale() {
 		final long ageMillis = ageMillis();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -74,7 +74,8 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Wires the parts of one daemon, starts them in order and stops them in reverse.
+ * Daemon that reads its configuration and fleet state from the platform's log. It creates
+ * its components, starts them in order and stops them in reverse order.
  */
 public final class Daemon implements DaemonView {
 
@@ -123,8 +124,8 @@
 	private volatile boolean leaving;
 
 	/**
-	 * Wires a daemon.
-	 * @param settings its checked settings
+	 * Creates a daemon without starting it.
+	 * @param settings the validated settings
 	 */
 	public Daemon(Settings settings) {
 		this.settings = settings;
@@ -180,7 +181,8 @@
 				writer + "-");
 		this.callerServer = new HttpServer(this.system, settings.text(Setting.CALLERS_ADDRESS), callerHandler::handle);
 		this.adminServer = new AdminServer(settings.text(Setting.ADMIN_ADDRESS), new AdminHandler(this));
-		// The state first, then what derives from it, then what shows it, callers last.
+		// Replicated state starts first, then the duties that depend on it, then the HTTP
+		// servers, the callers' last.
 		final CheckpointDuty checkpoints = new CheckpointDuty(this.system, streams(claims), this.appender, selfId,
 				this.peers::daemonIds,
 				new CheckpointPolicy(Duration.ofSeconds(settings.whole(Setting.LOG_RETENTION_SECONDS)).toMillis(),
@@ -203,7 +205,8 @@
 		final List<ExchangedStream> exchanged = new ArrayList<>();
 		exchanged.add(new ExchangedStream(this.config, PeerStatus::configOffset));
 		exchanged.add(new ExchangedStream(this.fleet, PeerStatus::fleetOffset));
-		// Heartbeats do not carry the offsets of claims, so any peer is asked in turn.
+		// Heartbeats do not carry the offsets of claim streams; with an offset of 0 each
+		// peer is tried in turn.
 		claims.partitions().forEach((partition) -> exchanged.add(new ExchangedStream(partition, (peer) -> 0)));
 		return exchanged;
 	}
@@ -218,10 +221,10 @@
 	}
 
 	private void registerListeners() {
-		final AtomicLong inForce = new AtomicLong();
+		final AtomicLong versionInForce = new AtomicLong();
 		this.config.onChange(() -> {
 			final ConfigState state = this.config.view().state();
-			if (state.version() != inForce.getAndSet(state.version())) {
+			if (state.version() != versionInForce.getAndSet(state.version())) {
 				this.traffic.configure(state.manifest());
 				Events.log(EventId.CONFIG_IN_FORCE, "version", state.version(), "offset", state.acceptedOffset());
 			}
@@ -230,7 +233,7 @@
 		this.instances.onChange((view) -> this.traffic.targets(view.targets()));
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.appender, this.peers, this.config, this.fleet);
-		this.components.all().forEach((part) -> part.rings().forEach(meters::bind));
+		this.components.all().forEach((component) -> component.rings().forEach(meters::bind));
 		this.metrics.gauge("pistachioline.config.version", "Version of the configuration in force",
 				this::configVersion);
 		this.metrics.gauge("pistachioline.config.age", "Milliseconds since the configuration was known to be fresh",
@@ -238,7 +241,7 @@
 	}
 
 	/**
-	 * Starts all parts in order.
+	 * Starts all components in order.
 	 */
 	public void start() {
 		this.components.start();
@@ -248,27 +251,29 @@
 	}
 
 	/**
-	 * Leaves: vanishes from the endpoints at once, serves on until callers' kept answers
-	 * have expired and its requests are done, then stops all parts.
+	 * Drains and stops the daemon. It is removed from the endpoints at once, accepts
+	 * requests until the endpoint lists that callers have cached have expired, completes
+	 * its active requests, for 15 minutes at most, and then stops all components.
 	 */
 	public void leave() {
 		Events.log(EventId.STOPPING);
 		this.leaving = true;
 		this.peers.beat();
-		final long begunAtNanos = System.nanoTime();
-		final long keptNanos = Duration.ofSeconds(this.settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS)).toNanos();
-		while (System.nanoTime() - begunAtNanos < keptNanos) {
+		final long leaveStartedAtNanos = System.nanoTime();
+		final long endpointTtlNanos = Duration.ofSeconds(this.settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS))
+			.toNanos();
+		while (System.nanoTime() - leaveStartedAtNanos < endpointTtlNanos) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 		}
 		this.traffic.leave();
-		while (this.traffic.held() > 0 && System.nanoTime() - begunAtNanos < MAX_DRAIN_NANOS) {
+		while (this.traffic.held() > 0 && System.nanoTime() - leaveStartedAtNanos < MAX_DRAIN_NANOS) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 		}
 		stop();
 	}
 
 	/**
-	 * Stops all started parts in reverse order.
+	 * Stops all started components in reverse order, without draining.
 	 */
 	public void stop() {
 		this.components.stop();
@@ -303,12 +308,13 @@
 			.filter(TargetView::serving)
 			.mapToInt(TargetView::slots)
 			.sum();
-		// Each daemon may use its part of the slots; above 1 requests wait here.
+		// Relative to this daemon's equal share of all slots; above 1 requests queue
+		// here.
 		return this.traffic.held() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
 	}
 
 	private int daemonCount() {
-		// Not by way of the peers' list, which asks for this daemon's own status in turn.
+		// Must not call daemons(), which calls status() of this daemon and would recurse.
 		return this.peers.others().size() + 1;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
@@ -22,8 +22,8 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * Writes a daemon's whole state for operators, from immutable snapshots and without
- * stopping any duty. It holds no key, prompt or answer.
+ * Builds the debug dump of a daemon from immutable snapshots, without blocking any duty.
+ * The dump contains no key, prompt or response text.
  */
 final class DaemonDump {
 
@@ -110,8 +110,8 @@
 
 	private List<Map<String, Object>> rings() {
 		final List<Map<String, Object>> rows = new ArrayList<>();
-		for (final Lifecycle part : this.components) {
-			for (final Ring<?> ring : part.rings()) {
+		for (final Lifecycle component : this.components) {
+			for (final Ring<?> ring : component.rings()) {
 				rows.add(Map.of("ring", ring.name(), "messages", ring.size(), "capacity", ring.capacity(), "refused",
 						ring.refusedCount()));
 			}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMain.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMain.java
@@ -16,7 +16,7 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * The command line of the daemon.
+ * Command-line entry point of the daemon.
  */
 public final class DaemonMain {
 
@@ -26,19 +26,20 @@
 
 	private final OptionParser parser = new OptionParser();
 
-	private final OptionSpec<String> config = this.parser.accepts("config", "settings, a TOML file")
+	private final OptionSpec<String> config = this.parser.accepts("config", "path of the TOML settings file")
 		.withRequiredArg()
 		.ofType(String.class);
 
-	private final OptionSpec<Void> help = this.parser.accepts("help", "print this help").forHelp();
+	private final OptionSpec<Void> help = this.parser.accepts("help", "print this help and exit").forHelp();
 
-	private final OptionSpec<Void> version = this.parser.accepts("version", "print the version").forHelp();
+	private final OptionSpec<Void> version = this.parser.accepts("version", "print the version and exit").forHelp();
 
 	private DaemonMain() {
 	}
 
 	/**
-	 * Runs the daemon until it is told to stop.
+	 * Starts the daemon, which runs until the process is signalled to stop. The exit
+	 * status is 1 where it fails to start and 2 for invalid arguments or settings.
 	 * @param args the command line
 	 * @throws IOException if the help cannot be printed
 	 */
@@ -86,7 +87,7 @@
 			System.err.println(file + ": cannot be read: " + ex.getMessage());
 			return EXIT_USAGE;
 		}
-		// Read by the logging configuration, so it must be set before the first event.
+		// Must be set before the first event, which loads the logging configuration.
 		System.setProperty("pistachioline.logging.format", settings.text(Setting.LOGGING_FORMAT));
 		final Daemon daemon = new Daemon(settings);
 		try {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -17,7 +17,7 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Binds the meters of a daemon's parts.
+ * Registers the meters of a daemon's components with its {@link Metrics}.
  */
 final class DaemonMeters {
 
@@ -41,19 +41,21 @@
 	private void bindTraffic(TrafficDuty traffic) {
 		this.metrics.gauge("pistachioline.requests.held", "Requests that have not ended", traffic::held);
 		this.metrics.gauge("pistachioline.requests.queued", "Requests that wait for a target", traffic::queued);
-		this.metrics.gauge("pistachioline.answers.dropped", "Answers that did not match a live attempt",
+		this.metrics.gauge("pistachioline.answers.dropped", "Responses that did not match a live attempt",
 				traffic::answersDropped);
-		this.metrics.gauge("pistachioline.targets.limited", "Targets that name a limit", () -> traffic.limits().size());
+		this.metrics.gauge("pistachioline.targets.limited", "Targets that state a request rate limit",
+				() -> traffic.limits().size());
 		this.metrics.gauge("pistachioline.attempts.limited",
-				"Attempts of the last four seconds at targets that name a limit",
+				"Attempts of the last four seconds at targets that state a limit",
 				() -> traffic.limits().stream().mapToInt(LimitReport::recentAttempts).sum());
-		this.metrics.gauge("pistachioline.targets.backoff", "Targets that want no requests of this daemon",
+		this.metrics.gauge("pistachioline.targets.backoff", "Targets that asked this daemon to back off",
 				() -> traffic.backoffs().size());
 		this.metrics.gauge("pistachioline.attempts.backoff",
-				"Attempts that were started at targets while they wanted no requests",
+				"Attempts that were started at targets during their backoff",
 				() -> traffic.backoffs().stream().mapToInt(BackoffReport::attempts).sum());
 		this.metrics.gauge("pistachioline.requests.quarantined",
-				"Requests that are sent nowhere, since targets died under them", traffic.crashes()::quarantinedCount);
+				"Requests that are not sent to any target, since targets crashed under them",
+				traffic.crashes()::quarantinedCount);
 		for (final ErrorKind kind : ErrorKind.values()) {
 			this.metrics.counter("pistachioline.requests.failed", "Requests that ended with a failure", kind.code(),
 					() -> traffic.failures().total(kind));
@@ -64,11 +66,11 @@
 		this.metrics.gauge("pistachioline.log.appends", "Appends sent to the log", appender.counts()::appends);
 		this.metrics.gauge("pistachioline.log.appends.refused", "Appends that the log refused",
 				appender.counts()::refused);
-		this.metrics.gauge("pistachioline.log.appends.ambiguous", "Appends that lost their answer",
+		this.metrics.gauge("pistachioline.log.appends.ambiguous", "Appends whose response was lost",
 				appender.counts()::ambiguous);
-		this.metrics.gauge("pistachioline.log.appends.held", "Times that an append waited for this daemon's share",
-				appender.counts()::held);
-		this.metrics.gauge("pistachioline.log.entries.skipped", "Broken entries that were skipped",
+		this.metrics.gauge("pistachioline.log.appends.held",
+				"Times that an append waited for this daemon's share of the append rate", appender.counts()::held);
+		this.metrics.gauge("pistachioline.log.entries.skipped", "Invalid entries of the log that were skipped",
 				() -> config.view().skippedEntries() + fleet.view().skippedEntries());
 	}
 
@@ -84,16 +86,17 @@
 		}
 	}
 
-	private void count(String way, String name, PeerFrame.BodyCase kind, PeerMeter meter) {
-		this.metrics.counter("pistachioline.peer.bytes." + way, "Bytes of frames " + way + ", without TCP and TLS",
-				name, () -> meter.bytes(kind));
-		this.metrics.counter("pistachioline.peer.frames." + way, "Frames " + way, name, () -> meter.frames(kind));
+	private void count(String direction, String name, PeerFrame.BodyCase kind, PeerMeter meter) {
+		this.metrics.counter("pistachioline.peer.bytes." + direction,
+				"Bytes of frames " + direction + ", without TCP and TLS", name, () -> meter.bytes(kind));
+		this.metrics.counter("pistachioline.peer.frames." + direction, "Frames " + direction, name,
+				() -> meter.frames(kind));
 	}
 
 	void bind(Ring<?> ring) {
 		this.metrics.gauge("pistachioline.ring.messages", "Messages that wait in a ring between duties", ring.name(),
 				ring::size);
-		this.metrics.counter("pistachioline.ring.refused", "Times that a ring had no room", ring.name(),
+		this.metrics.counter("pistachioline.ring.refused", "Times that a ring was full", ring.name(),
 				ring::refusedCount);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceSignalDispatcher.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceSignalDispatcher.java
@@ -5,10 +5,10 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * Hands what instances want of this daemon to the duties that decide by it.
+ * Passes the backoff and leaving signals of instances to the duties that act on them.
  *
- * @param traffic sends requests
- * @param replicas plans groups
+ * @param traffic the duty that sends requests to targets
+ * @param replicas the duty that plans groups
  */
 record InstanceSignalDispatcher(TrafficDuty traffic, ReplicaDuty replicas) implements InstanceListener {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Lifecycle.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Lifecycle.java
@@ -5,23 +5,23 @@
 import org.pistachioline.daemon.duty.Ring;
 
 /**
- * A part of the daemon that is started once and stopped once.
+ * Component of a daemon that is started once and stopped once.
  */
 public interface Lifecycle {
 
 	/**
-	 * Starts the part.
+	 * Starts the component.
 	 */
 	void start();
 
 	/**
-	 * Stops the part and gives back what it holds.
+	 * Stops the component and releases its resources.
 	 */
 	void stop();
 
 	/**
-	 * Returns the part's rings, for metrics and dumps.
-	 * @return the rings; empty where it has none
+	 * Returns the message rings of the component's duties, for metrics and dumps.
+	 * @return the rings; empty where the component has none
 	 */
 	default List<Ring<?>> rings() {
 		return List.of();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -39,23 +39,24 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * A daemon on a platform that keeps configuration, instances and leases: it relays
- * requests by routes and keeps instances in groups.
+ * Daemon on a platform that provides the configuration, the instance list and the
+ * planner's lease. It relays requests by a route table and organizes instances in groups.
+ * As {@link Daemon}, it starts its components in order and stops them in reverse order.
  */
 public final class RoutingDaemon implements DaemonView {
 
-	/** Word of a peer's leaving or death must be round before callers ask again. */
+	/** Peers must learn that a daemon left or died before callers refresh endpoints. */
 	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
 	private static final int MAX_PEER_CONNECTIONS = 256;
 
-	/** What is left of the time to stop when the last requests are given up. */
+	/** Part of the grace time that remains when the last requests are abandoned. */
 	private static final long STOP_MARGIN_MILLIS = 700;
 
-	/** Callers keep an answer of where to connect up to three times its one second. */
+	/** Callers cache an endpoint list for up to three times its TTL of one second. */
 	private static final long LINGER_MILLIS = 3_500;
 
-	/** Some heartbeats, and the time to connect. */
+	/** Some heartbeat intervals and the time to connect. */
 	private static final long PEER_DISCOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
 	private static final long DRAIN_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
@@ -103,10 +104,10 @@
 	private volatile int maxDaemonCount = 1;
 
 	/**
-	 * Wires a daemon.
+	 * Creates a daemon without starting it.
 	 * @param system the process's actor system
-	 * @param settings its settings
-	 * @param ports the platform
+	 * @param settings the daemon's settings
+	 * @param ports the ports to the platform
 	 */
 	public RoutingDaemon(ActorSystem<?> system, RoutingSettings settings, RoutingPorts ports) {
 		this.system = system;
@@ -119,17 +120,17 @@
 		this.limitShares = new ShareKeeper(settings.daemonId(), this.peers::daemonIds, HEARTBEAT_INTERVAL_MILLIS);
 		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.limitShares,
 				(suspect, nowMillis) -> {
-					// Daemons tell each other directly of the targets that died.
+					// Crash reports are exchanged between daemons by gossip instead.
 				}, new TraceRecorder(false));
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
 				this.traffic::targets, this::isBeforeFirstTraffic);
 		this.listing = new ListingDuty(system, settings.daemonId(), settings.maxListAgeMillis(), ports.instances(),
 				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::daemonIds, this.peers::send,
 				this::onInstanceList);
-		final InstanceSignalDispatcher news = new InstanceSignalDispatcher(this.traffic, this.replicas);
-		ports.orders().onAnswers(news);
+		final InstanceSignalDispatcher signals = new InstanceSignalDispatcher(this.traffic, this.replicas);
+		ports.orders().onAnswers(signals);
 		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.routeTable, this.traffic,
-				this.replicas::onLoadReport, news, () -> this.leaving);
+				this.replicas::onLoadReport, signals, () -> this.leaving);
 		this.components.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing,
 				ports.lease(), new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
 		registerListeners();
@@ -142,10 +143,10 @@
 	}
 
 	private void registerListeners() {
-		this.ports.routes().onRoutes((next) -> {
-			this.routeTable = next;
-			this.replicas.configure(next);
-			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
+		this.ports.routes().onRoutes((routes) -> {
+			this.routeTable = routes;
+			this.replicas.configure(routes);
+			Events.log(EventId.CONFIG_IN_FORCE, "version", routes.version());
 		});
 		this.ports.routes().followOthers(() -> this.peers.others().size() + 1, this.peers::newestConfigVersion);
 		this.ports.lease().onlyIf(this::isPlannerCandidate);
@@ -156,12 +157,12 @@
 		});
 		this.peers.onLimits(this.traffic::statedLimits, this.traffic::limitsTold);
 		this.peers.onStalled(this.replicas::onTargetStalled);
-		final CrashWatch crashes = this.traffic.crashes();
-		this.peers.suspects().bind(crashes::sample, crashes::known, crashes::onTold);
-		crashes.onNews(this.peers::tellSuspects);
+		final CrashWatch crashMonitor = this.traffic.crashes();
+		this.peers.suspects().bind(crashMonitor::sample, crashMonitor::known, crashMonitor::onTold);
+		crashMonitor.onNews(this.peers::tellSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
-		this.components.all().forEach((part) -> part.rings().forEach(meters::bind));
+		this.components.all().forEach((component) -> component.rings().forEach(meters::bind));
 		this.metrics.gauge("pistachioline.config.version", "Version of the configuration in force",
 				this::configVersion);
 		this.metrics.gauge("pistachioline.listing.age", "Time since the platform was asked for the known list",
@@ -170,8 +171,8 @@
 				() -> this.listing.readsForOthers() ? 1 : 0);
 	}
 
-	// A daemon that has just started knows of no other, and would take itself for the
-	// first.
+	// A daemon that has just started knows no peers and would always include itself, so
+	// it waits until it has had time to discover them.
 	private boolean isPlannerCandidate() {
 		return System.nanoTime() - this.startedAtNanos >= PEER_DISCOVERY_NANOS
 				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.daemonIds());
@@ -182,8 +183,8 @@
 		this.replicas.updateInstances(instances);
 	}
 
-	// A daemon that has just started counts few others; the most it has ever seen is a
-	// better guess of how many spend from the same budget.
+	// Daemons share one retry budget. A daemon that has just started knows few peers, so
+	// the largest number it has seen is a better estimate of how many share it.
 	private int daemonCount() {
 		this.maxDaemonCount = Math.max(this.maxDaemonCount, this.peers.others().size() + 1);
 		return this.maxDaemonCount;
@@ -195,7 +196,7 @@
 	}
 
 	/**
-	 * Starts all parts in order.
+	 * Starts all components in order.
 	 */
 	public void start() {
 		this.components.start();
@@ -205,29 +206,30 @@
 	}
 
 	/**
-	 * Leaves: callers are sent elsewhere at once; whoever still comes is served until the
-	 * requests are done or the time to stop is nearly over.
+	 * Drains the daemon. It is removed from the endpoints at once, but serves late
+	 * callers until their cached endpoints have expired and its active requests have
+	 * completed, or until the grace time is nearly over. Its components keep running.
 	 */
 	public void leave() {
-		final long begunAtNanos = System.nanoTime();
+		final long leaveStartedAtNanos = System.nanoTime();
 		Events.log(EventId.STOPPING, "held", this.traffic.held());
 		this.leaving = true;
 		this.ports.lease().release();
 		this.peers.beat();
-		final long mostNanos = TimeUnit.MILLISECONDS
+		final long maxWaitNanos = TimeUnit.MILLISECONDS
 			.toNanos(Math.max(0, this.settings.graceMillis() - STOP_MARGIN_MILLIS));
-		final long lingerNanos = Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
+		final long lingerNanos = Math.min(maxWaitNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
 		long waitedNanos = 0;
-		while (waitedNanos < lingerNanos || (this.traffic.held() > 0 && waitedNanos < mostNanos)) {
+		while (waitedNanos < lingerNanos || (this.traffic.held() > 0 && waitedNanos < maxWaitNanos)) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
-			waitedNanos = System.nanoTime() - begunAtNanos;
+			waitedNanos = System.nanoTime() - leaveStartedAtNanos;
 		}
 		Events.log(EventId.STOPPED, "held", this.traffic.held(), "waited_millis",
 				TimeUnit.NANOSECONDS.toMillis(waitedNanos));
 	}
 
 	/**
-	 * Stops all started parts in reverse order.
+	 * Stops all started components in reverse order, without draining.
 	 */
 	public void stop() {
 		this.components.stop();
@@ -235,17 +237,16 @@
 	}
 
 	/**
-	 * Returns whether other daemons can serve this one's callers while it runs itself
-	 * warm.
-	 * @return whether they can
+	 * Returns whether other daemons can serve this one's callers during its warm-up.
+	 * @return whether traffic can be deferred
 	 */
 	public boolean canDeferTraffic() {
 		return WarmUpRule.mayHoldBack(status(), this.peers.others());
 	}
 
 	/**
-	 * Keeps callers away until they are let in again; those who come all the same are
-	 * served.
+	 * Removes the daemon from the endpoints until {@link #acceptTraffic()} is called.
+	 * Callers that connect regardless are served.
 	 */
 	public void deferTraffic() {
 		this.acceptingTraffic = false;
@@ -253,7 +254,7 @@
 	}
 
 	/**
-	 * Lets callers be sent here.
+	 * Offers the daemon to callers as an endpoint, once it is ready.
 	 */
 	public void acceptTraffic() {
 		this.acceptingTraffic = true;
@@ -270,9 +271,9 @@
 	}
 
 	/**
-	 * Chooses the addresses that a caller is told to use.
+	 * Returns the endpoints that a caller should use.
 	 * @param availabilityZone the caller's availability zone; empty where it is not known
-	 * @return the addresses, the best first
+	 * @return the daemons' caller addresses, in order of preference
 	 */
 	public List<String> endpoints(String availabilityZone) {
 		final List<String> chosen = EndpointSelector
@@ -280,12 +281,12 @@
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
-		// A daemon that knows of no other serves callers, cold or not.
+		// Without live peers a daemon offers itself even before its warm-up.
 		return (chosen.isEmpty() && notReadyReason().isEmpty()) ? List.of(this.settings.callerAddress()) : chosen;
 	}
 
 	/**
-	 * Returns where callers connect.
+	 * Returns the address on which the daemon listens for callers.
 	 * @return the address, as host and port; empty until it listens
 	 */
 	public String callerAddress() {
@@ -293,7 +294,7 @@
 	}
 
 	/**
-	 * Returns where other daemons connect.
+	 * Returns the address on which the daemon listens for its peers.
 	 * @return the address, as host and port
 	 */
 	public String peerAddress() {
@@ -301,7 +302,7 @@
 	}
 
 	/**
-	 * Returns how many targets take requests.
+	 * Returns the number of targets that accept requests.
 	 * @return the number of targets
 	 */
 	public int servingTargets() {
@@ -309,8 +310,8 @@
 	}
 
 	/**
-	 * Returns the meters, for what the platform adds to them.
-	 * @return the meters
+	 * Returns the daemon's metrics, to which the platform adds its own.
+	 * @return the metrics
 	 */
 	public Metrics meters() {
 		return this.metrics;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingPorts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingPorts.java
@@ -7,13 +7,13 @@
 import org.pistachioline.daemon.port.RouteSource;
 
 /**
- * The platform, as a daemon that relays by routes sees it.
+ * Ports through which a {@link RoutingDaemon} uses the platform.
  *
- * @param routes the operators' configuration
- * @param instances the list of instances
+ * @param routes the source of the operators' configuration
+ * @param instances the source of the instance list
  * @param lease the planner's lease
- * @param orders orders to instances
- * @param dialect the headers of callers and targets
+ * @param orders the sender of orders to instances
+ * @param dialect the mapping of the headers of callers and targets
  */
 public record RoutingPorts(RouteSource routes, InstanceSource instances, PlannerLease lease, OrderSender orders,
 		RelayDialect dialect) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingSettings.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingSettings.java
@@ -6,20 +6,20 @@
 import org.pistachioline.core.retry.RetryBudget;
 
 /**
- * The settings of a daemon that relays by routes.
+ * Settings of a {@link RoutingDaemon}.
  *
- * @param daemonId the daemon's name
- * @param availabilityZone its availability zone
- * @param callerAddress where it listens for callers
- * @param adminAddress where it listens for operators
- * @param peerAddress where it listens for other daemons
- * @param peerSeeds addresses of daemons to begin with
+ * @param daemonId the daemon's unique name
+ * @param availabilityZone the availability zone that the daemon runs in
+ * @param callerAddress the address on which it listens for callers, as host and port
+ * @param adminAddress the address on which it listens for operators, as host and port
+ * @param peerAddress the address on which it listens for other daemons, as host and port
+ * @param peerSeeds the addresses of daemons through which it discovers the others
  * @param firstStart whether the whole system starts for the first time
- * @param graceMillis how long after the order to stop it is ended by force
- * @param maxListAgeMillis how old the list of instances may become before this daemon
- * reads it for itself
- * @param retryBudget the bound on attempts beyond the first
- * @param plannerTimes the times that planners keep to
+ * @param graceMillis the time from the signal to stop until the process is killed
+ * @param maxListAgeMillis the age of the instance list beyond which this daemon reads it
+ * from the platform itself
+ * @param retryBudget the limit on attempts after the first
+ * @param plannerTimes the timing parameters of the planner
  */
 public record RoutingSettings(String daemonId, String availabilityZone, String callerAddress, String adminAddress,
 		String peerAddress, List<String> peerSeeds, boolean firstStart, long graceMillis, long maxListAgeMillis,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Version.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Version.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The version of this build.
+ * Version of this build, from the manifest of its JAR file.
  */
 final class Version {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/Metric.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/Metric.java
@@ -1,135 +1,142 @@
 package org.pistachioline.daemon.metrics;
 
 /**
- * The metrics that a daemon shows beside those of its virtual machine; docs/METRICS.md
- * holds one row for each.
+ * Catalogue of the metrics that a daemon exposes besides those of its JVM. The table in
+ * docs/METRICS.md is generated from it.
  */
 public enum Metric {
 
-	/** Requests that have not ended. */
+	/** Gauge of the requests that the daemon holds, queued ones included. */
 	REQUESTS_HELD("pistachioline_requests_held", "requests", "Requests that have not ended.",
-			"near the groups' limits: demand meets capacity"),
+			"near the groups' limits: demand reaches capacity"),
 
-	/** Requests that wait. */
+	/** Gauge of the requests that are queued. */
 	REQUESTS_QUEUED("pistachioline_requests_queued", "requests", "Requests that wait for a target.",
 			"above 0 for a minute: callers wait"),
 
-	/** Requests that failed. */
+	/** Counter by error code. */
 	REQUESTS_FAILED("pistachioline_requests_failed_total", "requests by kind", "Requests that ended with a failure.",
 			"queue_full, no_capacity or target_failed rising"),
 
-	/** Requests that are quarantined. */
+	/** Gauge of the requests that are known to crash targets. */
 	REQUESTS_QUARANTINED("pistachioline_requests_quarantined", "requests",
-			"Requests that are sent nowhere, since targets died under them.", "above 0"),
+			"Requests that are not sent to any target, since targets crashed under them.", "above 0"),
 
-	/** Messages in rings. */
+	/** Gauge by ring. */
 	RING_MESSAGES("pistachioline_ring_messages", "messages by ring", "Messages that wait in a ring between duties.",
 			"above half of its capacity"),
 
-	/** Refusals of rings. */
-	RING_REFUSED("pistachioline_ring_refused_total", "times by ring", "Times that a ring had no room.", "rising"),
+	/** Counter by ring; each retry of a blocked sender counts. */
+	RING_REFUSED("pistachioline_ring_refused_total", "times by ring", "Times that a ring was full.", "rising"),
 
-	/** Answers that were dropped. */
-	ANSWERS_DROPPED("pistachioline_answers_dropped", "answers", "Answers that did not match a live attempt.",
-			"rising: an engine mixes up answers"),
+	/** Count of responses that named another attempt, or one that had ended. */
+	ANSWERS_DROPPED("pistachioline_answers_dropped", "answers", "Responses that did not match a live attempt.",
+			"rising: an engine mixes up responses"),
 
-	/** Targets that name a limit. */
-	TARGETS_LIMITED("pistachioline_targets_limited", "targets", "Targets that name a limit.",
-			"most of a service's targets: it takes less than its slots"),
+	/** Gauge of the targets with a request rate limit of their own. */
+	TARGETS_LIMITED("pistachioline_targets_limited", "targets", "Targets that state a request rate limit.",
+			"most of a service's targets: it accepts less than its slots"),
 
-	/** Attempts at targets that name a limit. */
+	/** Gauge over a sliding window, to compare with the stated limits. */
 	ATTEMPTS_LIMITED("pistachioline_attempts_limited", "attempts",
-			"Attempts of the last four seconds at targets that name a limit.",
+			"Attempts of the last four seconds at targets that state a limit.",
 			"over all daemons above four times the limits"),
 
-	/** Targets that want no requests. */
-	TARGETS_BACKOFF("pistachioline_targets_backoff", "targets", "Targets that want no requests of this daemon.",
+	/** Gauge of the targets that asked this daemon to back off. */
+	TARGETS_BACKOFF("pistachioline_targets_backoff", "targets", "Targets that asked this daemon to back off.",
 			"most of a service's targets"),
 
-	/** Attempts at targets that want none. */
+	/** Gauge that shows whether backoffs are respected. */
 	ATTEMPTS_BACKOFF("pistachioline_attempts_backoff", "attempts",
-			"Attempts that were started at targets while they wanted no requests.", "above 0"),
+			"Attempts that were started at targets during their backoff.", "above 0"),
 
-	/** The configuration's version. */
+	/** Gauge of the manifest's or route table's version. */
 	CONFIG_VERSION("pistachioline_config_version", "version", "Version of the configuration in force.",
-			"unlike on other daemons for 10 s"),
+			"differs from other daemons for 10 s"),
 
-	/** The age of the list of instances. */
-	LISTING_AGE("pistachioline_listing_age", "ms", "Time since the platform was asked for the known list of instances.",
-			"above half of the time in which a draining instance must be left"),
+	/** Gauge of the age of the instance list, however it reached this daemon. */
+	LISTING_AGE("pistachioline_listing_age", "ms",
+			"Time since the known instance list was requested from the platform.",
+			"above half of the time within which daemons must stop using a draining instance"),
 
-	/** Whether this daemon reads the list for others. */
-	LISTING_READER("pistachioline_listing_reader", "0 or 1", "1 where this daemon reads the list for others.",
-			"0 on all daemons"),
+	/** Gauge that is 1 on the daemons that read the list from the platform. */
+	LISTING_READER("pistachioline_listing_reader", "0 or 1",
+			"1 if this daemon reads the instance list on behalf of others.", "0 on all daemons"),
 
-	/** The configuration's age. */
+	/** Gauge of the age that the staleness bound limits. */
 	CONFIG_AGE("pistachioline_config_age", "ms", "Time since the configuration was known to be fresh.",
-			"above 60 000: neither the log nor a fresh daemon is reached"),
+			"above 60 000: neither the log nor an up-to-date daemon can be reached"),
 
-	/** Live daemons. */
+	/** Gauge of the membership as this daemon sees it. */
 	PEERS_LIVE("pistachioline_peers_live", "daemons", "Live daemons, this one included.",
-			"unlike the number that runs"),
+			"differs from the number of running daemons"),
 
-	/** Connections with daemons. */
+	/** Gauge of connections in both directions. */
 	PEER_CONNECTIONS("pistachioline_peer_connections", "connections", "Open connections with other daemons.",
 			"0 while others run"),
 
-	/** Bytes to daemons. */
+	/** Counter by kind of frame. */
 	PEER_BYTES_SENT("pistachioline_peer_bytes_sent_total", "bytes by kind",
 			"Bytes of frames sent, without TCP and TLS.", "above 11 000 a second in all kinds"),
 
-	/** Bytes from daemons. */
+	/** Counter by kind of frame. */
 	PEER_BYTES_RECEIVED("pistachioline_peer_bytes_received_total", "bytes by kind",
 			"Bytes of frames received, without TCP and TLS.", "above 11 000 a second in all kinds"),
 
-	/** Frames to daemons. */
-	PEER_FRAMES_SENT("pistachioline_peer_frames_sent_total", "frames by kind", "Frames sent.", "none"),
+	/** Counter by kind of frame. */
+	PEER_FRAMES_SENT("pistachioline_peer_frames_sent_total", "frames by kind", "Frames sent to other daemons.", "none"),
 
-	/** Frames from daemons. */
-	PEER_FRAMES_RECEIVED("pistachioline_peer_frames_received_total", "frames by kind", "Frames received.", "none"),
+	/** Counter by kind of frame. */
+	PEER_FRAMES_RECEIVED("pistachioline_peer_frames_received_total", "frames by kind",
+			"Frames received from other daemons.", "none"),
 
-	/** Appends. */
+	/** Count of appends, retries included. */
 	LOG_APPENDS("pistachioline_log_appends", "appends", "Appends sent to the log.",
-			"all daemons together near the log's limit"),
+			"sum over all daemons near the log's limit"),
 
-	/** Refused appends. */
+	/** Count of rejected appends, which had no effect. */
 	LOG_APPENDS_REFUSED("pistachioline_log_appends_refused", "appends", "Appends that the log refused.",
-			"rising: the log's limit is met, or it is down"),
+			"rising: the log's rate limit is reached, or it is down"),
 
-	/** Ambiguous appends. */
-	LOG_APPENDS_AMBIGUOUS("pistachioline_log_appends_ambiguous", "appends", "Appends that lost their answer.",
-			"rising: the way to the log drops answers"),
+	/** Count of appends that may have had an effect. */
+	LOG_APPENDS_AMBIGUOUS("pistachioline_log_appends_ambiguous", "appends", "Appends whose response was lost.",
+			"rising: the network to the log loses responses"),
 
-	/** Held appends. */
-	LOG_APPENDS_HELD("pistachioline_log_appends_held", "times", "Times that an append waited for this daemon's share.",
-			"rising fast: claims wait"),
+	/** Count of appends delayed by the daemon's own rate limit. */
+	LOG_APPENDS_HELD("pistachioline_log_appends_held", "times",
+			"Times that an append waited for this daemon's share of the append rate.",
+			"rising fast: claims are delayed"),
 
-	/** Skipped entries. */
-	LOG_ENTRIES_SKIPPED("pistachioline_log_entries_skipped", "entries", "Broken entries that were skipped.", "above 0"),
+	/**
+	 * Count of undecodable or oversize entries, and of those on which the reducer failed.
+	 */
+	LOG_ENTRIES_SKIPPED("pistachioline_log_entries_skipped", "entries", "Invalid entries of the log that were skipped.",
+			"above 0"),
 
-	/** Calls to the store of the users' platform. */
+	/** Counter by kind: all, failed. */
 	STORE_CALLS("pistachioline_store_calls_total", "calls by kind",
-			"Calls to the platform's store: all, and those that failed.", "failed rising: the store is away"),
+			"Calls to the platform's store: all, and those that failed.", "failed rising: the store is unavailable"),
 
-	/** The store's era. */
-	STORE_ERA("pistachioline_store_era", "number", "How often the platform's store came back from a copy.",
-			"rising: what was written shortly before is lost there"),
+	/** Gauge of the era that the store names, which rises with each restore. */
+	STORE_ERA("pistachioline_store_era", "number",
+			"Number of times that the platform's store was restored from a backup.",
+			"rising: recent writes to the store are lost"),
 
-	/** Entries of the instance list that were ignored. */
+	/** Counter by kind: unusable. */
 	STORE_ENTRIES("pistachioline_store_entries_total", "entries by kind",
-			"Entries of the instance list that name no instance and were ignored.",
-			"rising: something else writes into the list"),
+			"Entries of the instance list that do not describe an instance and were ignored.",
+			"rising: another writer adds entries to the list"),
 
-	/** Calls. */
+	/** Counter by kind of call. */
 	CALLS("pistachioline_calls_total", "calls by kind", "Calls to the platform and to targets.", "none"),
 
-	/** Bytes of calls. */
-	CALL_BYTES_SENT("pistachioline_call_bytes_sent_total", "bytes by kind", "Bytes of calls sent; heads are estimated.",
-			"control kinds above 11 000 a second"),
+	/** Counter by kind of call. */
+	CALL_BYTES_SENT("pistachioline_call_bytes_sent_total", "bytes by kind",
+			"Bytes of calls sent; the size of headers is estimated.", "control kinds above 11 000 a second"),
 
-	/** Bytes of answers. */
+	/** Counter by kind of call. */
 	CALL_BYTES_RECEIVED("pistachioline_call_bytes_received_total", "bytes by kind",
-			"Bytes of answers received; heads are estimated.", "control kinds above 11 000 a second");
+			"Bytes of responses received; the size of headers is estimated.", "control kinds above 11 000 a second");
 
 	private final String prometheusName;
 
@@ -147,8 +154,8 @@
 	}
 
 	/**
-	 * Returns the metric's row in docs/METRICS.md.
-	 * @return the row
+	 * Returns the metric's row of the table in docs/METRICS.md.
+	 * @return the row, as Markdown
 	 */
 	public String row() {
 		return "| `" + this.prometheusName + "` | " + this.unit + " | " + this.description + " | " + this.alertHint
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/Metrics.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/Metrics.java
@@ -15,62 +15,64 @@
 import org.pistachioline.adapters.http.CallMeter;
 
 /**
- * The daemon's meters; docs/METRICS.md lists them.
+ * Meters of a daemon; docs/METRICS.md lists them.
  * <p>
- * They are registered when somebody asks for them first, as a start whose callers wait
- * has no time for a registry with a hundred meters and the management beans that it
- * reads. Meters only read what the daemon counts anyway, so nothing is missing from what
- * is asked for late.
+ * The registry, with about a hundred meters and the management beans that it reads, is
+ * created at the first scrape, so as not to delay the start of the process. Meters only
+ * read values that the daemon maintains anyway, so no count is lost by this.
  */
 public final class Metrics {
 
-	// Guarded by this, as the registry is.
+	// Guarded by this, like the registry.
 	private final List<Consumer<MeterRegistry>> pendingRegistrations = new ArrayList<>();
 
 	private PrometheusMeterRegistry registry;
 
-	// Micrometer keeps what a counter reads only weakly; collected, the counter stays at
-	// 0.
+	// Micrometer refers to a counter's supplier only weakly. Without these references it
+	// would be collected and the counter stay at 0.
 	private final List<Supplier<Number>> counterSuppliers = new CopyOnWriteArrayList<>();
 
 	/**
-	 * Adds a gauge.
-	 * @param name its name
-	 * @param description its description
-	 * @param value gives its value
+	 * Adds a gauge without labels.
+	 * @param name the meter's name, with dots
+	 * @param description the help text
+	 * @param value the supplier of the current value
 	 */
 	public void gauge(String name, String description, Supplier<Number> value) {
-		add((meters) -> Gauge.builder(name, value).description(description).strongReference(true).register(meters));
+		add((meterRegistry) -> Gauge.builder(name, value)
+			.description(description)
+			.strongReference(true)
+			.register(meterRegistry));
 	}
 
 	/**
-	 * Adds a counter of one kind among several.
-	 * @param name its name
-	 * @param description its description
-	 * @param kind the kind that it counts
-	 * @param value gives its value
+	 * Adds a counter with the label {@code kind}.
+	 * @param name the meter's name, with dots
+	 * @param description the help text
+	 * @param kind the label's value
+	 * @param value the supplier of the count, which must never decrease
 	 */
 	public void counter(String name, String description, String kind, Supplier<Number> value) {
 		this.counterSuppliers.add(value);
-		add((meters) -> FunctionCounter.builder(name, value, (supplier) -> supplier.get().doubleValue())
+		add((meterRegistry) -> FunctionCounter.builder(name, value, (supplier) -> supplier.get().doubleValue())
 			.description(description)
 			.tag("kind", kind)
-			.register(meters));
+			.register(meterRegistry));
 	}
 
 	/**
-	 * Adds a gauge of one kind among several.
-	 * @param name its name
-	 * @param description its description
-	 * @param kind the kind that it shows
-	 * @param value gives its value
+	 * Adds a gauge with the label {@code kind}.
+	 * @param name the meter's name, with dots
+	 * @param description the help text
+	 * @param kind the label's value
+	 * @param value the supplier of the current value
 	 */
 	public void gauge(String name, String description, String kind, Supplier<Number> value) {
-		add((meters) -> Gauge.builder(name, value)
+		add((meterRegistry) -> Gauge.builder(name, value)
 			.description(description)
 			.tag("kind", kind)
 			.strongReference(true)
-			.register(meters));
+			.register(meterRegistry));
 	}
 
 	/**
@@ -81,7 +83,7 @@
 	}
 
 	/**
-	 * Adds the meters of the process: memory, processor time and control traffic.
+	 * Adds the meters of the process: memory, processor time and HTTP calls.
 	 * @param calls the counts of calls to the platform and to targets
 	 */
 	public void addProcessMeters(CallMeter calls) {
@@ -90,8 +92,8 @@
 	}
 
 	/**
-	 * Returns all meters.
-	 * @return the text in the Prometheus form
+	 * Returns the current values of all meters.
+	 * @return the text in the Prometheus text format
 	 */
 	public String scrape() {
 		return getOrCreateRegistry().scrape();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/ProcessMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/ProcessMeters.java
@@ -10,7 +10,7 @@
 import org.pistachioline.adapters.http.CallMeter;
 
 /**
- * Meters of the process itself: memory, processor time and control traffic.
+ * Registers the meters of the process: memory, processor time and HTTP calls.
  */
 final class ProcessMeters {
 
@@ -27,9 +27,9 @@
 			final String name = kind.name().toLowerCase(Locale.ROOT);
 			metrics.counter("pistachioline.calls", "Calls to the platform and to targets", name,
 					() -> meter.calls(kind));
-			metrics.counter("pistachioline.call.bytes.sent", "Bytes of calls sent, heads estimated", name,
+			metrics.counter("pistachioline.call.bytes.sent", "Bytes of calls sent, headers estimated", name,
 					() -> meter.sentBytes(kind));
-			metrics.counter("pistachioline.call.bytes.received", "Bytes of answers received, heads estimated", name,
+			metrics.counter("pistachioline.call.bytes.received", "Bytes of responses received, headers estimated", name,
 					() -> meter.receivedBytes(kind));
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Metrics by Micrometer, in the Prometheus form.
+ * Metrics, kept in Micrometer and exposed in the Prometheus text format.
  */
 package org.pistachioline.daemon.metrics;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The daemon: its parts, in the order in which they start and stop.
+ * The daemon's main class, and the assembly, start and stop of its components.
  */
 package org.pistachioline.daemon;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/InMemoryLog.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/InMemoryLog.java
@@ -17,7 +17,7 @@
 import org.pistachioline.core.state.Reducer;
 
 /**
- * The log in memory, with the faults that a test asks for.
+ * {@link LogService} in memory that can inject faults.
  */
 public final class InMemoryLog implements LogService {
 
@@ -34,24 +34,24 @@
 	private boolean hidden;
 
 	/**
-	 * Lets the answers of the next appends be lost after they took effect.
-	 * @param count how many
+	 * Fails the next appends as ambiguous, although their entries are appended.
+	 * @param count the number of appends
 	 */
 	public synchronized void loseResponses(int count) {
 		this.responsesToLose = count;
 	}
 
 	/**
-	 * Lets the next appends land twice.
-	 * @param count how many
+	 * Appends the entries of the next appends twice, as after a duplicated request.
+	 * @param count the number of appends
 	 */
 	public synchronized void duplicateAppends(int count) {
 		this.appendsToDuplicate = count;
 	}
 
 	/**
-	 * Withholds new entries from readers, or shows them again.
-	 * @param hide whether to withhold them
+	 * Hides all entries from readers, or shows them again.
+	 * @param hide whether to hide them
 	 */
 	public void setHidden(boolean hide) {
 		final List<Runnable> ready;
@@ -64,10 +64,10 @@
 	}
 
 	/**
-	 * Waits until a stream has some entries.
+	 * Waits until a stream has a number of entries.
 	 * @param stream the stream
-	 * @param count how many entries
-	 * @return completes with the entries
+	 * @param count the minimum number of entries
+	 * @return a future that completes with all entries of the stream
 	 */
 	public synchronized CompletableFuture<List<byte[]>> awaitEntries(String stream, int count) {
 		final CompletableFuture<List<byte[]>> done = new CompletableFuture<>();
@@ -82,11 +82,11 @@
 	}
 
 	/**
-	 * Folds a stream from its start.
+	 * Reduces a stream from its start to a state.
 	 * @param <S> the type of state
 	 * @param stream the stream
-	 * @param reducer what folds it
-	 * @return the state at its end
+	 * @param reducer the reducer to apply
+	 * @return the state at the end of the stream
 	 */
 	public <S> S fold(String stream, Reducer<S> reducer) {
 		S state = reducer.initial();
@@ -118,7 +118,7 @@
 			if (this.responsesToLose > 0) {
 				this.responsesToLose--;
 				answer = CompletableFuture
-					.failedFuture(new AppendException(AppendFailure.AMBIGUOUS, "answer lost", null));
+					.failedFuture(new AppendException(AppendFailure.AMBIGUOUS, "response lost", null));
 			}
 			else {
 				answer = CompletableFuture.completedFuture(offset);
