--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -41,21 +41,19 @@
 	private void bindTraffic(TrafficDuty traffic) {
 		this.metrics.gauge("pistachioline.requests.held", "Requests that have not ended", traffic::held);
 		this.metrics.gauge("pistachioline.requests.queued", "Requests that wait for a target", traffic::queued);
-		this.metrics.gauge("pistachioline.answers.dropped", "Responses that did not match a live attempt",
+		this.metrics.gauge("pistachioline.answers.dropped", "Answers that did not match a live attempt",
 				traffic::answersDropped);
-		this.metrics.gauge("pistachioline.targets.limited", "Targets that state a request rate limit",
-				() -> traffic.limits().size());
+		this.metrics.gauge("pistachioline.targets.limited", "Targets that name a limit", () -> traffic.limits().size());
 		this.metrics.gauge("pistachioline.attempts.limited",
-				"Attempts of the last four seconds at targets that state a limit",
+				"Attempts of the last four seconds at targets that name a limit",
 				() -> traffic.limits().stream().mapToInt(LimitReport::recentAttempts).sum());
-		this.metrics.gauge("pistachioline.targets.backoff", "Targets that asked this daemon to back off",
+		this.metrics.gauge("pistachioline.targets.backoff", "Targets that want no requests of this daemon",
 				() -> traffic.backoffs().size());
 		this.metrics.gauge("pistachioline.attempts.backoff",
-				"Attempts that were started at targets during their backoff",
+				"Attempts that were started at targets while they wanted no requests",
 				() -> traffic.backoffs().stream().mapToInt(BackoffReport::attempts).sum());
 		this.metrics.gauge("pistachioline.requests.quarantined",
-				"Requests that are not sent to any target, since targets crashed under them",
-				traffic.crashes()::quarantinedCount);
+				"Requests that are sent nowhere, since targets died under them", traffic.crashes()::quarantinedCount);
 		for (final ErrorKind kind : ErrorKind.values()) {
 			this.metrics.counter("pistachioline.requests.failed", "Requests that ended with a failure", kind.code(),
 					() -> traffic.failures().total(kind));
@@ -66,11 +64,11 @@
 		this.metrics.gauge("pistachioline.log.appends", "Appends sent to the log", appender.counts()::appends);
 		this.metrics.gauge("pistachioline.log.appends.refused", "Appends that the log refused",
 				appender.counts()::refused);
-		this.metrics.gauge("pistachioline.log.appends.ambiguous", "Appends whose response was lost",
+		this.metrics.gauge("pistachioline.log.appends.ambiguous", "Appends that lost their answer",
 				appender.counts()::ambiguous);
-		this.metrics.gauge("pistachioline.log.appends.held",
-				"Times that an append waited for this daemon's share of the append rate", appender.counts()::held);
-		this.metrics.gauge("pistachioline.log.entries.skipped", "Invalid entries of the log that were skipped",
+		this.metrics.gauge("pistachioline.log.appends.held", "Times that an append waited for this daemon's share",
+				appender.counts()::held);
+		this.metrics.gauge("pistachioline.log.entries.skipped", "Broken entries that were skipped",
 				() -> config.view().skippedEntries() + fleet.view().skippedEntries());
 	}
 
@@ -96,7 +94,7 @@
 	void bind(Ring<?> ring) {
 		this.metrics.gauge("pistachioline.ring.messages", "Messages that wait in a ring between duties", ring.name(),
 				ring::size);
-		this.metrics.counter("pistachioline.ring.refused", "Times that a ring was full", ring.name(),
+		this.metrics.counter("pistachioline.ring.refused", "Times that a ring had no room", ring.name(),
 				ring::refusedCount);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/ProcessMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/ProcessMeters.java
@@ -27,9 +27,9 @@
 			final String name = kind.name().toLowerCase(Locale.ROOT);
 			metrics.counter("pistachioline.calls", "Calls to the platform and to targets", name,
 					() -> meter.calls(kind));
-			metrics.counter("pistachioline.call.bytes.sent", "Bytes of calls sent, headers estimated", name,
+			metrics.counter("pistachioline.call.bytes.sent", "Bytes of calls sent, heads estimated", name,
 					() -> meter.sentBytes(kind));
-			metrics.counter("pistachioline.call.bytes.received", "Bytes of responses received, headers estimated", name,
+			metrics.counter("pistachioline.call.bytes.received", "Bytes of answers received, heads estimated", name,
 					() -> meter.receivedBytes(kind));
 		}
 	}
