--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -66,9 +66,9 @@
 import org.pistachioline.daemon.peer.PeerDuty;
 import org.pistachioline.daemon.peer.PeerTls;
 import org.pistachioline.daemon.peer.PeerTransport;
-import org.pistachioline.daemon.traffic.Exchanges;
-import org.pistachioline.daemon.traffic.KillerReports;
-import org.pistachioline.daemon.traffic.ShareKeeper;
+import org.pistachioline.daemon.traffic.ExchangeStarter;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
+import org.pistachioline.daemon.traffic.LogSuspectReporter;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 import org.pistachioline.protocol.peer.PeerFrame;
@@ -107,7 +107,7 @@
 
 	private final TraceRecorder recorder;
 
-	private final ShareKeeper limitShares;
+	private final LimitShareUpdater limitShares;
 
 	private final TrafficDuty traffic;
 
@@ -152,39 +152,40 @@
 				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.freshness = new ConfigFreshness(
 				new StalenessBound(Duration.ofSeconds(settings.whole(Setting.LOG_STALENESS_BOUND_SECONDS)).toMillis()),
-				this.config::view, this.peers::others);
+				this.config::view, this.peers::livePeers);
 		this.instances = new FleetDuty(this.system, this.config, this.fleet,
 				new HttpInstanceList(http, settings.text(Setting.INSTANCES_ADDRESS)), engines,
 				new PresenceLinks(selfId, this.peers), writer,
 				new PresenceLimits(TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_INTERVAL_MILLIS)),
 						TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_PRESENCE_BOUND_MILLIS))));
 		this.planner = new PlannerDuty(this.system, this.config, this.fleet, this.instances, engines, this.appender,
-				new GroupPlanner(new WeighedLoss()), selfId, this.peers::daemonIds);
-		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::daemonIds, this.peers::send);
-		this.peers.onClaimFrame(this.claims::onFrame);
+				new GroupPlanner(new WeighedLoss()), selfId, this.peers::activeDaemonIds);
+		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::activeDaemonIds,
+				this.peers::send);
+		this.peers.setClaimReceiver(this.claims::onFrame);
 		this.recorder = new TraceRecorder(settings.flag(Setting.TRACE_RECORD));
-		this.limitShares = new ShareKeeper(selfId, this.peers::daemonIds,
+		this.limitShares = new LimitShareUpdater(selfId, this.peers::activeDaemonIds,
 				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.traffic = new TrafficDuty(this.system,
 				new TrafficCore(StandardPolicies.create(settings.text(Setting.DAEMON_AVAILABILITY_ZONE),
 						this.incarnation ^ ((long) selfId.hashCode() << Integer.SIZE))),
 				this.claims, this.limitShares,
-				new KillerReports(this.appender, settings.text(Setting.LOG_FLEET_STREAM)), this.recorder);
-		this.peers.onDemand(this.limitShares::demand,
-				(peer, demand) -> this.traffic.peerDemand(peer.daemonId(), peer.leaving(), demand));
+				new LogSuspectReporter(this.appender, settings.text(Setting.LOG_FLEET_STREAM)), this.recorder);
+		this.peers.setDemandExchange(this.limitShares::demand,
+				(peer, demand) -> this.traffic.onPeerDemand(peer.daemonId(), peer.leaving(), demand));
 		final CacheEventDuty caches = new CacheEventDuty(this.system, engines, this.instances::view,
-				this.traffic::cacheEvents);
+				this.traffic::onCacheEvents);
 		final CallerLimits limits = new CallerLimits(settings.whole(Setting.CALLERS_MAX_BODY_BYTES),
 				settings.whole(Setting.CALLERS_BODY_TIMEOUT_MILLIS),
 				settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS));
-		final CallerHandler callerHandler = new CallerHandler(this, new Exchanges(http, this.traffic), http, limits,
-				writer + "-");
+		final CallerHandler callerHandler = new CallerHandler(this, new ExchangeStarter(http, this.traffic), http,
+				limits, writer + "-");
 		this.callerServer = new HttpServer(this.system, settings.text(Setting.CALLERS_ADDRESS), callerHandler::handle);
 		this.adminServer = new AdminServer(settings.text(Setting.ADMIN_ADDRESS), new AdminHandler(this));
 		// Replicated state starts first, then the duties that depend on it, then the HTTP
 		// servers, the callers' last.
 		final CheckpointDuty checkpoints = new CheckpointDuty(this.system, streams(claims), this.appender, selfId,
-				this.peers::daemonIds,
+				this.peers::activeDaemonIds,
 				new CheckpointPolicy(Duration.ofSeconds(settings.whole(Setting.LOG_RETENTION_SECONDS)).toMillis(),
 						settings.whole(Setting.LOG_CHECKPOINT_ENTRIES)));
 		final CheckpointTransfer transfer = new CheckpointTransfer(this.system, this.peers, selfId,
@@ -225,12 +226,12 @@
 		this.config.onChange(() -> {
 			final ConfigState state = this.config.view().state();
 			if (state.version() != versionInForce.getAndSet(state.version())) {
-				this.traffic.configure(state.manifest());
+				this.traffic.onManifest(state.manifest());
 				Events.log(EventId.CONFIG_IN_FORCE, "version", state.version(), "offset", state.acceptedOffset());
 			}
 		});
-		this.fleet.onChange(() -> this.traffic.fleet(this.fleet.view().state()));
-		this.instances.onChange((view) -> this.traffic.targets(view.targets()));
+		this.fleet.onChange(() -> this.traffic.onFleetState(this.fleet.view().state()));
+		this.instances.onChange((view) -> this.traffic.onTargets(view.targets()));
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.appender, this.peers, this.config, this.fleet);
 		this.components.all().forEach((component) -> component.rings().forEach(meters::bind));
@@ -258,15 +259,15 @@
 	public void leave() {
 		Events.log(EventId.STOPPING);
 		this.leaving = true;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		final long leaveStartedAtNanos = System.nanoTime();
 		final long endpointTtlNanos = Duration.ofSeconds(this.settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS))
 			.toNanos();
 		while (System.nanoTime() - leaveStartedAtNanos < endpointTtlNanos) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 		}
-		this.traffic.leave();
-		while (this.traffic.held() > 0 && System.nanoTime() - leaveStartedAtNanos < MAX_DRAIN_NANOS) {
+		this.traffic.stopAdmission();
+		while (this.traffic.activeRequestCount() > 0 && System.nanoTime() - leaveStartedAtNanos < MAX_DRAIN_NANOS) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 		}
 		stop();
@@ -310,12 +311,12 @@
 			.sum();
 		// Relative to this daemon's equal share of all slots; above 1 requests queue
 		// here.
-		return this.traffic.held() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
+		return this.traffic.activeRequestCount() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
 	}
 
 	private int daemonCount() {
 		// Must not call daemons(), which calls status() of this daemon and would recurse.
-		return this.peers.others().size() + 1;
+		return this.peers.livePeers().size() + 1;
 	}
 
 	@Override
@@ -357,7 +358,7 @@
 
 	@Override
 	public List<PeerStatus> daemons() {
-		return this.peers.daemons();
+		return this.peers.liveDaemons();
 	}
 
 	@Override
@@ -367,7 +368,7 @@
 		}
 		final Map<String, Integer> replicas = new HashMap<>();
 		this.instances.view().targets().forEach((target) -> replicas.merge(target.name(), 1, Integer::sum));
-		return Optional.of(this.recorder.lines(this.settings.text(Setting.DAEMON_ID), manifest(), replicas));
+		return Optional.of(this.recorder.toJsonLines(this.settings.text(Setting.DAEMON_ID), manifest(), replicas));
 	}
 
 	@Override
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceSignalDispatcher.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceSignalDispatcher.java
@@ -14,12 +14,12 @@
 
 	@Override
 	public void onBackoff(String instanceId, long forMillis) {
-		this.traffic.backoffHeard(instanceId, forMillis);
+		this.traffic.onBackoff(instanceId, forMillis);
 	}
 
 	@Override
 	public void onLeaving(String instanceId) {
-		this.traffic.leavingHeard(instanceId);
+		this.traffic.onLeaving(instanceId);
 		this.replicas.onInstanceLeaving(instanceId);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -11,11 +11,11 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.endpoints.EndpointSelector;
-import org.pistachioline.core.endpoints.WarmUpRule;
+import org.pistachioline.core.endpoints.WarmUpPolicy;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.peer.PeerStatus;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.replica.PlannerCandidates;
 import org.pistachioline.core.replica.ServingInstance;
 import org.pistachioline.core.route.RouteTable;
@@ -32,9 +32,9 @@
 import org.pistachioline.daemon.peer.PeerTransport;
 import org.pistachioline.daemon.relay.Relay;
 import org.pistachioline.daemon.replica.ReplicaDuty;
-import org.pistachioline.daemon.traffic.CrashWatch;
+import org.pistachioline.daemon.traffic.CrashMonitor;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
 import org.pistachioline.daemon.traffic.NoClaims;
-import org.pistachioline.daemon.traffic.ShareKeeper;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
@@ -79,7 +79,7 @@
 
 	private final PeerDuty peers;
 
-	private final ShareKeeper limitShares;
+	private final LimitShareUpdater limitShares;
 
 	private final TrafficDuty traffic;
 
@@ -117,18 +117,19 @@
 		this.peers = new PeerDuty(system,
 				(receiver) -> new PeerTransport(settings.peerAddress(), null, MAX_PEER_CONNECTIONS, receiver),
 				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_INTERVAL_MILLIS);
-		this.limitShares = new ShareKeeper(settings.daemonId(), this.peers::daemonIds, HEARTBEAT_INTERVAL_MILLIS);
+		this.limitShares = new LimitShareUpdater(settings.daemonId(), this.peers::activeDaemonIds,
+				HEARTBEAT_INTERVAL_MILLIS);
 		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.limitShares,
 				(suspect, nowMillis) -> {
 					// Crash reports are exchanged between daemons by gossip instead.
 				}, new TraceRecorder(false));
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
-				this.traffic::targets, this::isBeforeFirstTraffic);
+				this.traffic::onTargets, this::isBeforeFirstTraffic);
 		this.listing = new ListingDuty(system, settings.daemonId(), settings.maxListAgeMillis(), ports.instances(),
-				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::daemonIds, this.peers::send,
+				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::activeDaemonIds, this.peers::send,
 				this::onInstanceList);
 		final InstanceSignalDispatcher signals = new InstanceSignalDispatcher(this.traffic, this.replicas);
-		ports.orders().onAnswers(signals);
+		ports.orders().setInstanceListener(signals);
 		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.routeTable, this.traffic,
 				this.replicas::onLoadReport, signals, () -> this.leaving);
 		this.components.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing,
@@ -139,27 +140,28 @@
 	private TrafficPolicies policies() {
 		final long seed = this.incarnation ^ ((long) this.settings.daemonId().hashCode() << Integer.SIZE);
 		return RoutingPolicies.create(this.settings.availabilityZone(), seed, this.settings.retryBudget(),
-				this::daemonCount, new SharedDeaths());
+				this::daemonCount, new GossipQuarantine());
 	}
 
 	private void registerListeners() {
-		this.ports.routes().onRoutes((routes) -> {
+		this.ports.routes().setRouteListener((routes) -> {
 			this.routeTable = routes;
 			this.replicas.configure(routes);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", routes.version());
 		});
-		this.ports.routes().followOthers(() -> this.peers.others().size() + 1, this.peers::newestConfigVersion);
-		this.ports.lease().onlyIf(this::isPlannerCandidate);
-		this.peers.onListingFrame(this.listing::onFrame);
-		this.traffic.onStalled((targetId) -> {
+		this.ports.routes().setFleetView(() -> this.peers.livePeers().size() + 1, this.peers::newestConfigVersion);
+		this.ports.lease().setCandidacy(this::isPlannerCandidate);
+		this.peers.setListingReceiver(this.listing::onFrame);
+		this.traffic.setStallListener((targetId) -> {
 			this.replicas.onTargetStalled(targetId);
-			this.peers.tellStalled(targetId);
+			this.peers.broadcastStall(targetId);
 		});
-		this.peers.onLimits(this.traffic::statedLimits, this.traffic::limitsTold);
-		this.peers.onStalled(this.replicas::onTargetStalled);
-		final CrashWatch crashMonitor = this.traffic.crashes();
-		this.peers.suspects().bind(crashMonitor::sample, crashMonitor::known, crashMonitor::onTold);
-		crashMonitor.onNews(this.peers::tellSuspects);
+		this.peers.setLimitExchange(this.traffic::latestLimits, this.traffic::onPeerLimits);
+		this.peers.setStallListener(this.replicas::onTargetStalled);
+		final CrashMonitor crashMonitor = this.traffic.crashMonitor();
+		this.peers.suspectExchange()
+			.bind(crashMonitor::gossipSample, crashMonitor::knownSuspects, crashMonitor::onPeerReports);
+		crashMonitor.setBroadcaster(this.peers::broadcastSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
 		this.components.all().forEach((component) -> component.rings().forEach(meters::bind));
@@ -175,7 +177,7 @@
 	// it waits until it has had time to discover them.
 	private boolean isPlannerCandidate() {
 		return System.nanoTime() - this.startedAtNanos >= PEER_DISCOVERY_NANOS
-				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.daemonIds());
+				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.activeDaemonIds());
 	}
 
 	private void onInstanceList(List<ServingInstance> instances) {
@@ -186,12 +188,12 @@
 	// Daemons share one retry budget. A daemon that has just started knows few peers, so
 	// the largest number it has seen is a better estimate of how many share it.
 	private int daemonCount() {
-		this.maxDaemonCount = Math.max(this.maxDaemonCount, this.peers.others().size() + 1);
+		this.maxDaemonCount = Math.max(this.maxDaemonCount, this.peers.livePeers().size() + 1);
 		return this.maxDaemonCount;
 	}
 
 	private boolean isBeforeFirstTraffic() {
-		return this.settings.firstStart() && this.relay.arrived() == 0
+		return this.settings.firstStart() && this.relay.receivedRequestCount() == 0
 				&& System.nanoTime() - this.startedAtNanos < MAX_FIRST_START_NANOS;
 	}
 
@@ -212,19 +214,19 @@
 	 */
 	public void leave() {
 		final long leaveStartedAtNanos = System.nanoTime();
-		Events.log(EventId.STOPPING, "held", this.traffic.held());
+		Events.log(EventId.STOPPING, "held", this.traffic.activeRequestCount());
 		this.leaving = true;
 		this.ports.lease().release();
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		final long maxWaitNanos = TimeUnit.MILLISECONDS
 			.toNanos(Math.max(0, this.settings.graceMillis() - STOP_MARGIN_MILLIS));
 		final long lingerNanos = Math.min(maxWaitNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
 		long waitedNanos = 0;
-		while (waitedNanos < lingerNanos || (this.traffic.held() > 0 && waitedNanos < maxWaitNanos)) {
+		while (waitedNanos < lingerNanos || (this.traffic.activeRequestCount() > 0 && waitedNanos < maxWaitNanos)) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 			waitedNanos = System.nanoTime() - leaveStartedAtNanos;
 		}
-		Events.log(EventId.STOPPED, "held", this.traffic.held(), "waited_millis",
+		Events.log(EventId.STOPPED, "held", this.traffic.activeRequestCount(), "waited_millis",
 				TimeUnit.NANOSECONDS.toMillis(waitedNanos));
 	}
 
@@ -241,7 +243,7 @@
 	 * @return whether traffic can be deferred
 	 */
 	public boolean canDeferTraffic() {
-		return WarmUpRule.mayHoldBack(status(), this.peers.others());
+		return WarmUpPolicy.shouldWarmUp(status(), this.peers.livePeers());
 	}
 
 	/**
@@ -250,7 +252,7 @@
 	 */
 	public void deferTraffic() {
 		this.acceptingTraffic = false;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 	}
 
 	/**
@@ -258,7 +260,7 @@
 	 */
 	public void acceptTraffic() {
 		this.acceptingTraffic = true;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		Events.log(EventId.TRAFFIC_ACCEPTED, "start_millis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.startedAtNanos));
 	}
@@ -267,7 +269,8 @@
 		return new PeerStatus(this.settings.daemonId(), this.settings.peerAddress(), this.settings.callerAddress(),
 				this.settings.adminAddress(), this.settings.availabilityZone(), this.incarnation,
 				this.heartbeatSequence.incrementAndGet(), configVersion(), 0, 0,
-				this.acceptingTraffic && notReadyReason().isEmpty(), this.leaving, this.traffic.held(), 0);
+				this.acceptingTraffic && notReadyReason().isEmpty(), this.leaving, this.traffic.activeRequestCount(),
+				0);
 	}
 
 	/**
@@ -277,7 +280,7 @@
 	 */
 	public List<String> endpoints(String availabilityZone) {
 		final List<String> chosen = EndpointSelector
-			.choose(daemons(), availabilityZone, this.lookupCount.getAndIncrement())
+			.select(daemons(), availabilityZone, this.lookupCount.getAndIncrement())
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
@@ -348,7 +351,7 @@
 
 	@Override
 	public List<PeerStatus> daemons() {
-		return this.peers.daemons();
+		return this.peers.liveDaemons();
 	}
 
 	@Override
@@ -357,13 +360,14 @@
 		dump.put("daemon", status());
 		dump.put("not_ready_reason", notReadyReason().orElse(""));
 		dump.put("config", Map.of("version", configVersion()));
-		dump.put("requests", Map.of("held", this.traffic.held(), "queued", this.traffic.queued()));
+		dump.put("requests",
+				Map.of("held", this.traffic.activeRequestCount(), "queued", this.traffic.queuedRequestCount()));
 		dump.put("listing",
 				Map.of("age_millis", this.listing.ageMillis(), "reads_for_others", this.listing.readsForOthers()));
 		dump.put("serving_targets", this.replicas.servingTargetCount());
-		dump.put("limited_targets", this.traffic.limits());
-		dump.put("backoff_targets", this.traffic.backoffs());
-		dump.put("crash_suspects", this.traffic.crashes().reports());
+		dump.put("limited_targets", this.traffic.limitReports());
+		dump.put("backoff_targets", this.traffic.backoffReports());
+		dump.put("crash_suspects", this.traffic.crashMonitor().reports());
 		dump.put("planned_groups", this.replicas.plannedGroups());
 		dump.put("peers", daemons());
 		return dump;
