--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -17,7 +17,7 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Binds the meters of a daemon's parts.
+ * Registers the meters of a daemon's components with its {@link Metrics}.
  */
 final class DaemonMeters {
 
@@ -87,10 +87,11 @@
 		}
 	}
 
-	private void count(String way, String name, PeerFrame.BodyCase kind, PeerMeter meter) {
-		this.metrics.counter("pistachioline.peer.bytes." + way, "Bytes of frames " + way + ", without TCP and TLS",
-				name, () -> meter.byteCount(kind));
-		this.metrics.counter("pistachioline.peer.frames." + way, "Frames " + way, name, () -> meter.frameCount(kind));
+	private void count(String direction, String name, PeerFrame.BodyCase kind, PeerMeter meter) {
+		this.metrics.counter("pistachioline.peer.bytes." + direction,
+				"Bytes of frames " + direction + ", without TCP and TLS", name, () -> meter.byteCount(kind));
+		this.metrics.counter("pistachioline.peer.frames." + direction, "Frames " + direction, name,
+				() -> meter.frameCount(kind));
 	}
 
 	void bind(Ring<?> ring) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -39,23 +39,24 @@
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
- * A daemon on a platform that keeps configuration, instances and leases: it relays
- * requests by routes and keeps instances in groups.
+ * Daemon on a platform that provides the configuration, the instance list and the
+ * planner's lease. It relays requests by a route table and organizes instances in groups.
+ * As {@link Daemon}, it starts its components in order and stops them in reverse order.
  */
 public final class RoutingDaemon implements DaemonView {
 
-	/** Word of a peer's leaving or death must be round before callers ask again. */
+	/** Peers must learn that a daemon left or died before callers refresh endpoints. */
 	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
 	private static final int MAX_PEER_CONNECTIONS = 256;
 
-	/** What is left of the time to stop when the last requests are given up. */
+	/** Part of the grace time that remains when the last requests are abandoned. */
 	private static final long STOP_MARGIN_MILLIS = 700;
 
-	/** Callers keep an answer of where to connect up to three times its one second. */
+	/** Callers cache an endpoint list for up to three times its TTL of one second. */
 	private static final long LINGER_MILLIS = 3_500;
 
-	/** Some heartbeats, and the time to connect. */
+	/** Some heartbeat intervals and the time to connect. */
 	private static final long PEER_DISCOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
 	private static final long DRAIN_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
@@ -94,7 +95,7 @@
 
 	private volatile RouteTable routeTable = RouteTable.UNKNOWN;
 
-	private volatile boolean listed;
+	private volatile boolean instanceListKnown;
 
 	private volatile boolean leaving;
 
@@ -103,10 +104,10 @@
 	private volatile int maxDaemonCount = 1;
 
 	/**
-	 * Wires a daemon.
+	 * Creates a daemon without starting it.
 	 * @param system the process's actor system
-	 * @param settings its settings
-	 * @param ports the platform
+	 * @param settings the daemon's settings
+	 * @param ports the ports to the platform
 	 */
 	public RoutingDaemon(ActorSystem<?> system, RoutingSettings settings, RoutingPorts ports) {
 		this.system = system;
@@ -120,17 +121,17 @@
 				HEARTBEAT_INTERVAL_MILLIS);
 		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.limitShares,
 				(suspect, nowMillis) -> {
-					// Daemons tell each other directly of the targets that died.
+					// Crash reports are exchanged between daemons by gossip instead.
 				}, new TraceRecorder(false));
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
 				this.traffic::onTargets, this::isBeforeFirstTraffic);
 		this.listing = new ListingDuty(system, settings.daemonId(), settings.maxListAgeMillis(), ports.instances(),
 				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::activeDaemonIds, this.peers::send,
-				this::listed);
-		final InstanceSignalDispatcher news = new InstanceSignalDispatcher(this.traffic, this.replicas);
-		ports.orders().setInstanceListener(news);
+				this::onInstanceList);
+		final InstanceSignalDispatcher signals = new InstanceSignalDispatcher(this.traffic, this.replicas);
+		ports.orders().setInstanceListener(signals);
 		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.routeTable, this.traffic,
-				this.replicas::onLoadReport, news, () -> this.leaving);
+				this.replicas::onLoadReport, signals, () -> this.leaving);
 		this.components.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing,
 				ports.lease(), new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
 		registerListeners();
@@ -143,10 +144,10 @@
 	}
 
 	private void registerListeners() {
-		this.ports.routes().setRouteListener((next) -> {
-			this.routeTable = next;
-			this.replicas.configure(next);
-			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
+		this.ports.routes().setRouteListener((routes) -> {
+			this.routeTable = routes;
+			this.replicas.configure(routes);
+			Events.log(EventId.CONFIG_IN_FORCE, "version", routes.version());
 		});
 		this.ports.routes().setFleetView(() -> this.peers.livePeers().size() + 1, this.peers::newestConfigVersion);
 		this.ports.lease().setCandidacy(this::isPlannerCandidate);
@@ -157,12 +158,13 @@
 		});
 		this.peers.setLimitExchange(this.traffic::latestLimits, this.traffic::onPeerLimits);
 		this.peers.setStallListener(this.replicas::onTargetStalled);
-		final CrashMonitor crashes = this.traffic.crashMonitor();
-		this.peers.suspectExchange().bind(crashes::gossipSample, crashes::knownSuspects, crashes::onPeerReports);
-		crashes.setBroadcaster(this.peers::broadcastSuspects);
+		final CrashMonitor crashMonitor = this.traffic.crashMonitor();
+		this.peers.suspectExchange()
+			.bind(crashMonitor::gossipSample, crashMonitor::knownSuspects, crashMonitor::onPeerReports);
+		crashMonitor.setBroadcaster(this.peers::broadcastSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
-		this.components.all().forEach((part) -> part.rings().forEach(meters::bind));
+		this.components.all().forEach((component) -> component.rings().forEach(meters::bind));
 		this.metrics.gauge("pistachioline.config.version", "Version of the configuration in force",
 				this::configVersion);
 		this.metrics.gauge("pistachioline.listing.age", "Time since the platform was asked for the known list",
@@ -171,20 +173,20 @@
 				() -> this.listing.readsForOthers() ? 1 : 0);
 	}
 
-	// A daemon that has just started knows of no other, and would take itself for the
-	// first.
+	// A daemon that has just started knows no peers and would always include itself, so
+	// it waits until it has had time to discover them.
 	private boolean isPlannerCandidate() {
 		return System.nanoTime() - this.startedAtNanos >= PEER_DISCOVERY_NANOS
 				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.activeDaemonIds());
 	}
 
-	private void listed(List<ServingInstance> instances) {
-		this.listed = true;
+	private void onInstanceList(List<ServingInstance> instances) {
+		this.instanceListKnown = true;
 		this.replicas.updateInstances(instances);
 	}
 
-	// A daemon that has just started counts few others; the most it has ever seen is a
-	// better guess of how many spend from the same budget.
+	// Daemons share one retry budget. A daemon that has just started knows few peers, so
+	// the largest number it has seen is a better estimate of how many share it.
 	private int daemonCount() {
 		this.maxDaemonCount = Math.max(this.maxDaemonCount, this.peers.livePeers().size() + 1);
 		return this.maxDaemonCount;
@@ -196,7 +198,7 @@
 	}
 
 	/**
-	 * Starts all parts in order.
+	 * Starts all components in order.
 	 */
 	public void start() {
 		this.components.start();
@@ -206,29 +208,30 @@
 	}
 
 	/**
-	 * Leaves: callers are sent elsewhere at once; whoever still comes is served until the
-	 * requests are done or the time to stop is nearly over.
+	 * Drains the daemon. It is removed from the endpoints at once, but serves late
+	 * callers until their cached endpoints have expired and its active requests have
+	 * completed, or until the grace time is nearly over. Its components keep running.
 	 */
 	public void leave() {
-		final long begunAtNanos = System.nanoTime();
+		final long leaveStartedAtNanos = System.nanoTime();
 		Events.log(EventId.STOPPING, "held", this.traffic.activeRequestCount());
 		this.leaving = true;
 		this.ports.lease().release();
 		this.peers.sendHeartbeat();
-		final long mostNanos = TimeUnit.MILLISECONDS
+		final long maxWaitNanos = TimeUnit.MILLISECONDS
 			.toNanos(Math.max(0, this.settings.graceMillis() - STOP_MARGIN_MILLIS));
-		final long lingerNanos = Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
+		final long lingerNanos = Math.min(maxWaitNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
 		long waitedNanos = 0;
-		while (waitedNanos < lingerNanos || (this.traffic.activeRequestCount() > 0 && waitedNanos < mostNanos)) {
+		while (waitedNanos < lingerNanos || (this.traffic.activeRequestCount() > 0 && waitedNanos < maxWaitNanos)) {
 			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
-			waitedNanos = System.nanoTime() - begunAtNanos;
+			waitedNanos = System.nanoTime() - leaveStartedAtNanos;
 		}
 		Events.log(EventId.STOPPED, "held", this.traffic.activeRequestCount(), "waited_millis",
 				TimeUnit.NANOSECONDS.toMillis(waitedNanos));
 	}
 
 	/**
-	 * Stops all started parts in reverse order.
+	 * Stops all started components in reverse order, without draining.
 	 */
 	public void stop() {
 		this.components.stop();
@@ -236,17 +239,16 @@
 	}
 
 	/**
-	 * Returns whether other daemons can serve this one's callers while it runs itself
-	 * warm.
-	 * @return whether they can
+	 * Returns whether other daemons can serve this one's callers during its warm-up.
+	 * @return whether traffic can be deferred
 	 */
 	public boolean canDeferTraffic() {
 		return WarmUpPolicy.shouldWarmUp(status(), this.peers.livePeers());
 	}
 
 	/**
-	 * Keeps callers away until they are let in again; those who come all the same are
-	 * served.
+	 * Removes the daemon from the endpoints until {@link #acceptTraffic()} is called.
+	 * Callers that connect regardless are served.
 	 */
 	public void deferTraffic() {
 		this.acceptingTraffic = false;
@@ -254,7 +256,7 @@
 	}
 
 	/**
-	 * Lets callers be sent here.
+	 * Offers the daemon to callers as an endpoint, once it is ready.
 	 */
 	public void acceptTraffic() {
 		this.acceptingTraffic = true;
@@ -272,9 +274,9 @@
 	}
 
 	/**
-	 * Chooses the addresses that a caller is told to use.
+	 * Returns the endpoints that a caller should use.
 	 * @param availabilityZone the caller's availability zone; empty where it is not known
-	 * @return the addresses, the best first
+	 * @return the daemons' caller addresses, in order of preference
 	 */
 	public List<String> endpoints(String availabilityZone) {
 		final List<String> chosen = EndpointSelector
@@ -282,12 +284,12 @@
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
-		// A daemon that knows of no other serves callers, cold or not.
+		// Without live peers a daemon offers itself even before its warm-up.
 		return (chosen.isEmpty() && notReadyReason().isEmpty()) ? List.of(this.settings.callerAddress()) : chosen;
 	}
 
 	/**
-	 * Returns where callers connect.
+	 * Returns the address on which the daemon listens for callers.
 	 * @return the address, as host and port; empty until it listens
 	 */
 	public String callerAddress() {
@@ -295,7 +297,7 @@
 	}
 
 	/**
-	 * Returns where other daemons connect.
+	 * Returns the address on which the daemon listens for its peers.
 	 * @return the address, as host and port
 	 */
 	public String peerAddress() {
@@ -303,7 +305,7 @@
 	}
 
 	/**
-	 * Returns how many targets take requests.
+	 * Returns the number of targets that accept requests.
 	 * @return the number of targets
 	 */
 	public int servingTargets() {
@@ -311,8 +313,8 @@
 	}
 
 	/**
-	 * Returns the meters, for what the platform adds to them.
-	 * @return the meters
+	 * Returns the daemon's metrics, to which the platform adds its own.
+	 * @return the metrics
 	 */
 	public Metrics meters() {
 		return this.metrics;
@@ -336,7 +338,7 @@
 		if (!this.routeTable.isKnown()) {
 			return Optional.of("no configuration is known");
 		}
-		if (!this.listed) {
+		if (!this.instanceListKnown) {
 			return Optional.of("the instance list has not been read");
 		}
 		return this.leaving ? Optional.of("the daemon is leaving") : Optional.empty();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/ProcessMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/ProcessMeters.java
@@ -10,7 +10,7 @@
 import org.pistachioline.adapters.http.CallMeter;
 
 /**
- * Meters of the process itself: memory, processor time and control traffic.
+ * Registers the meters of the process: memory, processor time and HTTP calls.
  */
 final class ProcessMeters {
 
