--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/ConfigFreshness.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/ConfigFreshness.java
@@ -48,7 +48,7 @@
 		final long ownAgeMillis = logAgeMillis();
 		// Called for each request, so the peers' statuses are read only where they can
 		// change the result.
-		return this.bound.isPast(ownAgeMillis)
+		return this.bound.isExceededBy(ownAgeMillis)
 				? this.bound.ageMillis(ownAgeMillis, this.config.get().nextOffset(), this.peers.get()) : ownAgeMillis;
 	}
 
@@ -59,7 +59,7 @@
 	 */
 	boolean isStale() {
 		final long ageMillis = ageMillis();
-		final boolean now = this.bound.isPast(ageMillis);
+		final boolean now = this.bound.isExceededBy(ageMillis);
 		if (now != this.stale.getAndSet(now)) {
 			Events.log(now ? EventId.CONFIG_STALE : EventId.CONFIG_FRESH, "version",
 					this.config.get().state().version(), "age_millis", ageMillis);
