--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
@@ -88,7 +88,7 @@
 	private static void explainFree(PlannerInput input, PlanDraft draft) {
 		for (final Instance instance : input.instances()) {
 			final boolean free = input.mine(instance.fabricDomain()).isPresent()
-					&& !input.fleet().owners().containsKey(instance.id()) && !draft.isTaken(instance.id());
+					&& !input.fleet().groupIdsByInstance().containsKey(instance.id()) && !draft.isTaken(instance.id());
 			if (free) {
 				draft.explainFree(instance.id(), reasonOf(input, draft, instance));
 			}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
@@ -72,7 +72,7 @@
 			}
 		}
 		for (final Instance instance : input.instances()) {
-			final boolean free = !input.fleet().owners().containsKey(instance.id());
+			final boolean free = !input.fleet().groupIdsByInstance().containsKey(instance.id());
 			if (free && mayOrder(input, instance.fabricDomain(), instance.pool())) {
 				unload(input, instance, commands);
 			}
@@ -116,7 +116,7 @@
 				this.claims.put(domain, new Claimed(planner.epoch(), input.nowNanos()));
 			}
 		});
-		final Set<String> listed = new HashSet<>(input.fleet().owners().keySet());
+		final Set<String> listed = new HashSet<>(input.fleet().groupIdsByInstance().keySet());
 		input.instances().forEach((instance) -> listed.add(instance.id()));
 		this.sentAtNanos.keySet().retainAll(listed);
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/planner/OrderDeciderTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/planner/OrderDeciderTests.java
@@ -26,7 +26,7 @@
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.record.PlannerClaim;
 import org.pistachioline.core.record.RecordBody;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.FleetReducer;
 import org.pistachioline.core.state.FleetState;
 
@@ -59,7 +59,7 @@
 	}
 
 	private void append(String writer, RecordBody body) {
-		final Applied<FleetState> applied = this.reducer.apply(this.state, this.offset,
+		final ApplyResult<FleetState> applied = this.reducer.apply(this.state, this.offset,
 				new LogRecord(writer, this.offset + 1, 1, body));
 		assertThat(applied.isAccepted()).isTrue();
 		this.state = applied.state();
@@ -96,7 +96,7 @@
 	private List<EngineCommand> oldOrdersAfterAChange() {
 		this.instances
 			.forEach((instance) -> this.engines.put(instance.id(), new FakeEngine(instance.id(), this.checks)));
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		decide(this.old, this.state, 0, 0);
 		final List<EngineCommand> late = decide(this.old, this.state, 10 * SECOND, 10 * SECOND);
@@ -138,7 +138,7 @@
 	// what it knew, however sure it is of being the planner.
 	@Test
 	void aWokenPlannerWithAnOldViewGivesNoNewOrder() {
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		final FleetState before = this.state;
 		decide(this.old, before, 0, 0);
@@ -153,7 +153,7 @@
 	// Were the successor's first order sent at once, the old one could come after it.
 	@Test
 	void aSuccessorWaitsForTheLastOrdersToIgnoringEnginesAndNotToCheckingOnes() {
-		append("new#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("new#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("new#1", formation("first", 0));
 		assertThat(decide(this.successor, this.state, 0, 0)).isEmpty();
 		assertThat(this.successor.handingOver(SECOND)).containsExactly("rack");
@@ -169,7 +169,7 @@
 	void anInstanceThatHoldsAGroupWhichIsNoMoreIsToldToUnload() {
 		this.checks = true;
 		this.engines.put("i0", new FakeEngine("i0", true));
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		deliver(decide(this.old, this.state, 0, 0).subList(0, 1));
 		append("old#1", new GroupDissolution("first", 1, 0, "test"));
@@ -180,7 +180,7 @@
 	@Test
 	void anOrderIsNotRepeatedBeforeItHadTimeToWork() {
 		this.checks = true;
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		final List<Integer> sent = new ArrayList<>();
 		for (int tick = 0; tick < 8; tick++) {
