--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/ApplyResult.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/ApplyResult.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * The state after a record, and the verdict on the record.
+ * The result of applying a record: the new state, and whether the record was accepted.
  *
  * @param <S> the type of state
  * @param state the state after the record
- * @param rejection why the record changed nothing; empty where it was accepted
+ * @param rejection why the record was rejected; empty if it was accepted
  */
 public record ApplyResult<S>(S state, Optional<RejectReason> rejection) {
 
 	/**
-	 * Accepts a record.
+	 * Creates the result of an accepted record.
 	 * @param <S> the type of state
 	 * @param state the state after the record
 	 * @return the result
@@ -22,10 +22,10 @@
 	}
 
 	/**
-	 * Rejects a record.
+	 * Creates the result of a rejected record.
 	 * @param <S> the type of state
-	 * @param state the state, with at most the writer's mark moved
-	 * @param reason why
+	 * @param state the state, unchanged except for the writer's mark and expired entries
+	 * @param reason why the record was rejected
 	 * @return the result
 	 */
 	public static <S> ApplyResult<S> rejected(S state, RejectReason reason) {
@@ -34,7 +34,7 @@
 
 	/**
 	 * Returns whether the record was accepted.
-	 * @return whether it was
+	 * @return whether it was accepted
 	 */
 	public boolean isAccepted() {
 		return this.rejection.isEmpty();
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/ConfigReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/ConfigReducer.java
@@ -7,11 +7,13 @@
 import org.pistachioline.core.record.UnknownBody;
 
 /**
- * Folds manifests: one is accepted only on the version that its author saw.
+ * Applies manifest proposals to the configuration with optimistic concurrency control.
  * <p>
- * Two operators who race both name the same base, so the first in log order wins and the
- * other is told by which version it was beaten. Nothing but a newer proposal on the
- * current version can change what is in force, so a configuration never reverts.
+ * A proposal is accepted only if its base version is the current version. If two
+ * operators publish concurrently on the same base, the first proposal in log order is
+ * accepted and the other is rejected with {@link RejectReason#STALE_BASE}. Only a
+ * proposal on the current version changes the configuration, so a delayed proposal never
+ * reverts it.
  */
 public final class ConfigReducer implements Reducer<ConfigState> {
 
@@ -25,16 +27,16 @@
 		if (state.writers().isDuplicate(record)) {
 			return ApplyResult.rejected(state, RejectReason.REPEATED);
 		}
-		final ConfigState marked = state.withWriters(state.writers().with(offset, record));
+		final ConfigState stateWithMark = state.withWriters(state.writers().with(offset, record));
 		if (record.body() instanceof ManifestProposal proposal) {
-			return applyProposal(marked, offset, record, proposal);
+			return applyProposal(stateWithMark, offset, record, proposal);
 		}
 		if (record.body() instanceof CheckpointPart) {
-			// It restates what the state says already; only its writer's mark moves.
-			return ApplyResult.accepted(marked);
+			// A checkpoint repeats the state; only the mark of its writer changes.
+			return ApplyResult.accepted(stateWithMark);
 		}
 		final boolean unknown = record.body() instanceof UnknownBody;
-		return ApplyResult.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
+		return ApplyResult.rejected(stateWithMark, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
 	}
 
 	private static ApplyResult<ConfigState> applyProposal(ConfigState state, long offset, LogRecord record,
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/FleetReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/FleetReducer.java
@@ -19,10 +19,12 @@
 import org.pistachioline.core.record.UnknownBody;
 
 /**
- * Folds planner epochs, groups and barred requests.
+ * Applies the records of the fleet stream: planner claims, replica groups and request
+ * quarantines.
  * <p>
- * It reads nothing but its own stream: a formation carries all that its check needs, so
- * that daemons which have read the configuration to different offsets still agree.
+ * The result depends on this stream only. A group formation carries all data that its
+ * validation needs, so daemons that have read the configuration stream up to different
+ * offsets still reach the same state.
  */
 public final class FleetReducer implements Reducer<FleetState> {
 
@@ -36,32 +38,32 @@
 		if (state.writers().isDuplicate(record)) {
 			return ApplyResult.rejected(state, RejectReason.REPEATED);
 		}
-		final FleetState marked = state.withWriters(state.writers().with(offset, record));
+		final FleetState stateWithMark = state.withWriters(state.writers().with(offset, record));
 		final RecordBody body = record.body();
 		if (body instanceof PlannerClaim claim) {
-			return claimPlanner(marked, offset, record.writer(), claim);
+			return claimPlanner(stateWithMark, offset, record.writer(), claim);
 		}
 		if (body instanceof GroupFormation formation) {
-			return formGroup(marked, offset, record.writer(), formation);
+			return formGroup(stateWithMark, offset, record.writer(), formation);
 		}
 		if (body instanceof GroupDissolution dissolution) {
-			return dissolveGroup(marked, record.writer(), dissolution);
+			return dissolveGroup(stateWithMark, record.writer(), dissolution);
 		}
 		if (body instanceof GroupDrain drain) {
-			return drainGroup(marked, record.writer(), drain);
+			return drainGroup(stateWithMark, record.writer(), drain);
 		}
 		if (body instanceof RequestQuarantine quarantine) {
-			return ApplyResult.accepted(QuarantineRules.applyQuarantine(marked, quarantine));
+			return ApplyResult.accepted(QuarantineRules.applyQuarantine(stateWithMark, quarantine));
 		}
 		if (body instanceof RequestSuspicion suspicion) {
-			return ApplyResult.accepted(QuarantineRules.applySuspicion(marked, suspicion));
+			return ApplyResult.accepted(QuarantineRules.applySuspicion(stateWithMark, suspicion));
 		}
 		if (body instanceof CheckpointPart) {
-			// It restates what the state says already; only its writer's mark moves.
-			return ApplyResult.accepted(marked);
+			// A checkpoint repeats the state; only the mark of its writer changes.
+			return ApplyResult.accepted(stateWithMark);
 		}
 		final boolean unknown = body instanceof UnknownBody;
-		return ApplyResult.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
+		return ApplyResult.rejected(stateWithMark, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
 	}
 
 	private static ApplyResult<FleetState> claimPlanner(FleetState state, long offset, String writer,
@@ -76,19 +78,20 @@
 
 	private static ApplyResult<FleetState> formGroup(FleetState state, long offset, String writer,
 			GroupFormation formation) {
-		final Optional<RejectReason> fault = rejectionOf(state, offset, writer, formation);
-		if (fault.isPresent()) {
-			return ApplyResult.rejected(state, fault.get());
+		final Optional<RejectReason> rejection = rejectionOf(state, offset, writer, formation);
+		if (rejection.isPresent()) {
+			return ApplyResult.rejected(state, rejection.get());
 		}
 		final GroupState group = new GroupState(formation.groupId(), formation.model(), offset, false, "",
 				formation.members(), formation.configVersion());
-		PMap<String, String> owners = state.groupIdsByInstance();
-		PMap<String, Long> epochs = state.lastEpochs();
+		PMap<String, String> groupIdsByInstance = state.groupIdsByInstance();
+		PMap<String, Long> lastEpochs = state.lastEpochs();
 		for (final Member member : formation.members()) {
-			owners = owners.plus(member.instanceId(), group.groupId());
-			epochs = epochs.plus(member.instanceId(), offset);
+			groupIdsByInstance = groupIdsByInstance.plus(member.instanceId(), group.groupId());
+			lastEpochs = lastEpochs.plus(member.instanceId(), offset);
 		}
-		return ApplyResult.accepted(state.withGroups(state.groups().plus(group.groupId(), group), owners, epochs));
+		return ApplyResult
+			.accepted(state.withGroups(state.groups().plus(group.groupId(), group), groupIdsByInstance, lastEpochs));
 	}
 
 	private static Optional<RejectReason> rejectionOf(FleetState state, long offset, String writer,
@@ -108,7 +111,9 @@
 			if (!member.fabricDomain().equals(domain) || !seen.add(member.instanceId())) {
 				return Optional.of(RejectReason.INVALID_MEMBERS);
 			}
-			// A second formation at the same offset would have the same fencing number.
+			// One log entry can hold several records. A second formation of an instance
+			// at the same offset would get the same fencing token, so it is rejected
+			// even if the first group was dissolved in between.
 			final long lastEpoch = state.lastEpochs().getOrDefault(member.instanceId(), -1L);
 			if (state.groupIdsByInstance().containsKey(member.instanceId()) || lastEpoch >= offset) {
 				return Optional.of(RejectReason.MEMBER_TAKEN);
@@ -126,12 +131,12 @@
 		if (!isPlanner(state, group.fabricDomain(), writer, dissolution.plannerEpoch())) {
 			return ApplyResult.rejected(state, RejectReason.STALE_PLANNER);
 		}
-		PMap<String, String> owners = state.groupIdsByInstance();
+		PMap<String, String> groupIdsByInstance = state.groupIdsByInstance();
 		for (final Member member : group.members()) {
-			owners = owners.minus(member.instanceId());
+			groupIdsByInstance = groupIdsByInstance.minus(member.instanceId());
 		}
 		return ApplyResult
-			.accepted(state.withGroups(state.groups().minus(group.groupId()), owners, state.lastEpochs()));
+			.accepted(state.withGroups(state.groups().minus(group.groupId()), groupIdsByInstance, state.lastEpochs()));
 	}
 
 	private static ApplyResult<FleetState> drainGroup(FleetState state, String writer, GroupDrain drain) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/FleetState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/FleetState.java
@@ -7,15 +7,17 @@
 import org.pistachioline.core.record.RequestSuspicion;
 
 /**
- * The agreed groups, planners and barred requests.
+ * The replica groups, planners and quarantined requests that result from applying all
+ * records of the fleet stream.
  *
- * @param planners who plans each fabric domain
- * @param groups the groups by id
- * @param groupIdsByInstance the group of each instance that is in one
- * @param lastEpochs the last group epoch of each instance that was in one
- * @param quarantines the barred requests by fingerprint
+ * @param planners the planner of each fabric domain
+ * @param groups the replica groups by id
+ * @param groupIdsByInstance the id of the group of each instance that is a member of one
+ * @param lastEpochs the epoch of the last group of each instance, also after the group
+ * was dissolved
+ * @param quarantines the quarantined requests by fingerprint
  * @param suspicions the suspected requests by fingerprint
- * @param writers the marks of the stream's writers
+ * @param writers the last record of each writer of the stream
  */
 public record FleetState(PMap<String, PlannerEpoch> planners, PMap<String, GroupState> groups,
 		PMap<String, String> groupIdsByInstance, PMap<String, Long> lastEpochs,
@@ -35,10 +37,10 @@
 				this.lastEpochs, this.quarantines, this.suspicions, this.writers);
 	}
 
-	FleetState withGroups(PMap<String, GroupState> newGroups, PMap<String, String> newOwners,
-			PMap<String, Long> newEpochs) {
-		return new FleetState(this.planners, newGroups, newOwners, newEpochs, this.quarantines, this.suspicions,
-				this.writers);
+	FleetState withGroups(PMap<String, GroupState> newGroups, PMap<String, String> newGroupIdsByInstance,
+			PMap<String, Long> newLastEpochs) {
+		return new FleetState(this.planners, newGroups, newGroupIdsByInstance, newLastEpochs, this.quarantines,
+				this.suspicions, this.writers);
 	}
 
 	FleetState withQuarantine(RequestQuarantine quarantine) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/GroupState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/GroupState.java
@@ -5,15 +5,16 @@
 import org.pistachioline.core.record.Member;
 
 /**
- * One replica group as agreed on the log.
+ * A replica group that was formed by an accepted record.
  *
  * @param groupId the group's id
- * @param model the model that it serves
- * @param epoch the offset of its accepted formation; the fencing number of its orders
- * @param draining whether it takes no new work
- * @param reason why it drains, for operators to read
- * @param members its members in rank order
- * @param configVersion the configuration that asked for it
+ * @param model the name of the model that the group serves
+ * @param epoch the offset of the accepted formation, used as the fencing token of orders
+ * to the members
+ * @param draining whether the group gets no new requests
+ * @param reason why the group is draining, for operators; empty if it is not
+ * @param members the members in rank order
+ * @param configVersion the version of the configuration that the formation is based on
  */
 public record GroupState(String groupId, String model, long epoch, boolean draining, String reason,
 		List<Member> members, long configVersion) {
@@ -23,23 +24,24 @@
 	}
 
 	/**
-	 * Returns the fabric domain of all members.
-	 * @return the fabric domain
+	 * Returns the fabric domain, which is the same for all members.
+	 * @return the name of the fabric domain
 	 */
 	public String fabricDomain() {
 		return this.members.get(0).fabricDomain();
 	}
 
 	/**
-	 * Returns how many accelerators the members hold.
+	 * Returns the number of accelerators of the group.
 	 * @return the sum over the members
 	 */
 	public int accelerators() {
 		return this.members.stream().mapToInt(Member::accelerators).sum();
 	}
 
-	GroupState asDraining(String why) {
-		return new GroupState(this.groupId, this.model, this.epoch, true, why, this.members, this.configVersion);
+	GroupState asDraining(String drainReason) {
+		return new GroupState(this.groupId, this.model, this.epoch, true, drainReason, this.members,
+				this.configVersion);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/PlannerEpoch.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/PlannerEpoch.java
@@ -1,10 +1,10 @@
 package org.pistachioline.core.state;
 
 /**
- * Who plans a fabric domain.
+ * The planner of a fabric domain, as set by the last accepted planner claim.
  *
- * @param writer the planning process with its incarnation
- * @param epoch the offset of its accepted claim
+ * @param writer the id of the planning process, which includes its incarnation
+ * @param epoch the offset of the accepted claim
  */
 public record PlannerEpoch(String writer, long epoch) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
@@ -11,24 +11,29 @@
 import org.pistachioline.core.record.RequestSuspicion;
 
 /**
- * Folds what daemons report of requests under which groups died.
+ * Applies reports of requests during which replica groups crashed, and quarantines.
  * <p>
- * Copies of one request may kill a group each at two daemons in the same moment, and
- * neither daemon sees more than one death. The log sees both: a second report with
- * another group, at nearly the same time, quarantines the request in log order and so on
- * all daemons alike. Later reports do not: in between the request may have been cleared
- * where it ran on, which is not on the log, and may only have run beside the culprit
- * again. What has expired by the time of a newer report is dropped, and both tables are
- * bounded, so that a storm of reports cannot grow the state; the cap on quarantines keeps
- * an outage of many groups from barring everybody's requests.
+ * Two daemons can run copies of the same request concurrently and lose one group each.
+ * Neither daemon sees more than one crash, but both reports are on the log. A second
+ * report that names another group and follows within {@value #CONCURRENT_REPORTS_MILLIS}
+ * ms therefore quarantines the request. As the decision is made in log order, all daemons
+ * reach the same result. Later reports do not quarantine: in the meantime a daemon may
+ * have cleared the request because it kept running, which is not recorded on the log, and
+ * it may only have run in the same batch as the request at fault again.
+ * <p>
+ * Entries that have expired by the time of a newer report are removed, and the numbers of
+ * suspicions and quarantines are limited, so a burst of reports cannot grow the state
+ * without bound. The limit on quarantines also keeps an outage of many groups from
+ * blocking the requests of all callers.
  */
 final class QuarantineRules {
 
 	private static final int MAX_SUSPICIONS = 1024;
 
 	/**
-	 * A suspect's second run waits as long, so that two deaths this close are two
-	 * copies'.
+	 * The greatest difference in time between two reports that still count as concurrent.
+	 * The retry of a suspected request is delayed by as much, so two crashes this close
+	 * in time come from two copies of the request and not from a retry.
 	 */
 	private static final long CONCURRENT_REPORTS_MILLIS = 300;
 
@@ -38,19 +43,20 @@
 	}
 
 	static FleetState applyQuarantine(FleetState state, RequestQuarantine quarantine) {
-		final FleetState current = withoutExpired(state, quarantine.expiresAtMillis() - LIFETIME_MILLIS);
-		final boolean full = current.quarantines().size() >= DeathCounter.MOST_QUARANTINES;
-		return full ? current : current.withQuarantine(quarantine);
+		final FleetState unexpired = withoutExpired(state, quarantine.expiresAtMillis() - LIFETIME_MILLIS);
+		final boolean full = unexpired.quarantines().size() >= DeathCounter.MOST_QUARANTINES;
+		return full ? unexpired : unexpired.withQuarantine(quarantine);
 	}
 
 	static FleetState applySuspicion(FleetState state, RequestSuspicion suspicion) {
-		final FleetState current = withoutExpired(state, suspicion.expiresAtMillis() - LIFETIME_MILLIS);
-		final RequestSuspicion known = current.suspicions().get(suspicion.fingerprint());
-		if (known != null && namesOtherGroup(known, suspicion) && isConcurrent(known, suspicion)) {
-			return applyQuarantine(current, new RequestQuarantine(suspicion.fingerprint(), suspicion.expiresAtMillis(),
-					"groups " + known.groupId() + " and " + suspicion.groupId() + " died under it"));
+		final FleetState unexpired = withoutExpired(state, suspicion.expiresAtMillis() - LIFETIME_MILLIS);
+		final RequestSuspicion earlier = unexpired.suspicions().get(suspicion.fingerprint());
+		if (earlier != null && namesOtherGroup(earlier, suspicion) && isConcurrent(earlier, suspicion)) {
+			return applyQuarantine(unexpired,
+					new RequestQuarantine(suspicion.fingerprint(), suspicion.expiresAtMillis(),
+							"groups " + earlier.groupId() + " and " + suspicion.groupId() + " died under it"));
 		}
-		return limitSuspicions(current.withSuspicion(suspicion));
+		return limitSuspicions(unexpired.withSuspicion(suspicion));
 	}
 
 	private static boolean namesOtherGroup(RequestSuspicion one, RequestSuspicion other) {
@@ -69,26 +75,27 @@
 
 	private static <V> PMap<String, V> unexpired(PMap<String, V> entries, ToLongFunction<V> expiresAtMillis,
 			long atMillis) {
-		PMap<String, V> left = entries;
+		PMap<String, V> remaining = entries;
 		for (final Map.Entry<String, V> entry : entries.entrySet()) {
 			if (expiresAtMillis.applyAsLong(entry.getValue()) <= atMillis) {
-				left = left.minus(entry.getKey());
+				remaining = remaining.minus(entry.getKey());
 			}
 		}
-		return left;
+		return remaining;
 	}
 
 	private static FleetState limitSuspicions(FleetState state) {
 		if (state.suspicions().size() <= MAX_SUSPICIONS) {
 			return state;
 		}
-		final RequestSuspicion first = state.suspicions()
+		final RequestSuspicion soonestToExpire = state.suspicions()
 			.values()
 			.stream()
 			.min(Comparator.comparingLong(RequestSuspicion::expiresAtMillis)
 				.thenComparing(RequestSuspicion::fingerprint))
 			.orElseThrow();
-		return state.withQuarantinesAndSuspicions(state.quarantines(), state.suspicions().minus(first.fingerprint()));
+		return state.withQuarantinesAndSuspicions(state.quarantines(),
+				state.suspicions().minus(soonestToExpire.fingerprint()));
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/RejectReason.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/RejectReason.java
@@ -1,47 +1,51 @@
 package org.pistachioline.core.state;
 
 /**
- * Why a record changed nothing.
+ * The reason why a reducer rejected a record.
  */
 public enum RejectReason {
 
-	/** The writer's sequence was seen before, or a later one was. */
+	/** A record of the writer with the same or a higher sequence number came before. */
 	REPEATED,
 
-	/** The body's kind is not known here. */
+	/** The kind of the body is not known to this version of the software. */
 	UNKNOWN_KIND,
 
 	/** The record belongs on another stream. */
 	WRONG_STREAM,
 
-	/** The manifest's base version is not the current one. */
+	/** The base version of the proposal is not the current version. */
 	STALE_BASE,
 
-	/** The manifest is not valid. */
+	/** The manifest fails validation. */
 	INVALID_MANIFEST,
 
-	/** The planner's epoch is not the current one. */
+	/** The planner epoch in the record, or its writer, is not the current one. */
 	STALE_PLANNER,
 
-	/** A member belongs to another group. */
+	/**
+	 * An instance is a member of another group, or was in one formed at the same offset.
+	 */
 	MEMBER_TAKEN,
 
-	/** The members are not of one fabric domain, or one stands twice. */
+	/**
+	 * There are no members, they are in different fabric domains, or one is listed twice.
+	 */
 	INVALID_MEMBERS,
 
-	/** A group of this id exists. */
+	/** A group with this id exists. */
 	GROUP_EXISTS,
 
-	/** There is no group of this id and epoch. */
+	/** No group with this id and epoch exists. */
 	UNKNOWN_GROUP,
 
-	/** The key was claimed before. */
+	/** The idempotency key is already claimed. */
 	KEY_TAKEN,
 
-	/** There is no such claim, or it is settled. */
+	/** No such claim exists, or its outcome is already stored. */
 	UNKNOWN_CLAIM,
 
-	/** The partition holds as many claims as it may. */
+	/** The partition has reached its maximum number of claims. */
 	CLAIMS_FULL
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/WriterMark.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/WriterMark.java
@@ -1,10 +1,10 @@
 package org.pistachioline.core.state;
 
 /**
- * The last record seen of one writer.
+ * The position of the last record that was read of a writer.
  *
- * @param sequence its sequence
- * @param offset its offset
+ * @param sequence the writer's sequence number of the record
+ * @param offset the offset of the record
  */
 public record WriterMark(long sequence, long offset) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The agreed state and the pure reducers that fold records into it.
+ * The replicated state of the configuration and fleet streams, and the deterministic
+ * reducers that compute it from their records.
  */
 package org.pistachioline.core.state;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/state/ConfigReducerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/state/ConfigReducerTests.java
@@ -17,8 +17,9 @@
 		return new LogRecord(writer, sequence, 1, new ManifestProposal(baseVersion, Manifest.EMPTY));
 	}
 
-	// Two operators publish on the same base at the same moment. Without the check on the
-	// base the later one would silently undo what the first one's users already rely on.
+	// Two operators publish concurrently on the same base version. Without the check
+	// of the base version the later manifest would silently revert changes of the
+	// first one that are already in use.
 	@Test
 	void ofTwoConcurrentProposalsTheFirstInLogOrderWinsAndTheOtherIsRejected() {
 		final ApplyResult<ConfigState> first = this.reducer.apply(ConfigState.EMPTY, 4, proposal("a", 1, 0));
@@ -29,25 +30,26 @@
 		assertThat(second.state().acceptedWriter()).isEqualTo("a");
 	}
 
-	// The answer to an append is lost, so it is sent again and lands twice. The operator
-	// would be told that he was beaten by himself.
+	// The response to an append is lost, so the append is retried and the proposal is
+	// stored twice. The operator must not be told that it conflicts with another
+	// proposal.
 	@Test
 	void aDuplicateRecordIsRejected() {
 		final ApplyResult<ConfigState> first = this.reducer.apply(ConfigState.EMPTY, 0, proposal("a", 1, 0));
-		final ApplyResult<ConfigState> again = this.reducer.apply(first.state(), 1, proposal("a", 1, 0));
-		assertThat(again.rejection()).contains(RejectReason.REPEATED);
-		assertThat(again.state()).isEqualTo(first.state());
+		final ApplyResult<ConfigState> duplicate = this.reducer.apply(first.state(), 1, proposal("a", 1, 0));
+		assertThat(duplicate.rejection()).contains(RejectReason.REPEATED);
+		assertThat(duplicate.state()).isEqualTo(first.state());
 	}
 
-	// During a rolling upgrade newer daemons write kinds of records that older ones do
-	// not
-	// know. An older one must neither stop nor change its state.
+	// During a rolling upgrade newer daemons append kinds of records that older
+	// daemons do not know. An older daemon must neither stop nor change its
+	// configuration.
 	@Test
 	void aRecordOfAnUnknownKindDoesNotChangeTheConfiguration() {
 		final LogRecord unknown = new LogRecord("a", 1, 2, new UnknownBody());
-		final ApplyResult<ConfigState> applied = this.reducer.apply(ConfigState.EMPTY, 0, unknown);
-		assertThat(applied.rejection()).contains(RejectReason.UNKNOWN_KIND);
-		assertThat(applied.state().version()).isZero();
+		final ApplyResult<ConfigState> result = this.reducer.apply(ConfigState.EMPTY, 0, unknown);
+		assertThat(result.rejection()).contains(RejectReason.UNKNOWN_KIND);
+		assertThat(result.state().version()).isZero();
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/state/FleetReducerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/state/FleetReducerTests.java
@@ -26,9 +26,9 @@
 		this.offset++;
 	}
 
-	// The answer to a formation's append is lost, its repeat lands, and the group is
-	// dissolved some minutes later. Then the first append arrives after all. Taken for
-	// new, it would form a group that nobody wants and hold its accelerators.
+	// The response to the append of a formation is lost, the retry is stored, and the
+	// group is dissolved later. Then the log stores the delayed first append. If it
+	// was applied, it would form an unwanted group that holds its accelerators.
 	@Test
 	void aDelayedDuplicateFormationOfADissolvedGroupIsRejected() {
 		final Member member = new Member("i-1", "domain", "10.0.0.1:80", "zone-a", 8);
@@ -41,18 +41,18 @@
 		assertThat(this.state.groupIdsByInstance()).isEmpty();
 	}
 
-	// A new incarnation of a daemon is another writer and starts its sequences afresh;
-	// its records must not pass for repeats.
+	// A new incarnation of a daemon is a new writer whose sequence numbers start again
+	// at 1. Its records must not be rejected as duplicates.
 	@Test
 	void recordsOfANewIncarnationAreNotDuplicates() {
 		apply(5, new PlannerClaim("domain", PlannerClaim.NO_EPOCH));
-		final ApplyResult<FleetState> next = this.reducer.apply(this.state, this.offset,
+		final ApplyResult<FleetState> result = this.reducer.apply(this.state, this.offset,
 				new LogRecord("planner#2", 1, 1, new PlannerClaim("domain", 0)));
-		assertThat(next.isAccepted()).isTrue();
+		assertThat(result.isAccepted()).isTrue();
 	}
 
-	// More writers than are remembered have come and gone. The one that has been silent
-	// the longest is forgotten, on all daemons the same one.
+	// There are more writers than the maximum that is kept. All daemons must evict the
+	// same writer, or their states would diverge.
 	@Test
 	void theLeastRecentlySeenWriterIsEvictedFirst() {
 		WriterMarks marks = WriterMarks.EMPTY;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/state/StalenessBoundTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/state/StalenessBoundTests.java
@@ -23,31 +23,31 @@
 		return this.bound.isExceededBy(this.bound.ageMillis(HOUR_MILLIS, 7, List.of(peers)));
 	}
 
-	// A partition leaves a daemon with callers but with neither the log nor a peer. A
-	// workspace that was revoked an hour ago would be served there for ever.
+	// A partition separates a daemon from the log and all peers, but not from its
+	// callers. Without the bound it would serve a revoked workspace indefinitely.
 	@Test
 	void aDaemonPartitionedFromLogAndPeersExceedsTheBound() {
 		assertThat(isStale()).isTrue();
 		assertThat(this.bound.isExceededBy(this.bound.ageMillis(899_999, 7, List.of()))).isFalse();
 	}
 
-	// Only the way to the log is cut. The daemon's callers would lose it for nothing, as
-	// a peer beside it sees that nothing newer was published.
+	// Only the connection to the log is lost, and a peer at the same offset knows that
+	// nothing newer was published. Rejecting requests would be needless downtime.
 	@Test
 	void aPeerAtTheSameOffsetThatReadsTheLogKeepsTheConfigurationFresh() {
 		assertThat(isStale(peer(7, 500))).isFalse();
 	}
 
-	// All daemons lost the log together. They must not keep each other fresh by word of
-	// mouth.
+	// All daemons lose the log at the same time. They must not extend the age of each
+	// other's configuration by gossip alone.
 	@Test
 	void peersThatHaveNotReadTheLogDoNotRefreshTheConfiguration() {
 		assertThat(isStale(peer(7, HOUR_MILLIS), peer(7, HOUR_MILLIS + 1))).isTrue();
 	}
 
-	// Daemons are replaced one after the other while the log is down. If each began with
-	// a
-	// fresh clock, a revoked workspace would be served for as long as that goes on.
+	// Daemons are restarted in turn while the log is down. If the age started at zero
+	// with each restart, a revoked workspace would be served for as long as restarts
+	// go on.
 	@Test
 	void aNewDaemonThatNeverReadTheLogTakesTheConfigurationAgeOfItsPeer() {
 		final long neverMillis = Long.MAX_VALUE / 1_000_000;
