--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/CheckpointPart.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/CheckpointPart.java
@@ -4,7 +4,8 @@
 import java.util.Objects;
 
 /**
- * One part of the folded state of a stream.
+ * One part of a checkpoint, which is the serialized state of a stream at an offset. The
+ * state is split because the log limits the size of an entry.
  */
 public final class CheckpointPart implements RecordBody {
 
@@ -18,10 +19,10 @@
 
 	/**
 	 * Creates a part.
-	 * @param throughOffset the last offset folded into the state
-	 * @param part the part's number, from 0
-	 * @param parts how many parts there are
-	 * @param stateBytes the part's bytes
+	 * @param throughOffset the last offset that the state includes
+	 * @param part the index of the part, from 0
+	 * @param parts the number of parts of the checkpoint
+	 * @param stateBytes the serialized state of this part; copied
 	 */
 	public CheckpointPart(long throughOffset, int part, int parts, byte[] stateBytes) {
 		this.throughOffset = throughOffset;
@@ -31,7 +32,7 @@
 	}
 
 	/**
-	 * Returns the last offset folded into the state.
+	 * Returns the last offset that the state includes.
 	 * @return the offset
 	 */
 	public long throughOffset() {
@@ -39,15 +40,15 @@
 	}
 
 	/**
-	 * Returns the part's number.
-	 * @return the number, from 0
+	 * Returns the index of the part.
+	 * @return the index, from 0
 	 */
 	public int part() {
 		return this.part;
 	}
 
 	/**
-	 * Returns how many parts there are.
+	 * Returns the number of parts of the checkpoint.
 	 * @return the number of parts
 	 */
 	public int parts() {
@@ -55,7 +56,7 @@
 	}
 
 	/**
-	 * Returns the part's bytes.
+	 * Returns the serialized state of this part.
 	 * @return a copy of the bytes
 	 */
 	public byte[] stateBytes() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/GroupDissolution.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/GroupDissolution.java
@@ -1,12 +1,12 @@
 package org.pistachioline.core.record;
 
 /**
- * Dissolves a replica group and frees its instances.
+ * Dissolves a replica group, so that its instances can join other groups.
  *
- * @param groupId the group
- * @param groupEpoch the group's epoch
- * @param plannerEpoch the writer's planner epoch
- * @param reason why, for operators to read
+ * @param groupId the id of the group
+ * @param groupEpoch the offset of the group's formation
+ * @param plannerEpoch the planner epoch of the writer, checked against the current one
+ * @param reason why the group is dissolved, for operators
  */
 public record GroupDissolution(String groupId, long groupEpoch, long plannerEpoch,
 		String reason) implements RecordBody {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/KeyClaim.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/KeyClaim.java
@@ -1,13 +1,15 @@
 package org.pistachioline.core.record;
 
 /**
- * Claims the right to run the one request with an idempotency key.
+ * Claims an idempotency key, which gives its writer the exclusive right to run the
+ * request.
  *
  * @param workspace the caller's workspace
- * @param key the idempotency key, hashed
- * @param requestDigest the request's digest, to tell a reused key
- * @param claimedAtMillis when it was claimed, by the wall clock
- * @param expiresAtMillis when the key expires, by the wall clock
+ * @param key the hash of the idempotency key
+ * @param requestDigest the digest of the request, which detects a key that is reused for
+ * another request
+ * @param claimedAtMillis the wall-clock time of the claim
+ * @param expiresAtMillis the wall-clock time at which the key expires
  */
 public record KeyClaim(String workspace, String key, String requestDigest, long claimedAtMillis,
 		long expiresAtMillis) implements RecordBody {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/PlannerClaim.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/PlannerClaim.java
@@ -1,14 +1,16 @@
 package org.pistachioline.core.record;
 
 /**
- * Takes over the planning of a fabric domain.
+ * Makes its writer the planner of a fabric domain. The claim is rejected if another claim
+ * was accepted since the epoch that it expects.
  *
  * @param fabricDomain the fabric domain
- * @param expectedEpoch the epoch that is replaced; {@link #NO_EPOCH} where there is none
+ * @param expectedEpoch the epoch of the planner that is replaced; {@link #NO_EPOCH} if
+ * the domain has no planner
  */
 public record PlannerClaim(String fabricDomain, long expectedEpoch) implements RecordBody {
 
-	/** Stands for the epoch of a fabric domain without a planner. */
+	/** The expected epoch for a fabric domain that has no planner. */
 	public static final long NO_EPOCH = -1;
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/RecordBody.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/RecordBody.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.record;
 
 /**
- * What a record proposes.
+ * The change that a record proposes.
  */
 public sealed interface RecordBody permits ManifestProposal, PlannerClaim, GroupFormation, GroupDissolution, GroupDrain,
 		RequestQuarantine, RequestSuspicion, KeyClaim, KeyRelease, KeyOutcome, CheckpointPart, UnknownBody {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/RequestQuarantine.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/RequestQuarantine.java
@@ -1,11 +1,12 @@
 package org.pistachioline.core.record;
 
 /**
- * Bars a request that crashes targets on all daemons.
+ * Quarantines a request that crashes targets: all daemons reject it until the quarantine
+ * expires.
  *
- * @param fingerprint the request's fingerprint
- * @param expiresAtMillis when the bar ends, by the wall clock
- * @param reason why, for operators to read
+ * @param fingerprint the fingerprint of the request
+ * @param expiresAtMillis the wall-clock time at which the quarantine expires
+ * @param reason why the request is quarantined, for operators
  */
 public record RequestQuarantine(String fingerprint, long expiresAtMillis, String reason) implements RecordBody {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/UnknownBody.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/UnknownBody.java
@@ -1,7 +1,8 @@
 package org.pistachioline.core.record;
 
 /**
- * A body of a kind that this code does not know; it changes nothing.
+ * A body of a kind that this version of the software does not know. Reducers reject the
+ * record.
  */
 public record UnknownBody() implements RecordBody {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/record/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/record/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The records on the platform's log, as immutable data.
+ * Immutable types for the records of the shared log.
  */
 package org.pistachioline.core.record;
