--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/DeadlineSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/DeadlineSpec.java
@@ -1,14 +1,14 @@
 package org.pistachioline.core.manifest;
 
 /**
- * The deadlines of requests for which the caller names none.
+ * The default deadlines of requests for which the caller sets none.
  *
- * @param firstTokenMillis how long the first token may take
- * @param totalMillis how long the whole answer may take
+ * @param firstTokenMillis the maximum time until the first token
+ * @param totalMillis the maximum time until the response is complete
  */
 public record DeadlineSpec(long firstTokenMillis, long totalMillis) {
 
-	/** Ten seconds to the first token and ten minutes in all. */
+	/** Ten seconds until the first token and ten minutes in total. */
 	public static final DeadlineSpec DEFAULT = new DeadlineSpec(10_000, 600_000);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/Fault.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/Fault.java
@@ -1,11 +1,11 @@
 package org.pistachioline.core.manifest;
 
 /**
- * One thing that is wrong with a manifest or with settings.
+ * One validation error in a manifest or a settings file.
  *
- * @param path the key, as a dotted path
- * @param found what was found
- * @param allowed what is allowed
+ * @param path the path of the invalid key, separated by dots
+ * @param found the invalid value, or a description of it
+ * @param allowed a description of the allowed values
  */
 public record Fault(String path, String found, String allowed) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/Manifest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/Manifest.java
@@ -4,19 +4,19 @@
 import java.util.Optional;
 
 /**
- * One whole configuration of the system, as declared by operators.
+ * The complete configuration of the system, as published by operators.
  *
- * @param pools the target pools
+ * @param pools the pools of targets
  * @param models the served models
- * @param services the plain services
- * @param workspaces the workspaces who may call
- * @param weights the weights of group downtime against stranded accelerators
- * @param deadlines the deadlines of requests
+ * @param services the HTTP services
+ * @param workspaces the workspaces whose requests are accepted
+ * @param weights the relative costs of group downtime and stranded accelerators
+ * @param deadlines the default deadlines of requests
  */
 public record Manifest(List<PoolSpec> pools, List<ModelSpec> models, List<ServiceSpec> services,
 		List<WorkspaceSpec> workspaces, WeightSpec weights, DeadlineSpec deadlines) {
 
-	/** The manifest before any was published: nothing is declared. */
+	/** The manifest that applies before one is published; it declares nothing. */
 	public static final Manifest EMPTY = new Manifest(List.of(), List.of(), List.of(), List.of(), WeightSpec.DEFAULT,
 			DeadlineSpec.DEFAULT);
 
@@ -29,7 +29,7 @@
 
 	/**
 	 * Finds a pool by its name.
-	 * @param name the pool's name
+	 * @param name the name of the pool
 	 * @return the pool, if it is declared
 	 */
 	public Optional<PoolSpec> pool(String name) {
@@ -38,7 +38,7 @@
 
 	/**
 	 * Finds a model by its name.
-	 * @param name the model's name
+	 * @param name the name of the model
 	 * @return the model, if it is declared
 	 */
 	public Optional<ModelSpec> model(String name) {
@@ -47,7 +47,7 @@
 
 	/**
 	 * Finds a service by its name.
-	 * @param name the service's name
+	 * @param name the name of the service
 	 * @return the service, if it is declared
 	 */
 	public Optional<ServiceSpec> service(String name) {
@@ -56,7 +56,7 @@
 
 	/**
 	 * Finds a workspace by its name.
-	 * @param name the workspace's name
+	 * @param name the name of the workspace
 	 * @return the workspace, if it is declared
 	 */
 	public Optional<WorkspaceSpec> workspace(String name) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ManifestValidator.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ManifestValidator.java
@@ -8,26 +8,30 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks a manifest as a whole and names every fault at once.
+ * Validates a manifest and reports all validation errors at once.
  * <p>
- * It runs in the client before publishing and in every daemon's reducer, so that a
- * manifest that passed one passes all.
+ * The command-line client runs it before publishing, and each daemon when it applies the
+ * proposal. As both use the same code, the daemons accept what the client accepted.
  */
 public final class ManifestValidator {
 
-	/** The most instances that one replica group may have. */
+	/** The maximum number of instances of a replica group. */
 	public static final int MAX_MEMBERS = 1024;
 
-	/** The most replica groups of one model. */
+	/**
+	 * The maximum number of replica groups of a model, and the upper limit for the
+	 * numbers of concurrent and of queued requests.
+	 */
 	public static final int MAX_REPLICAS = 100_000;
 
-	/** The longest time for which an idempotency key is remembered: one day. */
+	/** The maximum lifetime of an idempotency key: one day. */
 	public static final long MAX_KEY_LIFETIME_MILLIS = 86_400_000;
 
 	/**
-	 * The longest that a request may take: 14 minutes. The callers' port closes a
-	 * connection on which nothing moves for 15, and an answer that is not streamed moves
-	 * nothing until it is whole; a longer deadline would be cut without an answer.
+	 * The maximum duration of a request: 14 minutes. The port for callers closes a
+	 * connection that is idle for 15 minutes, and a response that is not streamed leaves
+	 * the connection idle until it is complete. With a longer deadline the connection
+	 * would be closed without a response.
 	 */
 	public static final long MAX_REQUEST_MILLIS = 840_000;
 
@@ -46,9 +50,9 @@
 	}
 
 	/**
-	 * Returns every fault of a manifest.
+	 * Returns all validation errors of a manifest.
 	 * @param manifest the manifest
-	 * @return the faults, in the manifest's order; empty where it is valid
+	 * @return the errors, grouped by section; empty if the manifest is valid
 	 */
 	public static List<Fault> validate(Manifest manifest) {
 		return new ManifestValidator(manifest).collectFaults();
@@ -79,12 +83,12 @@
 		checkNames("models", this.manifest.models(), ModelSpec::name);
 		int index = 0;
 		for (final ModelSpec model : this.manifest.models()) {
-			final String place = "models[" + index + "].";
-			checkPool(place + "pool", model.pool(), PoolKind.ENGINE);
-			checkRange(place + "members", model.members(), 1, MAX_MEMBERS);
-			checkRange(place + "min_replicas", model.minReplicas(), 0, MAX_REPLICAS);
-			checkRange(place + "max_replicas", model.maxReplicas(), model.minReplicas(), MAX_REPLICAS);
-			checkRange(place + "max_concurrent_requests", model.maxConcurrentRequests(), 1, MAX_REPLICAS);
+			final String path = "models[" + index + "].";
+			checkPool(path + "pool", model.pool(), PoolKind.ENGINE);
+			checkRange(path + "members", model.members(), 1, MAX_MEMBERS);
+			checkRange(path + "min_replicas", model.minReplicas(), 0, MAX_REPLICAS);
+			checkRange(path + "max_replicas", model.maxReplicas(), model.minReplicas(), MAX_REPLICAS);
+			checkRange(path + "max_concurrent_requests", model.maxConcurrentRequests(), 1, MAX_REPLICAS);
 			index++;
 		}
 	}
@@ -93,110 +97,110 @@
 		checkNames("services", this.manifest.services(), ServiceSpec::name);
 		int index = 0;
 		for (final ServiceSpec service : this.manifest.services()) {
-			final String place = "services[" + index + "].";
-			checkPool(place + "pool", service.pool(), PoolKind.SERVICE);
-			checkRequestDuration(place + "timeout_seconds", service.timeoutMillis());
+			final String path = "services[" + index + "].";
+			checkPool(path + "pool", service.pool(), PoolKind.SERVICE);
+			checkRequestDuration(path + "timeout_seconds", service.timeoutMillis());
 			int operationIndex = 0;
 			for (final OperationSpec operation : service.operations()) {
-				checkOperation(place + "operations[" + operationIndex + "].", operation);
+				checkOperation(path + "operations[" + operationIndex + "].", operation);
 				operationIndex++;
 			}
 			index++;
 		}
 	}
 
-	private void checkOperation(String place, OperationSpec operation) {
+	private void checkOperation(String path, OperationSpec operation) {
 		if (!METHOD.matcher(operation.method()).matches()) {
-			addFault(place + "method", operation.method(), "an HTTP method in capitals");
+			addFault(path + "method", operation.method(), "an HTTP method in capitals");
 		}
 		if (!operation.pathPrefix().startsWith("/")) {
-			addFault(place + "path_prefix", operation.pathPrefix(), "a path that starts with /");
+			addFault(path + "path_prefix", operation.pathPrefix(), "a path that starts with /");
 		}
 		if (!operation.idempotent()) {
-			checkRange(place + "key_lifetime_seconds", operation.keyLifetimeMillis(), 1, MAX_KEY_LIFETIME_MILLIS);
+			checkRange(path + "key_lifetime_seconds", operation.keyLifetimeMillis(), 1, MAX_KEY_LIFETIME_MILLIS);
 		}
 	}
 
 	private void checkWorkspaces() {
 		checkNames("workspaces", this.manifest.workspaces(), WorkspaceSpec::name);
-		final Set<String> hashes = new HashSet<>();
+		final Set<String> seenHashes = new HashSet<>();
 		int index = 0;
 		for (final WorkspaceSpec workspace : this.manifest.workspaces()) {
-			final String place = "workspaces[" + index + "].";
-			checkKeys(place + "key_sha256", workspace.keySha256(), hashes);
-			checkPositive(place + "requests_per_second", workspace.requestsPerSecond());
-			checkPositive(place + "tokens_in_flight", workspace.tokensInFlight());
-			checkRange(place + "queued_requests", workspace.queuedRequests(), 0, MAX_REPLICAS);
-			checkPositive(place + "weight", workspace.weight());
+			final String path = "workspaces[" + index + "].";
+			checkKeyHashes(path + "key_sha256", workspace.keySha256(), seenHashes);
+			checkPositive(path + "requests_per_second", workspace.requestsPerSecond());
+			checkPositive(path + "tokens_in_flight", workspace.tokensInFlight());
+			checkRange(path + "queued_requests", workspace.queuedRequests(), 0, MAX_REPLICAS);
+			checkPositive(path + "weight", workspace.weight());
 			for (final String model : workspace.models()) {
 				if (this.manifest.model(model).isEmpty()) {
-					addFault(place + "models", model, "a declared model");
+					addFault(path + "models", model, "a declared model");
 				}
 			}
 			for (final String service : workspace.services()) {
 				if (this.manifest.service(service).isEmpty()) {
-					addFault(place + "services", service, "a declared service");
+					addFault(path + "services", service, "a declared service");
 				}
 			}
 			index++;
 		}
 	}
 
-	private void checkKeys(String place, List<String> keys, Set<String> seen) {
-		if (keys.isEmpty()) {
-			addFault(place, "no key", "at least one SHA-256 hash in hex");
+	private void checkKeyHashes(String path, List<String> keyHashes, Set<String> seen) {
+		if (keyHashes.isEmpty()) {
+			addFault(path, "no key", "at least one SHA-256 hash in hex");
 		}
-		for (final String key : keys) {
-			if (!SHA256.matcher(key).matches()) {
-				addFault(place, "a value of " + key.length() + " characters", "a SHA-256 hash, 64 hex digits");
+		for (final String keyHash : keyHashes) {
+			if (!SHA256.matcher(keyHash).matches()) {
+				addFault(path, "a value of " + keyHash.length() + " characters", "a SHA-256 hash, 64 hex digits");
 			}
-			else if (!seen.add(key)) {
-				addFault(place, "a hash that stands twice", "a hash of one workspace only");
+			else if (!seen.add(keyHash)) {
+				addFault(path, "a hash that stands twice", "a hash of one workspace only");
 			}
 		}
 	}
 
-	private <T> void checkNames(String place, List<T> specs, Function<T, String> name) {
+	private <T> void checkNames(String path, List<T> specs, Function<T, String> name) {
 		final Set<String> seen = new HashSet<>();
 		for (int i = 0; i < specs.size(); i++) {
 			final String value = name.apply(specs.get(i));
 			if (!NAME.matcher(value).matches()) {
-				addFault(place + "[" + i + "].name", quoted(value),
+				addFault(path + "[" + i + "].name", quoted(value),
 						"1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit");
 			}
 			else if (!seen.add(value)) {
-				addFault(place + "[" + i + "].name", quoted(value), "a name that is used once");
+				addFault(path + "[" + i + "].name", quoted(value), "a name that is used once");
 			}
 		}
 	}
 
-	private void checkPool(String place, String name, PoolKind kind) {
+	private void checkPool(String path, String name, PoolKind kind) {
 		final boolean known = this.manifest.pool(name).filter((pool) -> pool.kind() == kind).isPresent();
 		if (!known) {
-			addFault(place, quoted(name), "a declared pool of kind " + kind.manifestName());
+			addFault(path, quoted(name), "a declared pool of kind " + kind.manifestName());
 		}
 	}
 
-	private void checkRange(String place, long value, long least, long most) {
-		if (value < least || value > most) {
-			addFault(place, Long.toString(value), least + " to " + most);
+	private void checkRange(String path, long value, long min, long max) {
+		if (value < min || value > max) {
+			addFault(path, Long.toString(value), min + " to " + max);
 		}
 	}
 
-	private void checkRequestDuration(String place, long millis) {
+	private void checkRequestDuration(String path, long millis) {
 		if (millis < 1 || millis > MAX_REQUEST_MILLIS) {
-			addFault(place, millis + " ms", "1 to " + MAX_REQUEST_MILLIS + " ms");
+			addFault(path, millis + " ms", "1 to " + MAX_REQUEST_MILLIS + " ms");
 		}
 	}
 
-	private void checkPositive(String place, double value) {
+	private void checkPositive(String path, double value) {
 		if (!(value > 0) || Double.isInfinite(value)) {
-			addFault(place, Double.toString(value), "a number above 0");
+			addFault(path, Double.toString(value), "a number above 0");
 		}
 	}
 
-	private void addFault(String place, String found, String allowed) {
-		this.faults.add(new Fault(place, found, allowed));
+	private void addFault(String path, String found, String allowed) {
+		this.faults.add(new Fault(path, found, allowed));
 	}
 
 	private static String quoted(String value) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ModelSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ModelSpec.java
@@ -1,14 +1,15 @@
 package org.pistachioline.core.manifest;
 
 /**
- * A served model and the replica groups that serve it.
+ * The declaration of a model and of the replica groups that serve it.
  *
- * @param name the name that callers use
- * @param pool the pool whose instances serve it
- * @param members how many instances one replica group has
- * @param minReplicas the least number of replica groups
- * @param maxReplicas the largest number of replica groups
- * @param maxConcurrentRequests how many requests one replica group batches at once
+ * @param name the name of the model in requests
+ * @param pool the name of the pool whose instances serve the model
+ * @param members the number of instances of a replica group
+ * @param minReplicas the minimum number of replica groups
+ * @param maxReplicas the maximum number of replica groups
+ * @param maxConcurrentRequests the number of requests that a replica group runs
+ * concurrently in a batch
  */
 public record ModelSpec(String name, String pool, int members, int minReplicas, int maxReplicas,
 		int maxConcurrentRequests) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/PoolKind.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/PoolKind.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * What the targets of a pool are.
+ * The kind of targets in a pool.
  */
 public enum PoolKind {
 
-	/** Model engines, which form replica groups. */
+	/** Inference engines, which are combined into replica groups. */
 	ENGINE,
 
-	/** Plain services, which serve one by one. */
+	/** HTTP services, where each instance serves requests on its own. */
 	SERVICE;
 
 	/**
-	 * Returns the name in manifests.
+	 * Returns the name of this kind in manifests.
 	 * @return the name in lower case
 	 */
 	public String manifestName() {
@@ -24,8 +24,8 @@
 
 	/**
 	 * Finds a kind by its name in manifests.
-	 * @param name the name
-	 * @return the kind, if the name is one
+	 * @param name the name in lower case
+	 * @return the kind, or empty if there is none with this name
 	 */
 	public static Optional<PoolKind> byManifestName(String name) {
 		for (final PoolKind kind : values()) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/PoolSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/PoolSpec.java
@@ -1,12 +1,13 @@
 package org.pistachioline.core.manifest;
 
 /**
- * A pool of targets of one kind.
+ * The declaration of a pool of targets of the same kind.
  *
- * @param name the pool's name, as the instance list gives it
- * @param kind what the targets are
- * @param checksFencing whether the targets refuse an order with an old fencing number
- * @param weightStoreLoadsPerMinute how many member loads the weight store takes a minute
+ * @param name the name of the pool, as in the instance list
+ * @param kind the kind of the targets
+ * @param checksFencing whether the targets reject orders with an outdated fencing token
+ * @param weightStoreLoadsPerMinute the maximum rate at which the weight store serves
+ * model loads, counted per member
  */
 public record PoolSpec(String name, PoolKind kind, boolean checksFencing, double weightStoreLoadsPerMinute) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ServiceSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ServiceSpec.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * A plain service that the system routes to.
+ * The declaration of an HTTP service to which requests are routed.
  *
- * @param name the name in the path
- * @param pool the pool whose instances serve it
- * @param timeoutMillis how long one call may take
- * @param operations the operations with rules of their own; others are idempotent
+ * @param name the name of the service, which is part of the request path
+ * @param pool the name of the pool whose instances serve the requests
+ * @param timeoutMillis the timeout of a call
+ * @param operations the rules for operations; an operation without a rule is idempotent
  */
 public record ServiceSpec(String name, String pool, long timeoutMillis, List<OperationSpec> operations) {
 
@@ -18,10 +18,10 @@
 	}
 
 	/**
-	 * Finds the rule for a call.
+	 * Finds the rule that applies to a call.
 	 * @param method the HTTP method
-	 * @param path the path below the service
-	 * @return the longest matching operation, if there is one
+	 * @param path the path, relative to the path of the service
+	 * @return the matching rule with the longest path prefix, or empty if none matches
 	 */
 	public Optional<OperationSpec> operation(String method, String path) {
 		return this.operations.stream()
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/WeightSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/WeightSpec.java
@@ -1,14 +1,15 @@
 package org.pistachioline.core.manifest;
 
 /**
- * What a second of each loss costs the operators, relative to each other.
+ * The relative costs of the two kinds of capacity loss, per second.
  *
- * @param groupDowntime the cost of one group being down
- * @param strandedAccelerators the cost of one accelerator being held unused
+ * @param groupDowntime the cost of a replica group that is down
+ * @param strandedAccelerators the cost of an accelerator that is held by a group but not
+ * used
  */
 public record WeightSpec(double groupDowntime, double strandedAccelerators) {
 
-	/** Both losses cost the same. */
+	/** Equal costs. */
 	public static final WeightSpec DEFAULT = new WeightSpec(1, 1);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/WorkspaceSpec.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/WorkspaceSpec.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A workspace and what it may use.
+ * The declaration of a workspace with its API keys, limits and permissions.
  *
- * @param name the workspace's name
- * @param keySha256 the SHA-256 hashes of its keys, in hex
- * @param requestsPerSecond the request rate over all daemons
- * @param tokensInFlight the tokens in flight over all daemons
- * @param queuedRequests the requests that may wait on one daemon
- * @param weight the share in fair queueing
- * @param models the models it may call
- * @param services the services it may call
+ * @param name the name of the workspace
+ * @param keySha256 the SHA-256 hashes of the workspace's API keys, in hexadecimal
+ * @param requestsPerSecond the maximum request rate over all daemons
+ * @param tokensInFlight the maximum number of tokens in flight over all daemons
+ * @param queuedRequests the maximum number of queued requests on each daemon
+ * @param weight the weight in fair queueing
+ * @param models the models that the workspace may use
+ * @param services the services that the workspace may use
  */
 public record WorkspaceSpec(String name, List<String> keySha256, double requestsPerSecond, long tokensInFlight,
 		int queuedRequests, double weight, List<String> models, List<String> services) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The manifest that operators publish, and its validation.
+ * The manifest, which is the configuration that operators publish, and its validation.
  */
 package org.pistachioline.core.manifest;
