--- a/pistachioline-core/src/main/java/org/pistachioline/core/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Pure decisions and agreed state: time comes in as an argument, nothing reads or writes.
+ * Decision logic and replicated state without I/O, threads or clocks; the current time is
+ * passed in as an argument.
  */
 package org.pistachioline.core;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/package-info.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of what holds for the core as a whole.
+ * Architecture tests of the core module.
  */
 package org.pistachioline.core;
