--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
@@ -69,11 +69,11 @@
 
 	private static FleetState withoutExpired(FleetState state, long atMillis) {
 		return state.withQuarantinesAndSuspicions(
-				unexpired(state.quarantines(), RequestQuarantine::expiresAtMillis, atMillis),
-				unexpired(state.suspicions(), RequestSuspicion::expiresAtMillis, atMillis));
+				removeExpired(state.quarantines(), RequestQuarantine::expiresAtMillis, atMillis),
+				removeExpired(state.suspicions(), RequestSuspicion::expiresAtMillis, atMillis));
 	}
 
-	private static <V> PMap<String, V> unexpired(PMap<String, V> entries, ToLongFunction<V> expiresAtMillis,
+	private static <V> PMap<String, V> removeExpired(PMap<String, V> entries, ToLongFunction<V> expiresAtMillis,
 			long atMillis) {
 		PMap<String, V> remaining = entries;
 		for (final Map.Entry<String, V> entry : entries.entrySet()) {
