--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
@@ -6,7 +6,7 @@
 
 import org.pcollections.PMap;
 
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.record.RequestQuarantine;
 import org.pistachioline.core.record.RequestSuspicion;
 
@@ -37,14 +37,14 @@
 	 */
 	private static final long CONCURRENT_REPORTS_MILLIS = 300;
 
-	private static final long LIFETIME_MILLIS = DeathCounter.LIFETIME_MINUTES * 60_000;
+	private static final long LIFETIME_MILLIS = LogBasedQuarantine.QUARANTINE_MINUTES * 60_000;
 
 	private QuarantineRules() {
 	}
 
 	static FleetState applyQuarantine(FleetState state, RequestQuarantine quarantine) {
 		final FleetState unexpired = withoutExpired(state, quarantine.expiresAtMillis() - LIFETIME_MILLIS);
-		final boolean full = unexpired.quarantines().size() >= DeathCounter.MOST_QUARANTINES;
+		final boolean full = unexpired.quarantines().size() >= LogBasedQuarantine.MAX_QUARANTINES;
 		return full ? unexpired : unexpired.withQuarantine(quarantine);
 	}
 
