--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsReducer.java
@@ -41,7 +41,7 @@
 			return release(marked, release);
 		}
 		if (record.body() instanceof KeyOutcome outcome) {
-			return settle(marked, outcome);
+			return storeOutcome(marked, outcome);
 		}
 		if (record.body() instanceof CheckpointPart) {
 			// It restates what the state says already; only its writer's mark moves.
@@ -53,11 +53,11 @@
 
 	private static Applied<ClaimsState> claim(ClaimsState state, long offset, String writer, KeyClaim claim) {
 		final String key = ClaimsState.keyOf(claim.workspace(), claim.key());
-		final ClaimsState current = state.withoutExpired(claim.claimedAtMillis());
+		final ClaimsState current = state.evictExpired(claim.claimedAtMillis());
 		if (current.entries().containsKey(key)) {
 			return Applied.rejected(current, RejectReason.KEY_TAKEN);
 		}
-		if (current.entries().size() >= ClaimsState.MOST_ENTRIES) {
+		if (current.entries().size() >= ClaimsState.MAX_ENTRIES) {
 			return Applied.rejected(current, RejectReason.CLAIMS_FULL);
 		}
 		return Applied.accepted(current.withEntry(key, new ClaimEntry(claim, offset, writer, Optional.empty())));
@@ -72,13 +72,13 @@
 		return Applied.accepted(state.without(key));
 	}
 
-	private static Applied<ClaimsState> settle(ClaimsState state, KeyOutcome outcome) {
+	private static Applied<ClaimsState> storeOutcome(ClaimsState state, KeyOutcome outcome) {
 		final String key = ClaimsState.keyOf(outcome.workspace(), outcome.key());
 		final ClaimEntry entry = state.entries().get(key);
 		if (entry == null || entry.claimOffset() != outcome.claimOffset() || entry.outcome().isPresent()) {
 			return Applied.rejected(state, RejectReason.UNKNOWN_CLAIM);
 		}
-		final boolean fits = state.storedBytes() + outcome.body().length() <= ClaimsState.MOST_STORED_BYTES;
+		final boolean fits = state.storedBytes() + outcome.body().length() <= ClaimsState.MAX_STORED_BYTES;
 		final KeyOutcome kept = fits ? outcome : new KeyOutcome(outcome.workspace(), outcome.key(),
 				outcome.claimOffset(), outcome.status(), outcome.contentType(), "", true);
 		return Applied.accepted(state.withEntry(key,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
@@ -18,7 +18,7 @@
 import org.pistachioline.adapters.platform.InstanceList;
 import org.pistachioline.adapters.target.EngineControl;
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.manifest.PoolKind;
 import org.pistachioline.core.manifest.PoolSpec;
@@ -108,7 +108,7 @@
 		this.engines = engines;
 		this.links = links;
 		this.writer = writer;
-		this.boundNanos = limits.boundNanos();
+		this.boundNanos = limits.maxProofAgeNanos();
 		this.presence = new PresenceNode(links.selfId(), limits);
 		this.duty = new Duty<>(system, "fleet", RING_CAPACITY, TICK, this);
 	}
@@ -163,8 +163,8 @@
 	private void probe(long nowNanos) {
 		this.presence.update(this.fleet.view().state().groups(), this.links.zonesByDaemon(), nowNanos);
 		final PresenceStep step = this.presence.step(planned(nowNanos), nowNanos);
-		this.heldByInstance.keySet().retainAll(this.presence.own().instances());
-		this.askedSinceNanos.keySet().retainAll(this.presence.asked());
+		this.heldByInstance.keySet().retainAll(this.presence.probeResults().instanceIds());
+		this.askedSinceNanos.keySet().retainAll(this.presence.probedInstanceIds());
 		for (final Member member : step.probes()) {
 			this.askedSinceNanos.putIfAbsent(member.instanceId(), nowNanos);
 			this.engines.held(member.address()).whenComplete((held, failure) -> {
@@ -173,7 +173,7 @@
 				}
 			});
 		}
-		step.questions().forEach(this.links::ask);
+		step.requests().forEach(this.links::ask);
 	}
 
 	// The planner reads back itself what nobody proves: its free instances and the
@@ -181,7 +181,7 @@
 	// of groups that load or lack one.
 	private List<Member> planned(long nowNanos) {
 		final FleetState state = this.fleet.view().state();
-		final Set<Long> proven = this.presence.serving(nowNanos);
+		final Set<Long> proven = this.presence.servingEpochs(nowNanos);
 		final List<Member> planned = new ArrayList<>();
 		for (final GroupState group : state.groups().values()) {
 			if (isMine(state, group.fabricDomain()) && !proven.contains(group.epoch())) {
@@ -220,7 +220,7 @@
 		}
 		else if (message instanceof Message.Answered answer) {
 			this.heldByInstance.put(answer.instanceId(), new PresenceProof(answer.held(), answer.askedAtNanos()));
-			this.presence.onHeld(answer.instanceId(), answer.held(), answer.askedAtNanos());
+			this.presence.onProbeResponse(answer.instanceId(), answer.held(), answer.askedAtNanos());
 		}
 		else if (message instanceof Message.Told told) {
 			this.links.take(told.frame(), this.presence, System.nanoTime());
@@ -250,11 +250,11 @@
 		final Map<String, List<Integer>> missing = new HashMap<>();
 		for (final GroupState group : state.groups().values()) {
 			final GroupProof proof = proofs.get(group.epoch());
-			if (proof != null && proof.serves(this.boundNanos, nowNanos)) {
+			if (proof != null && proof.mayServe(this.boundNanos, nowNanos)) {
 				continue;
 			}
 			if (isMine(state, group.fabricDomain())) {
-				missing.put(group.groupId(), this.presence.own().missingRanks(group, nowNanos));
+				missing.put(group.groupId(), this.presence.probeResults().missingRanks(group, nowNanos));
 			}
 			else if (proof != null) {
 				missing.put(group.groupId(), proof.missingRanks());
@@ -297,7 +297,7 @@
 	Set<Long> proven(long nowNanos) {
 		final Set<Long> proven = new HashSet<>();
 		this.view.get().proofs().forEach((epoch, proof) -> {
-			if (proof.serves(this.boundNanos, nowNanos)) {
+			if (proof.mayServe(this.boundNanos, nowNanos)) {
 				proven.add(epoch);
 			}
 		});
@@ -317,7 +317,7 @@
 		final Set<String> candidates = new HashSet<>();
 		for (final GroupState group : state.groups().values()) {
 			final GroupProof proof = known.proofs().get(group.epoch());
-			final boolean proven = proof != null && proof.serves(this.boundNanos, nowNanos);
+			final boolean proven = proof != null && proof.mayServe(this.boundNanos, nowNanos);
 			if (isMine(state, group.fabricDomain()) && !proven) {
 				group.members().forEach((member) -> candidates.add(member.instanceId()));
 			}
@@ -333,7 +333,7 @@
 			final long askedNanos = nowNanos - this.askedSinceNanos.getOrDefault(id, nowNanos);
 			// One that was not asked for so long has had no chance to answer.
 			return askedNanos <= this.boundNanos
-					|| (proof != null && nowNanos - proof.askedAtNanos() <= this.boundNanos);
+					|| (proof != null && nowNanos - proof.probedAtNanos() <= this.boundNanos);
 		});
 		return candidates;
 	}
@@ -364,7 +364,7 @@
 		 * @param held what it holds
 		 * @param askedAtNanos when it was asked
 		 */
-		record Answered(String instanceId, HeldState held, long askedAtNanos) implements Message {
+		record Answered(String instanceId, EngineState held, long askedAtNanos) implements Message {
 		}
 
 		/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -159,7 +159,7 @@
 		final long nowNanos = System.nanoTime();
 		// A planner whose view is old may have been replaced without knowing it.
 		final boolean fresh = fleetView.caughtUp() && this.config.view().caughtUp() && known.listed()
-				&& this.orders.isFresh(fleetView.readAtNanos(), nowNanos);
+				&& this.orders.isViewFresh(fleetView.readAtNanos(), nowNanos);
 		if (!fresh) {
 			return;
 		}
@@ -173,7 +173,7 @@
 		final Set<String> live = this.liveDaemons.get();
 		for (final String domain : engineDomains(known)) {
 			final PlannerEpoch current = state.planners().get(domain);
-			if (this.election.claims(domain, current, live, nowNanos)) {
+			if (this.election.shouldClaim(domain, current, live, nowNanos)) {
 				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
 			}
 		}
@@ -183,14 +183,14 @@
 		final Plan next = this.planner.plan(new PlannerInput(nowNanos, this.appender.writer(),
 				this.config.view().state().manifest(), this.config.view().state().version(), state, known.instances(),
 				known.missingRanks(), loads(state, known), this.instances.silent(nowNanos)), this.memory);
-		noteDark(next.darkDomains());
+		noteDark(next.unreachableDomains());
 		this.plan.set(next);
 		next.records().forEach(this::append);
 	}
 
 	private void noteDark(Set<String> dark) {
 		for (final String domain : dark) {
-			if (!this.plan.get().darkDomains().contains(domain)) {
+			if (!this.plan.get().unreachableDomains().contains(domain)) {
 				Events.log(EventId.DOMAIN_DARK, "fabric_domain", domain);
 			}
 		}
@@ -254,7 +254,7 @@
 				view.state(), known.instances(), this.instances.proven(nowNanos), this.instances.held());
 		for (final EngineCommand command : this.orders.decide(input)) {
 			// Asked again, as this thread may have paused since the decision.
-			if (this.orders.isFresh(view.readAtNanos(), System.nanoTime())) {
+			if (this.orders.isViewFresh(view.readAtNanos(), System.nanoTime())) {
 				send(command);
 			}
 		}
@@ -267,7 +267,7 @@
 		this.engines.order(command.address(), command.order()).whenComplete((taken, failure) -> {
 			if (failure != null || !taken) {
 				Events.log(EventId.ORDER_FAILED, "instance", command.instanceId(), "group", command.order().groupId(),
-						"fencing_number", command.order().fencingNumber());
+						"fencing_number", command.order().fencingToken());
 			}
 			this.duty.put(new Message.Ordered(command.instanceId()));
 		});
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceLinks.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceLinks.java
@@ -8,7 +8,7 @@
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.presence.GroupDigest;
 import org.pistachioline.core.presence.PresenceNode;
-import org.pistachioline.core.presence.PresenceQuestion;
+import org.pistachioline.core.presence.PresenceRequest;
 import org.pistachioline.daemon.peer.PeerDuty;
 import org.pistachioline.protocol.peer.PeerFrame;
 import org.pistachioline.protocol.peer.PresenceAnswer;
@@ -50,7 +50,7 @@
 		this.peers.onPresenceFrame(receiver);
 	}
 
-	void ask(PresenceQuestion question) {
+	void ask(PresenceRequest question) {
 		this.peers.send(question.daemonId(), frameOf(this.selfId, question));
 	}
 
@@ -60,11 +60,11 @@
 	 * @param question the question
 	 * @return the frame
 	 */
-	public static PeerFrame frameOf(String askerId, PresenceQuestion question) {
+	public static PeerFrame frameOf(String askerId, PresenceRequest question) {
 		return PeerFrame.newBuilder()
 			.setPresenceQuestion(org.pistachioline.protocol.peer.PresenceQuestion.newBuilder()
 				.setAskerId(askerId)
-				.setToken(question.token())
+				.setToken(question.correlationId())
 				.addAllEpochs(question.epochs()))
 			.build();
 	}
@@ -88,7 +88,7 @@
 		}
 		else if (frame.hasPresenceAnswer()) {
 			final PresenceAnswer answer = frame.getPresenceAnswer();
-			presence.onAnswer(answer.getAnswererId(), answer.getToken(),
+			presence.onResponse(answer.getAnswererId(), answer.getToken(),
 					answer.getGroupsList().stream().map(PresenceLinks::decode).toList());
 		}
 	}
@@ -96,7 +96,7 @@
 	private void answer(org.pistachioline.protocol.peer.PresenceQuestion question, PresenceNode presence,
 			long nowNanos) {
 		this.peers.send(question.getAskerId(),
-				frameOf(this.selfId, question.getToken(), presence.answer(question.getEpochsList(), nowNanos)));
+				frameOf(this.selfId, question.getToken(), presence.respond(question.getEpochsList(), nowNanos)));
 	}
 
 	private static org.pistachioline.protocol.peer.GroupDigest encode(GroupDigest digest) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/TargetViews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/TargetViews.java
@@ -53,7 +53,7 @@
 				final boolean stays = group.members()
 					.stream()
 					.noneMatch((member) -> leaving.contains(member.instanceId()));
-				targets.add(ofGroup(group, manifest, proof, stays && proof.serves(boundNanos, nowNanos)));
+				targets.add(ofGroup(group, manifest, proof, stays && proof.mayServe(boundNanos, nowNanos)));
 			}
 		}
 		for (final ServiceSpec service : manifest.services()) {
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/FleetReplay.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/FleetReplay.java
@@ -12,7 +12,7 @@
 import java.util.function.UnaryOperator;
 
 import org.pistachioline.core.fleet.EngineCommand;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.manifest.ModelSpec;
@@ -236,7 +236,7 @@
 		}
 	}
 
-	Optional<HeldState> ask(String instanceId) {
+	Optional<EngineState> ask(String instanceId) {
 		return Optional.ofNullable(this.engines.get(instanceId))
 			.filter(ReplayEngine::isUp)
 			.map((engine) -> engine.state(this.nowNanos));
--- a/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/FleetReplayTests.java
+++ b/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/FleetReplayTests.java
@@ -119,7 +119,7 @@
 		instances.forEach((id) -> Fleets.event(fleet, id, InstanceEvent.Kind.DARK));
 		fleet.run(MINUTE);
 		final Set<String> dark = new TreeSet<>();
-		fleet.daemons().values().forEach((daemon) -> dark.addAll(daemon.plan().darkDomains()));
+		fleet.daemons().values().forEach((daemon) -> dark.addAll(daemon.plan().unreachableDomains()));
 		assertThat(dark).containsExactly(domain);
 		fleet.run(MINUTE / 2);
 		instances.forEach((id) -> Fleets.event(fleet, id, InstanceEvent.Kind.BACK));
