--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/AlwaysDissolve.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/AlwaysDissolve.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.planner;
 
 /**
- * Gives a group up as soon as a member is missing; a baseline.
+ * Dissolves a group as soon as a member is lost; a baseline for comparing policies.
  */
 public final class AlwaysDissolve implements MemberLossPolicy {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/AlwaysWait.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/AlwaysWait.java
@@ -1,7 +1,8 @@
 package org.pistachioline.core.planner;
 
 /**
- * Waits for every lost member as long as the platform lists it; a baseline.
+ * Waits for a lost member for as long as the platform lists it; a baseline for comparing
+ * policies.
  */
 public final class AlwaysWait implements MemberLossPolicy {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/CostBasedWait.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/CostBasedWait.java
@@ -1,29 +1,36 @@
 package org.pistachioline.core.planner;
 
 /**
- * Waits as long as waiting may still cost less than acting, by the operators' weights.
+ * Waits for a lost member until the wait has cost as much as the alternative, by the
+ * operators' weights.
  * <p>
- * Made for members that mostly come back within seconds and sometimes never. Nobody knows
- * which it is, so each choice is put off until waiting has cost as much as the choice
- * would: then the cost is at most twice that of the best choice in hindsight.
+ * Lost members mostly return within seconds and sometimes never, and it is not known
+ * which of the two will happen (the ski rental problem). Each alternative is therefore
+ * delayed until waiting has cost as much as the alternative would: the total cost is then
+ * at most twice that of the best decision in hindsight.
  * <ul>
- * <li>Free instances can take the places: acting costs one load, in downtime and in
- * accelerators that load, and waiting costs both at the same rate. So it waits as long as
- * a load takes, whatever the weights.</li>
- * <li>They cannot, but draining groups that another model has beyond its least number
- * makes room: acting costs also the accelerators that drain, so that it waits longer
- * where stranded accelerators weigh more.</li>
+ * <li>Free instances can replace the lost members: a replacement costs one load, in
+ * downtime and in accelerators that load, and waiting costs both at the same rate. The
+ * wait is the duration of a load, whatever the weights are.</li>
+ * <li>They cannot, but draining groups that another model has beyond its minimum frees
+ * enough instances: this also costs the accelerators that drain, so that the wait is
+ * longer where stranded accelerators have a higher weight.</li>
  * <li>Another model could use the surviving members: lending them costs this group's
- * downtime, for its instances are gone when the member returns, and two loads, one there
- * and one back; waiting costs the surviving accelerators. So a heavier downtime waits
- * longer, and heavier stranded accelerators give up sooner.</li>
- * <li>Nothing of this: acting gains nothing, so it waits.</li>
+ * downtime, since its instances are in use when the member returns, and two loads, one
+ * for each direction; waiting costs the surviving accelerators. A higher weight of
+ * downtime leads to a longer wait, and a higher weight of stranded accelerators to a
+ * shorter one.</li>
+ * <li>None of these: a dissolution gains nothing, so the group waits without a
+ * limit.</li>
  * </ul>
- * Of the two in the middle the one that comes first by the weights is taken.
+ * If both the second and the third case apply, the shorter wait is used.
  */
 public final class CostBasedWait implements MemberLossPolicy {
 
-	/** A group lent to another model is down for some loads, not for one. */
+	/**
+	 * The assumed downtime of a group whose members are lent to another model, in load
+	 * durations: it is down for several loads, not for one.
+	 */
 	private static final double LENDING_LOADS = 4;
 
 	@Override
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/FreeInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/FreeInstances.java
@@ -11,8 +11,8 @@
 import org.pistachioline.core.fleet.Instance;
 
 /**
- * The instances that a new group could take, by pool and fabric domain; shrinks as groups
- * are laid out on it.
+ * Holds the instances that a new group could use, by pool and fabric domain; instances
+ * are removed as groups are placed on them.
  */
 final class FreeInstances {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLifecycle.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLifecycle.java
@@ -11,14 +11,18 @@
 import org.pistachioline.core.state.PlannerEpoch;
 
 /**
- * Decides on one existing group at a time: keep, wait, drain or dissolve.
+ * Decides for one existing group at a time whether to keep, drain or dissolve it, or to
+ * wait.
  */
 final class GroupLifecycle {
 
-	/** Until every daemon has read the drain and its last requests show in the load. */
+	/**
+	 * The time until every daemon has read a drain and its last requests show in the
+	 * reported load.
+	 */
 	private static final long DRAIN_PROPAGATION_NANOS = 5_000_000_000L;
 
-	/** A load that takes longer than this will not end. */
+	/** A load that takes longer than this is considered failed. */
 	private static final long LOAD_TIMEOUT_NANOS = 900_000_000_000L;
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
@@ -48,18 +52,18 @@
 		this.free = new FreeInstances(input);
 	}
 
-	// A group that lacks a member counts for as long as a load takes, so that a short
-	// absence forms nothing, and then no longer, so that a long one is made up for
-	// elsewhere.
+	// A group that lacks a member still counts for as long as a load takes, so that
+	// a short absence does not lead to another group. After that it no longer
+	// counts, so that it is replaced elsewhere.
 	int countReplicas(List<GroupState> groups) {
-		int counted = 0;
+		int count = 0;
 		for (final GroupState group : groups) {
-			final boolean gone = group.draining() || hasLeavingMember(group)
+			final boolean excluded = group.draining() || hasLeavingMember(group)
 					|| (incompleteNanos(group) > this.memory.expectedLoadNanos(group.model())
 							&& !this.draft.unreachableDomains().contains(group.fabricDomain()));
-			counted += gone ? 0 : 1;
+			count += excluded ? 0 : 1;
 		}
-		return counted;
+		return count;
 	}
 
 	void decide(GroupState group) {
@@ -91,8 +95,8 @@
 		});
 	}
 
-	// One that the platform no longer lists but that answers is not lost: the list lags,
-	// and one empty answer of it must not take the whole fleet down.
+	// An instance that the platform no longer lists but that responds is not lost:
+	// the list lags behind, and one empty list must not dissolve all groups.
 	private List<Member> unresponsiveMembers(GroupState group) {
 		return group.members()
 			.stream()
@@ -101,12 +105,12 @@
 	}
 
 	private long incompleteNanos(GroupState group) {
-		// Of other planners' groups only their presence is known, and a loading one lacks
-		// it.
-		final boolean absent = this.input.ownEpoch(group.fabricDomain()).isPresent()
+		// For groups of other planners only the presence is known, and a group that
+		// loads has none yet.
+		final boolean incomplete = this.input.ownEpoch(group.fabricDomain()).isPresent()
 				? !unresponsiveMembers(group).isEmpty()
 				: this.input.missingRanks().containsKey(group.groupId()) && this.memory.wasComplete(group);
-		if (!absent) {
+		if (!incomplete) {
 			return 0;
 		}
 		return this.input.nowNanos() - this.memory.sinceNanos("lost " + group.epoch(), this.input.nowNanos());
@@ -115,7 +119,7 @@
 	private void decideDraining(GroupState group, PlannerEpoch planner) {
 		final long nowNanos = this.input.nowNanos();
 		final long sinceNanos = this.memory.sinceNanos("drain " + group.epoch(), nowNanos);
-		final long longestNanos = DRAIN_PROPAGATION_NANOS
+		final long maxDrainNanos = DRAIN_PROPAGATION_NANOS
 				+ this.input.manifest().deadlines().totalMillis() * NANOS_PER_MILLI;
 		final GroupLoad load = this.input.loads().get(group.groupId());
 		final boolean idle = load != null && load.totalRequests() == 0
@@ -123,7 +127,7 @@
 		if (!unresponsiveMembers(group).isEmpty()) {
 			this.draft.dissolve(group, planner, "drained, and a member is gone");
 		}
-		else if (idle || nowNanos - sinceNanos >= longestNanos) {
+		else if (idle || nowNanos - sinceNanos >= maxDrainNanos) {
 			this.draft.dissolve(group, planner, idle ? "drained: " + group.reason() : "no request may run any longer");
 		}
 		else {
@@ -132,48 +136,51 @@
 	}
 
 	private void decideIncomplete(GroupState group, PlannerEpoch planner) {
-		final List<Member> lost = unresponsiveMembers(group);
-		final boolean unlisted = lost.stream().anyMatch((member) -> !this.listedById.containsKey(member.instanceId()));
+		final List<Member> lostMembers = unresponsiveMembers(group);
+		final boolean unlisted = lostMembers.stream()
+			.anyMatch((member) -> !this.listedById.containsKey(member.instanceId()));
 		if (unlisted) {
 			this.draft.dissolve(group, planner, "a member is gone for good");
 			return;
 		}
-		final long absentNanos = incompleteNanos(group);
-		final boolean replacedElsewhere = absentNanos > this.memory.expectedLoadNanos(group.model())
+		final long incompleteNanos = incompleteNanos(group);
+		final boolean replacedElsewhere = incompleteNanos > this.memory.expectedLoadNanos(group.model())
 				&& this.draft.missingReplicas(group.model()) <= 0;
-		final long waitNanos = this.lossPolicy.waitNanos(describeLoss(group, lost, absentNanos));
+		final long waitNanos = this.lossPolicy.waitNanos(describeLoss(group, lostMembers, incompleteNanos));
 		if (replacedElsewhere) {
 			this.draft.dissolve(group, planner, "another group took its place");
 		}
-		else if (absentNanos >= waitNanos) {
+		else if (incompleteNanos >= waitNanos) {
 			this.draft.dissolve(group, planner, "a member is missing for too long");
 		}
 		else {
 			this.draft.explain(group,
-					"waits for " + lost.get(0).instanceId() + ", absent for " + (long) (absentNanos / NANOS_PER_SECOND)
-							+ " s" + ((waitNanos == Long.MAX_VALUE) ? ": nothing else can use the other members"
+					"waits for " + lostMembers.get(0).instanceId() + ", absent for "
+							+ (long) (incompleteNanos / NANOS_PER_SECOND) + " s"
+							+ ((waitNanos == Long.MAX_VALUE) ? ": nothing else can use the other members"
 									: ", at most " + (long) (waitNanos / NANOS_PER_SECOND) + " s"));
 		}
 	}
 
-	private MemberLoss describeLoss(GroupState group, List<Member> lost, long absentNanos) {
+	private MemberLoss describeLoss(GroupState group, List<Member> lostMembers, long incompleteNanos) {
 		final String pool = this.input.manifest().model(group.model()).map(ModelSpec::pool).orElse("");
-		final int spare = this.free.count(pool, group.fabricDomain());
-		final int surviving = group.members().size() - lost.size();
-		final boolean wanted = this.input.manifest()
+		final int freeInstances = this.free.count(pool, group.fabricDomain());
+		final int surviving = group.members().size() - lostMembers.size();
+		final boolean neededElsewhere = this.input.manifest()
 			.models()
 			.stream()
 			.anyMatch((model) -> !model.name().equals(group.model()) && model.pool().equals(pool)
-					&& this.draft.missingReplicas(model.name()) > 0 && model.members() <= spare + surviving);
-		final int accelerators = group.accelerators() - lost.stream().mapToInt(Member::accelerators).sum();
-		final int drained = this.input.manifest()
+					&& this.draft.missingReplicas(model.name()) > 0 && model.members() <= freeInstances + surviving);
+		final int accelerators = group.accelerators() - lostMembers.stream().mapToInt(Member::accelerators).sum();
+		final int acceleratorsToDrain = this.input.manifest()
 			.model(group.model())
 			.flatMap((model) -> InstanceReclaimer.groupsToDrain(this.input, this.draft, model, group.fabricDomain(),
-					spare + surviving))
+					freeInstances + surviving))
 			.map((drains) -> drains.stream().mapToInt(GroupState::accelerators).sum())
 			.orElse(MemberLoss.NOT_RECLAIMABLE);
-		return new MemberLoss(absentNanos, this.memory.expectedLoadNanos(group.model()), accelerators,
-				group.accelerators(), spare >= lost.size(), drained, wanted, this.input.manifest().weights());
+		return new MemberLoss(incompleteNanos, this.memory.expectedLoadNanos(group.model()), accelerators,
+				group.accelerators(), freeInstances >= lostMembers.size(), acceleratorsToDrain, neededElsewhere,
+				this.input.manifest().weights());
 	}
 
 	private void decideResponsive(GroupState group, PlannerEpoch planner) {
@@ -201,8 +208,9 @@
 		}
 	}
 
-	// One group a time, the oldest, and only while none drains or loads: the others serve
-	// meanwhile, and all planners agree on which it is.
+	// Rolling update: one group at a time, the oldest first, and only while no other
+	// group of the model drains or loads. The other groups serve meanwhile, and all
+	// planners select the same group.
 	private boolean isNextToUpdate(GroupState group) {
 		for (final GroupState other : this.input.fleet().groups().values()) {
 			if (!other.model().equals(group.model()) || other.groupId().equals(group.groupId())) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLoad.java
@@ -1,11 +1,11 @@
 package org.pistachioline.core.planner;
 
 /**
- * How busy a group said to be.
+ * The load that a group reported.
  *
- * @param running how many requests it runs, from all daemons
- * @param waiting how many wait there
- * @param probedAtNanos the monotonic time from before it was asked
+ * @param running the number of requests that it runs, from all daemons
+ * @param waiting the number of requests that wait there
+ * @param probedAtNanos the monotonic time just before the probe that reported it
  */
 public record GroupLoad(int running, int waiting, long probedAtNanos) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlacement.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlacement.java
@@ -17,21 +17,23 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Lays out new groups on the free instances.
+ * Places new groups on the free instances.
  * <p>
- * Made for the morning after, when many groups are missing at once. A group goes where
- * the model has the fewest in the availability zone, so that a lost zone takes the least,
- * and there into the fabric domain where it leaves the fewest instances over, so that
- * whole domains stay free for large groups. The weight store's rate bounds how many loads
- * begin in a minute: more at once would make every one of them slower.
+ * Many groups may be missing at once, for example after an outage. A group goes to the
+ * availability zone in which its model has the fewest groups, so that the loss of a zone
+ * takes as few as possible, and there to the fabric domain in which it leaves the fewest
+ * free instances, so that whole domains stay free for large groups. The rate of the
+ * weight store bounds how many loads start within a minute, since more concurrent loads
+ * would slow down all of them.
  */
 final class GroupPlacement {
 
-	/** More records in one plan than this wait for the next. */
+	/** Further formations are left to the next plan. */
 	private static final int MAX_FORMATIONS_PER_PLAN = 16;
 
 	/**
-	 * A domain that is chosen for this long without a group being formed is passed over.
+	 * A domain in which no group is formed within this time after it was selected is
+	 * skipped.
 	 */
 	private static final long FORMATION_TIMEOUT_NANOS = 30_000_000_000L;
 
@@ -68,11 +70,10 @@
 		this.groupsByModelAndZone.merge(model + '\n' + zone, 1, Integer::sum);
 	}
 
-	// First every model gets its least number, and room is made where one cannot; only
-	// then
-	// do busy models get more. Within each the models take turns, the larger groups
-	// first, as
-	// they fit into fewer places.
+	// Every model first gets its minimum number of groups, and groups of other
+	// models are drained where a model cannot. Only then do models with more demand
+	// get further groups. In each step the models take turns, those with larger
+	// groups first, because these fit into fewer domains.
 	void placeGroups() {
 		final List<ModelSpec> models = this.input.manifest()
 			.models()
@@ -88,28 +89,29 @@
 		placeGroups(models, (model) -> this.draft.missingReplicas(model.name()) > 0);
 	}
 
-	private void placeGroups(List<ModelSpec> models, Predicate<ModelSpec> wants) {
-		boolean progress = true;
-		while (progress) {
-			progress = false;
+	private void placeGroups(List<ModelSpec> models, Predicate<ModelSpec> needsGroup) {
+		boolean placedAny = true;
+		while (placedAny) {
+			placedAny = false;
 			for (final ModelSpec model : models) {
-				if (this.formationCount < MAX_FORMATIONS_PER_PLAN && wants.test(model) && place(model)) {
+				if (this.formationCount < MAX_FORMATIONS_PER_PLAN && needsGroup.test(model) && place(model)) {
 					this.formationCount++;
-					progress = true;
+					placedAny = true;
 				}
 			}
 		}
 	}
 
-	// A group larger than a minute's loads must still be formed, alone.
+	// A group with more members than the loads per minute must still be formed; it
+	// then is the only one that loads.
 	private boolean isRateLimited(ModelSpec model) {
-		final int paced = this.plannedLoadsByPool.getOrDefault(model.pool(), 0)
+		final int recentLoads = this.plannedLoadsByPool.getOrDefault(model.pool(), 0)
 				+ this.memory.loadsStartedWithinMinute(model.pool(), this.input.nowNanos());
 		final double perMinute = this.input.manifest()
 			.pool(model.pool())
 			.map(PoolSpec::weightStoreLoadsPerMinute)
 			.orElse(0.0);
-		return paced > 0 && paced + model.members() > perMinute;
+		return recentLoads > 0 && recentLoads + model.members() > perMinute;
 	}
 
 	private boolean place(ModelSpec model) {
@@ -147,15 +149,16 @@
 		return best;
 	}
 
-	// Its planner is gone, or knows that instances there do not answer. Only a domain
-	// that
-	// is the choice is noted, and for as long as the same number of instances stays free.
+	// The domain's planner may have failed, or may know that instances there do not
+	// respond. Only the domain that was selected is tracked, and only while its
+	// number of free instances stays the same.
 	private boolean isFormationOverdue(ModelSpec model, String domain) {
 		if (this.input.ownEpoch(domain).isPresent()) {
 			return false;
 		}
-		final String what = "chosen " + model.name() + ' ' + domain + ' ' + this.free.count(model.pool(), domain);
-		return this.input.nowNanos() - this.memory.sinceNanos(what, this.input.nowNanos()) >= FORMATION_TIMEOUT_NANOS;
+		final String condition = "chosen " + model.name() + ' ' + domain + ' ' + this.free.count(model.pool(), domain);
+		return this.input.nowNanos()
+				- this.memory.sinceNanos(condition, this.input.nowNanos()) >= FORMATION_TIMEOUT_NANOS;
 	}
 
 	private void proposeFormation(ModelSpec model, String domain, List<Instance> instances) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
@@ -18,10 +18,10 @@
 /**
  * Forms, drains and dissolves groups so that each model has as many as its demand needs.
  * <p>
- * All planners see the same log and the same list, and each lays out the same groups in
- * the same order; each proposes only what falls into its own fabric domains. So two of
- * them seldom form the same group twice, and where their views differ for a moment the
- * model has one group too many, which is drained again.
+ * All planners read the same log and the same instance list, and each computes the
+ * placement of all groups in the same order, but proposes only the changes in its own
+ * fabric domains. Two planners therefore rarely form the same group twice. Where their
+ * views differ temporarily, a model may get one group too many, which is drained again.
  */
 public final class GroupPlanner implements Planner {
 
@@ -41,21 +41,21 @@
 		final PlanDraft draft = new PlanDraft(input);
 		final Map<String, List<GroupState>> byModel = new TreeMap<>(
 				input.fleet().groups().values().stream().collect(Collectors.groupingBy(GroupState::model)));
-		final Collection<GroupState> mine = input.fleet()
+		final Collection<GroupState> ownGroups = input.fleet()
 			.groups()
 			.values()
 			.stream()
 			.filter((group) -> input.ownEpoch(group.fabricDomain()).isPresent())
 			.toList();
-		draft.unreachableDomains().addAll(UnreachableDomains.find(input, memory, mine));
-		final GroupLifecycle review = new GroupLifecycle(input, memory, draft, this.lossPolicy);
+		draft.unreachableDomains().addAll(UnreachableDomains.find(input, memory, ownGroups));
+		final GroupLifecycle lifecycle = new GroupLifecycle(input, memory, draft, this.lossPolicy);
 		for (final ModelSpec model : input.manifest().models()) {
 			final List<GroupState> groups = byModel.getOrDefault(model.name(), List.of());
 			final int desired = ReplicaAutoscaler.desiredReplicas(input, memory, model, groups);
-			draft.setReplicaCounts(model, desired, review.countReplicas(groups));
+			draft.setReplicaCounts(model, desired, lifecycle.countReplicas(groups));
 		}
-		for (final GroupState group : sortedByEpoch(mine)) {
-			review.decide(group);
+		for (final GroupState group : sortedByEpoch(ownGroups)) {
+			lifecycle.decide(group);
 		}
 		drainExcess(input, draft, byModel);
 		new GroupPlacement(input, memory, draft).placeGroups();
@@ -70,7 +70,8 @@
 		return sorted;
 	}
 
-	// The newest go first: they have the least cached, and all planners agree on them.
+	// The newest groups are drained first: they have the least in their caches, and
+	// all planners select the same ones.
 	private static void drainExcess(PlannerInput input, PlanDraft draft, Map<String, List<GroupState>> byModel) {
 		for (final ModelSpec model : input.manifest().models()) {
 			final List<GroupState> groups = sortedByEpoch(byModel.getOrDefault(model.name(), List.of())).stream()
@@ -102,11 +103,11 @@
 		if (input.unresponsiveIds().contains(instance.id())) {
 			return "it does not answer";
 		}
-		final Set<String> shortOf = draft.modelsBelowDesired(instance.pool());
-		if (shortOf.isEmpty()) {
+		final Set<String> modelsWithTooFew = draft.modelsBelowDesired(instance.pool());
+		if (modelsWithTooFew.isEmpty()) {
 			return "no model of its pool needs another replica";
 		}
-		return "no group can be formed here now for " + String.join(", ", shortOf) + ": "
+		return "no group can be formed here now for " + String.join(", ", modelsWithTooFew) + ": "
 				+ draft.blockReason(instance.pool(), instance.fabricDomain());
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/InstanceReclaimer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/InstanceReclaimer.java
@@ -16,22 +16,19 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Makes room for a model that lacks its least number of groups, by draining groups that
- * other models have beyond theirs.
+ * Drains groups that other models have beyond their minimum, to free instances for a
+ * model that has too few groups.
  * <p>
- * Made for a fabric domain whose instances were lent to a busy model while a member of
- * another was missing. It drains as few groups as will do, in one domain, and keeps what
- * comes free there for the model that lacks it.
+ * This happens where instances of a fabric domain were given to a model with high demand
+ * while another model lacked a member. As few groups as possible are drained, in one
+ * domain, and the freed instances are reserved for the model that needs them.
  */
 final class InstanceReclaimer {
 
-	/** The time from a drain to the dissolution when nothing runs. */
+	/** The time from the drain of a group without requests to its dissolution. */
 	static final long IDLE_DRAIN_NANOS = 5_000_000_000L;
 
-	/**
-	 * However the weights stand, a model below its least number is not kept waiting
-	 * longer.
-	 */
+	/** The longest wait of a model with too few groups, whatever the weights are. */
 	private static final long MAX_WAIT_NANOS = 1_800_000_000_000L;
 
 	private final PlannerInput input;
@@ -57,7 +54,7 @@
 
 	void reclaimFor(ModelSpec model) {
 		final long nowNanos = this.input.nowNanos();
-		final long belowNanos = nowNanos - this.memory.sinceNanos("below " + model.name(), nowNanos);
+		final long belowMinimumNanos = nowNanos - this.memory.sinceNanos("below " + model.name(), nowNanos);
 		final Set<String> domains = new TreeSet<>();
 		this.input.instances()
 			.stream()
@@ -67,12 +64,12 @@
 		domains.removeAll(this.reservedDomains);
 		final Map<String, List<GroupState>> drainsByDomain = new HashMap<>();
 		domains.forEach(
-				(domain) -> groupsToDrain(model, domain).ifPresent((drains) -> drainsByDomain.put(domain, drains)));
+				(domain) -> groupsToDrain(model, domain).ifPresent((groups) -> drainsByDomain.put(domain, groups)));
 		drainsByDomain.keySet()
 			.stream()
 			.min(Comparator.comparingInt((String domain) -> drainsByDomain.get(domain).size())
 				.thenComparing(Comparator.naturalOrder()))
-			.filter((domain) -> belowNanos >= waitNanos(model, drainsByDomain.get(domain)))
+			.filter((domain) -> belowMinimumNanos >= waitNanos(model, drainsByDomain.get(domain)))
 			.ifPresent((domain) -> {
 				this.reservedDomains.add(domain);
 				this.input.ownEpoch(domain)
@@ -82,59 +79,58 @@
 			});
 	}
 
-	// Room costs the accelerators of the drained groups until the new one has loaded. The
-	// model waits until its downtime, and the free accelerators that lie idle until it
-	// has
-	// room, have cost as much, by the weights.
+	// Reclaiming costs the accelerators of the drained groups until the new group
+	// has loaded. The model waits until its downtime, and the free accelerators that
+	// stay unused meanwhile, have cost the same by the operators' weights.
 	private long waitNanos(ModelSpec model, List<GroupState> drains) {
 		if (drains.isEmpty()) {
 			return 0;
 		}
 		final int accelerators = drains.stream().mapToInt(GroupState::accelerators).sum();
 		final WeightSpec weights = this.input.manifest().weights();
-		final int idle = this.free.accelerators(model.pool(), drains.get(0).fabricDomain());
+		final int idleAccelerators = this.free.accelerators(model.pool(), drains.get(0).fabricDomain());
 		final double ratio = weights.strandedAccelerators() * accelerators
-				/ (weights.groupDowntime() + weights.strandedAccelerators() * idle);
+				/ (weights.groupDowntime() + weights.strandedAccelerators() * idleAccelerators);
 		return (long) Math.min(MAX_WAIT_NANOS,
 				ratio * (IDLE_DRAIN_NANOS + this.memory.expectedLoadNanos(model.name())));
 	}
 
-	// The groups to drain so that the model fits; none where draining ones suffice; empty
-	// where it cannot fit.
+	// Returns the groups to drain so that the model fits: an empty list where the
+	// groups that already drain suffice, and no value where it cannot fit.
 	private Optional<List<GroupState>> groupsToDrain(ModelSpec model, String domain) {
 		return groupsToDrain(this.input, this.draft, model, domain, this.free.count(model.pool(), domain));
 	}
 
 	static Optional<List<GroupState>> groupsToDrain(PlannerInput input, PlanDraft draft, ModelSpec model, String domain,
 			int freeInstances) {
-		int room = freeInstances;
-		final List<GroupState> extra = new ArrayList<>();
+		int availableInstances = freeInstances;
+		final List<GroupState> surplus = new ArrayList<>();
 		for (final GroupState group : input.fleet().groups().values()) {
 			if (!group.fabricDomain().equals(domain)) {
 				continue;
 			}
 			if (group.draining()) {
-				room += countResponsive(input, group);
+				availableInstances += countResponsive(input, group);
 			}
 			else if (isSurplus(input, draft, model, group)) {
-				extra.add(group);
+				surplus.add(group);
 			}
 		}
-		extra.sort(Comparator.comparingLong((GroupState group) -> -group.epoch()));
+		surplus.sort(Comparator.comparingLong((GroupState group) -> -group.epoch()));
 		final List<GroupState> drains = new ArrayList<>();
-		for (final GroupState group : extra) {
-			if (room < model.members()) {
+		for (final GroupState group : surplus) {
+			if (availableInstances < model.members()) {
 				drains.add(group);
-				room += countResponsive(input, group);
+				availableInstances += countResponsive(input, group);
 			}
 		}
-		return (room >= model.members()) ? Optional.of(drains) : Optional.empty();
+		return (availableInstances >= model.members()) ? Optional.of(drains) : Optional.empty();
 	}
 
-	private static boolean isSurplus(PlannerInput input, PlanDraft draft, ModelSpec needy, GroupState group) {
+	private static boolean isSurplus(PlannerInput input, PlanDraft draft, ModelSpec beneficiary, GroupState group) {
 		return input.manifest()
 			.model(group.model())
-			.filter((model) -> model.pool().equals(needy.pool()) && !model.name().equals(needy.name())
+			.filter((model) -> model.pool().equals(beneficiary.pool()) && !model.name().equals(beneficiary.name())
 					&& draft.countedReplicas(model.name()) > model.minReplicas())
 			.isPresent() && !draft.hasUnresponsiveMember(group);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
@@ -20,17 +20,18 @@
 import org.pistachioline.core.state.PlannerEpoch;
 
 /**
- * Decides which orders the engines of this planner's fabric domains need now, by
- * comparing what is agreed with what each engine says that it holds.
+ * Decides which orders the engines of this planner's fabric domains need, by comparing
+ * the groups in the log with the state that each engine reports.
  * <p>
- * Made for planners that pause, are replaced, and wake. An engine that checks fencing
- * numbers refuses what the old one still sends. For those that ignore them three rules
- * hold: no order on a view of the log older than a bound, counted from before the read;
- * no order by a new planner before the old one's last could have expired; and every order
- * is read back and given again until the engine holds what is agreed. A planner that
- * pauses after the first check and before the bytes leave can still send one old order;
- * then the read-back shows another epoch, the group's proof fails, and the order is
- * repeated.
+ * A planner may pause, be replaced, and resume. Engines that check fencing tokens refuse
+ * its late orders. For engines that ignore them, three rules limit the damage: no order
+ * is sent on a view of the log that is older than a bound, counted from before the read;
+ * a new planner sends no order before the last one of its predecessor has expired; and
+ * the state of every engine is read back, and the order is sent again until the engine is
+ * in the state that the log asks for. A planner that pauses between the last check and
+ * the write to the socket can still send one stale order. The read-back then shows
+ * another epoch, the group is no longer proven to be present, and the right order is sent
+ * again.
  */
 public final class OrderDecider {
 
@@ -44,8 +45,8 @@
 
 	/**
 	 * Creates a decider.
-	 * @param writer this planner's name as a writer on the log
-	 * @param limits the times to keep
+	 * @param writer this planner's writer name on the log
+	 * @param limits the time limits of orders
 	 */
 	public OrderDecider(String writer, OrderLimits limits) {
 		this.writer = writer;
@@ -53,8 +54,8 @@
 	}
 
 	/**
-	 * Decides.
-	 * @param input all that is known
+	 * Returns the orders to send now; none while the view of the log is too old.
+	 * @param input the current knowledge about groups and engines
 	 * @return the orders to send now
 	 */
 	public List<EngineCommand> decide(OrderInput input) {
@@ -81,44 +82,45 @@
 	}
 
 	/**
-	 * Returns whether a view of the log is fresh enough to act on; asked again just
-	 * before the bytes leave.
-	 * @param viewReadAtNanos the monotonic time from before the read
+	 * Returns whether a view of the log is recent enough to act on. Senders check again
+	 * just before an order is written to the socket.
+	 * @param viewReadAtNanos the monotonic time just before the read
 	 * @param nowNanos the monotonic time
-	 * @return whether it is
+	 * @return whether the view is recent enough
 	 */
 	public boolean isViewFresh(long viewReadAtNanos, long nowNanos) {
 		return nowNanos - viewReadAtNanos <= this.limits.maxViewAgeNanos();
 	}
 
 	/**
-	 * Returns the fabric domains whose engines get no orders yet, as the last planner's
-	 * may still arrive.
+	 * Returns the fabric domains in which engines that ignore fencing tokens get no
+	 * orders yet, because the previous planner's orders may still arrive.
 	 * @param nowNanos the monotonic time
 	 * @return the fabric domains
 	 */
 	public Set<String> domainsInHandOver(long nowNanos) {
 		final Set<String> domains = new HashSet<>();
-		this.acceptedClaims.forEach((domain, claimed) -> {
-			if (nowNanos - claimed.firstSeenAtNanos() < this.limits.handOverNanos()) {
+		this.acceptedClaims.forEach((domain, claim) -> {
+			if (nowNanos - claim.firstSeenAtNanos() < this.limits.handOverNanos()) {
 				domains.add(domain);
 			}
 		});
 		return domains;
 	}
 
-	// The wait counts from when the claim was seen accepted, which is after it was.
+	// The wait starts when this planner sees its claim in the log, which is after it
+	// was accepted.
 	private void trackClaims(OrderInput input) {
 		this.acceptedClaims.keySet().removeIf((domain) -> !isPlannedHere(input.fleet(), domain));
 		input.fleet().planners().forEach((domain, planner) -> {
-			final AcceptedClaim claimed = this.acceptedClaims.get(domain);
-			if (isPlannedHere(input.fleet(), domain) && (claimed == null || claimed.epoch() != planner.epoch())) {
+			final AcceptedClaim claim = this.acceptedClaims.get(domain);
+			if (isPlannedHere(input.fleet(), domain) && (claim == null || claim.epoch() != planner.epoch())) {
 				this.acceptedClaims.put(domain, new AcceptedClaim(planner.epoch(), input.nowNanos()));
 			}
 		});
-		final Set<String> listed = new HashSet<>(input.fleet().owners().keySet());
-		input.instances().forEach((instance) -> listed.add(instance.id()));
-		this.lastSentAtNanos.keySet().retainAll(listed);
+		final Set<String> knownIds = new HashSet<>(input.fleet().owners().keySet());
+		input.instances().forEach((instance) -> knownIds.add(instance.id()));
+		this.lastSentAtNanos.keySet().retainAll(knownIds);
 	}
 
 	private boolean isPlannedHere(FleetState fleet, String domain) {
@@ -127,19 +129,19 @@
 	}
 
 	private boolean maySendOrders(OrderInput input, String domain, String pool) {
-		final AcceptedClaim claimed = this.acceptedClaims.get(domain);
-		if (claimed == null) {
+		final AcceptedClaim claim = this.acceptedClaims.get(domain);
+		if (claim == null) {
 			return false;
 		}
-		final boolean checked = input.manifest().pool(pool).filter(PoolSpec::checksFencing).isPresent();
-		return checked || input.nowNanos() - claimed.firstSeenAtNanos() >= this.limits.handOverNanos();
+		final boolean checksFencing = input.manifest().pool(pool).filter(PoolSpec::checksFencing).isPresent();
+		return checksFencing || input.nowNanos() - claim.firstSeenAtNanos() >= this.limits.handOverNanos();
 	}
 
 	private static String poolOf(OrderInput input, GroupState group) {
-		final String first = group.members().get(0).instanceId();
+		final String instanceId = group.members().get(0).instanceId();
 		return input.instances()
 			.stream()
-			.filter((instance) -> instance.id().equals(first))
+			.filter((instance) -> instance.id().equals(instanceId))
 			.map(Instance::pool)
 			.findFirst()
 			.orElse("");
@@ -156,9 +158,9 @@
 		addUnlessRecent(input, new EngineCommand(member.instanceId(), member.address(), order), commands);
 	}
 
-	private static boolean matchesOrder(EngineState held, GroupState group, int rank) {
-		return held.groupId().equals(group.groupId()) && held.fencingToken() == group.epoch() && held.rank() == rank
-				&& held.phase() != EnginePhase.FREE;
+	private static boolean matchesOrder(EngineState state, GroupState group, int rank) {
+		return state.groupId().equals(group.groupId()) && state.fencingToken() == group.epoch() && state.rank() == rank
+				&& state.phase() != EnginePhase.FREE;
 	}
 
 	private void orderUnload(OrderInput input, Instance instance, List<EngineCommand> commands) {
@@ -166,18 +168,18 @@
 		if (proof == null || proof.state().phase() == EnginePhase.FREE) {
 			return;
 		}
-		final EngineState held = proof.state();
-		final long epoch = Math.max(held.fencingToken(), input.fleet().lastEpochs().getOrDefault(instance.id(), 0L));
+		final EngineState state = proof.state();
+		final long epoch = Math.max(state.fencingToken(), input.fleet().lastEpochs().getOrDefault(instance.id(), 0L));
 		addUnlessRecent(input, new EngineCommand(instance.id(), instance.address(),
-				new EngineOrder(false, held.groupId(), epoch, 0, 0, held.model(), this.limits.lifetimeMillis())),
+				new EngineOrder(false, state.groupId(), epoch, 0, 0, state.model(), this.limits.lifetimeMillis())),
 				commands);
 	}
 
-	// Given again only after it had time to work: else an engine that is slow to answer
-	// would get the same order at each tick.
+	// Resends only after an interval: otherwise an engine that responds slowly would
+	// get the same order on each tick.
 	private void addUnlessRecent(OrderInput input, EngineCommand command, List<EngineCommand> commands) {
-		final Long sent = this.lastSentAtNanos.get(command.instanceId());
-		if (sent == null || input.nowNanos() - sent >= this.limits.resendIntervalNanos()) {
+		final Long sentAtNanos = this.lastSentAtNanos.get(command.instanceId());
+		if (sentAtNanos == null || input.nowNanos() - sentAtNanos >= this.limits.resendIntervalNanos()) {
 			this.lastSentAtNanos.put(command.instanceId(), input.nowNanos());
 			commands.add(command);
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderInput.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderInput.java
@@ -10,16 +10,17 @@
 import org.pistachioline.core.state.FleetState;
 
 /**
- * All that the giving of orders depends on.
+ * Everything that the decision on orders depends on.
  *
  * @param nowNanos the monotonic time
- * @param viewReadAtNanos the monotonic time from before the read that gave the state
+ * @param viewReadAtNanos the monotonic time just before the read of the log that gave the
+ * state
  * @param manifest the manifest in force
- * @param fleet the agreed state
+ * @param fleet the fleet state from the log
  * @param instances the instances as the platform lists them
- * @param provenEpochs the epochs of the groups of which every member is proven to hold
- * its place
- * @param proofsByInstance what each instance last said that it holds, by id
+ * @param provenEpochs the epochs of the groups of which every member is proven to be
+ * ready at its rank
+ * @param proofsByInstance the last probe response of each instance, by id
  */
 public record OrderInput(long nowNanos, long viewReadAtNanos, Manifest manifest, FleetState fleet,
 		List<Instance> instances, Set<Long> provenEpochs, Map<String, PresenceProof> proofsByInstance) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/Plan.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/Plan.java
@@ -7,17 +7,21 @@
 import org.pistachioline.core.record.RecordBody;
 
 /**
- * What a planner proposes, and why things are as they are.
+ * The records that a planner proposes, and the reasons for the state of each group and
+ * free instance.
  *
  * @param records the records to propose
- * @param groupReasons why each group of its domains is in its state, by group id
- * @param freeReasons why each free instance of its domains is not used, by instance id
- * @param unreachableDomains the fabric domains in which changes wait
+ * @param groupReasons the reason for the state of each group in the planner's domains, by
+ * group id
+ * @param freeReasons why each free instance of the planner's domains is unused, by
+ * instance id
+ * @param unreachableDomains the fabric domains in which changes are deferred because many
+ * instances are unresponsive
  */
 public record Plan(List<RecordBody> records, Map<String, String> groupReasons, Map<String, String> freeReasons,
 		Set<String> unreachableDomains) {
 
-	/** Nothing is proposed, and nothing is known. */
+	/** A plan without records and reasons. */
 	public static final Plan EMPTY = new Plan(List.of(), Map.of(), Map.of(), Set.of());
 
 	public Plan {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlanDraft.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlanDraft.java
@@ -15,7 +15,7 @@
 import org.pistachioline.core.state.PlannerEpoch;
 
 /**
- * A plan while it is being made.
+ * Collects the records and reasons of a plan while it is computed.
  */
 final class PlanDraft {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/Planner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/Planner.java
@@ -1,15 +1,15 @@
 package org.pistachioline.core.planner;
 
 /**
- * Decides on groups in the fabric domains that the writer plans.
+ * Decides on the groups of the fabric domains that a daemon plans.
  */
 public interface Planner {
 
 	/**
-	 * Decides.
-	 * @param input all that is known
-	 * @param memory what was noted at earlier decisions, brought up to date by this one
-	 * @return what to propose
+	 * Computes a plan.
+	 * @param input the current knowledge about the fleet
+	 * @param memory the state kept between plans, updated by this call
+	 * @return the records to propose, with reasons
 	 */
 	Plan plan(PlannerInput input, PlannerMemory memory);
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerElection.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerElection.java
@@ -7,17 +7,20 @@
 import org.pistachioline.core.state.PlannerEpoch;
 
 /**
- * Decides when this daemon claims a fabric domain.
+ * Decides when this daemon claims the planner role of a fabric domain.
  * <p>
- * The daemons agree on a planner by rendezvous hashing of those that they think live.
- * Their views differ for a while after each restart; were every difference followed at
- * once, two daemons could take the domain from each other in turn, and each turn costs a
- * hand-over wait. So a live planner is replaced only when another was preferred for some
- * time; one that is gone, at once.
+ * The daemons agree on a planner by rendezvous hashing over the live daemons. Their views
+ * of the live daemons differ for some time after each restart. If every difference led to
+ * a claim at once, two daemons could take the domain from each other in turn, and each
+ * change costs a hand-over wait. A live planner is therefore replaced only after another
+ * daemon was preferred for some time; a failed one is replaced at once.
  */
 public final class PlannerElection {
 
-	/** Longer than a change of the live daemons takes to go round a small fleet. */
+	/**
+	 * Longer than gossip needs to spread a change of the live daemons through a small
+	 * fleet.
+	 */
 	private static final long PREFERENCE_HOLD_NANOS = 15_000_000_000L;
 
 	private final String selfId;
@@ -28,8 +31,8 @@
 
 	/**
 	 * Creates an election.
-	 * @param selfId this daemon's name
-	 * @param writer its name as a writer on the log
+	 * @param selfId this daemon's id
+	 * @param writer this daemon's writer name on the log
 	 */
 	public PlannerElection(String selfId, String writer) {
 		this.selfId = selfId;
@@ -39,8 +42,8 @@
 	/**
 	 * Returns whether to claim a fabric domain now.
 	 * @param domain the fabric domain
-	 * @param current who plans it; null for nobody
-	 * @param liveDaemons the names of the live daemons
+	 * @param current its current planner; null if it has none
+	 * @param liveDaemons the ids of the live daemons
 	 * @param nowNanos the monotonic time
 	 * @return whether to claim it
 	 */
@@ -54,19 +57,19 @@
 		if (current == null) {
 			return true;
 		}
-		final String daemon = daemonIdOf(current.writer());
-		final boolean gone = daemon.equals(this.selfId) || !liveDaemons.contains(daemon);
-		return gone || nowNanos - sinceNanos >= PREFERENCE_HOLD_NANOS;
+		final String currentId = daemonIdOf(current.writer());
+		final boolean failed = currentId.equals(this.selfId) || !liveDaemons.contains(currentId);
+		return failed || nowNanos - sinceNanos >= PREFERENCE_HOLD_NANOS;
 	}
 
 	/**
-	 * Returns the daemon behind a writer.
-	 * @param writer the writer's name on the log
-	 * @return the daemon's name
+	 * Returns the id of the daemon that uses a writer name.
+	 * @param writer the writer name on the log
+	 * @return the daemon's id
 	 */
 	public static String daemonIdOf(String writer) {
-		final int mark = writer.lastIndexOf('#');
-		return (mark < 0) ? writer : writer.substring(0, mark);
+		final int separator = writer.lastIndexOf('#');
+		return (separator < 0) ? writer : writer.substring(0, separator);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerInput.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerInput.java
@@ -11,17 +11,18 @@
 import org.pistachioline.core.state.PlannerEpoch;
 
 /**
- * All that a planner knows when it decides.
+ * Everything that a planner bases a plan on.
  *
  * @param nowNanos the monotonic time
- * @param writer the planner's name as a writer on the log
+ * @param writer the planner's writer name on the log
  * @param manifest the manifest in force
- * @param configVersion its version
- * @param fleet the agreed groups
+ * @param configVersion the manifest's version
+ * @param fleet the fleet state from the log
  * @param instances the instances as the platform lists them
- * @param missingRanks the missing ranks of each group that lacks any, by group id
- * @param loads how busy each known group is, by group id
- * @param unresponsiveIds the instances of this planner's domains that do not answer
+ * @param missingRanks the missing ranks of each incomplete group, by group id
+ * @param loads the last reported load of each group, by group id
+ * @param unresponsiveIds the ids of the instances in this planner's domains that do not
+ * respond to probes
  */
 public record PlannerInput(long nowNanos, String writer, Manifest manifest, long configVersion, FleetState fleet,
 		List<Instance> instances, Map<String, List<Integer>> missingRanks, Map<String, GroupLoad> loads,
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerMemory.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerMemory.java
@@ -10,17 +10,21 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * What a planner notes between decisions: since when something has been so.
+ * Holds what a planner remembers between plans, such as the times since which conditions
+ * hold.
  * <p>
- * It is lost when the planner is replaced, and starts empty at the next one. Every wait
- * then begins anew, so that a loss of it delays a change and never hastens one.
+ * The memory is not persisted and starts empty at the next planner. Every wait then
+ * starts again, so that its loss can delay a change but never cause one early.
  */
 public final class PlannerMemory {
 
-	/** How long a model takes to load until it was seen to. */
+	/** The load time that is assumed until a load of the model was observed. */
 	private static final long INITIAL_LOAD_ESTIMATE_NANOS = 60_000_000_000L;
 
-	/** A planner that just took a domain has not heard of its members yet. */
+	/**
+	 * The time in which a planner that just took over a domain does not rely on missing
+	 * responses, since its members have not been probed for long enough.
+	 */
 	private static final long TAKEOVER_NANOS = 5_000_000_000L;
 
 	private static final double LOAD_SAMPLE_WEIGHT = 0.5;
@@ -44,8 +48,8 @@
 	private boolean started;
 
 	/**
-	 * Notes what the agreed groups show.
-	 * @param input all that is known
+	 * Updates the memory from the groups in the log.
+	 * @param input the input of the plan
 	 */
 	void startPass(PlannerInput input) {
 		this.queriedConditions.clear();
@@ -53,8 +57,8 @@
 		for (final GroupState group : input.fleet().groups().values()) {
 			epochs.add(group.epoch());
 			final boolean missing = input.missingRanks().containsKey(group.groupId());
-			// A planner that starts cannot tell when a loading group began; it counts as
-			// now.
+			// A new planner cannot tell when the load of a group started and counts
+			// it from now.
 			if (this.firstSeenAtNanos.putIfAbsent(group.epoch(), input.nowNanos()) == null
 					&& (this.started || missing)) {
 				recordLoads(input, group);
@@ -69,7 +73,7 @@
 	}
 
 	/**
-	 * Forgets all that was not asked about since the decision began.
+	 * Removes all conditions that were not queried since the pass started.
 	 */
 	void endPass() {
 		this.conditionSinceNanos.keySet().retainAll(this.queriedConditions);
@@ -83,16 +87,16 @@
 	}
 
 	private void updateLoadEstimate(GroupState group, long nowNanos) {
-		final long tookNanos = nowNanos - this.firstSeenAtNanos.get(group.epoch());
-		this.expectedLoadNanosByModel.merge(group.model(), tookNanos,
-				(known, took) -> (long) (known + LOAD_SAMPLE_WEIGHT * (took - known)));
+		final long durationNanos = nowNanos - this.firstSeenAtNanos.get(group.epoch());
+		this.expectedLoadNanosByModel.merge(group.model(), durationNanos,
+				(estimate, sample) -> (long) (estimate + LOAD_SAMPLE_WEIGHT * (sample - estimate)));
 	}
 
 	/**
-	 * Returns how many member loads of a pool began within the last minute.
+	 * Returns how many member loads of a pool started within the last minute.
 	 * @param pool the pool
 	 * @param nowNanos the monotonic time
-	 * @return how many
+	 * @return the number of loads
 	 */
 	int loadsStartedWithinMinute(String pool, long nowNanos) {
 		final Deque<StartedLoads> loads = this.recentLoadsByPool.computeIfAbsent(pool, (key) -> new ArrayDeque<>());
@@ -103,19 +107,21 @@
 	}
 
 	/**
-	 * Returns since when something has been so, which is now where it was not so before.
-	 * @param what what is so
+	 * Returns the time since which a condition has held; the current time if it did not
+	 * hold during the previous pass.
+	 * @param condition the key of the condition
 	 * @param nowNanos the monotonic time
-	 * @return since when
+	 * @return the monotonic time since which it holds
 	 */
-	long sinceNanos(String what, long nowNanos) {
-		this.queriedConditions.add(what);
-		return this.conditionSinceNanos.computeIfAbsent(what, (key) -> nowNanos);
+	long sinceNanos(String condition, long nowNanos) {
+		this.queriedConditions.add(condition);
+		return this.conditionSinceNanos.computeIfAbsent(condition, (key) -> nowNanos);
 	}
 
 	/**
-	 * Returns whether this planner has had a fabric domain for long enough to judge it.
-	 * @param domain the fabric domain, which it plans
+	 * Returns whether this planner has planned a fabric domain for long enough to rely on
+	 * missing responses.
+	 * @param domain the fabric domain, which this planner plans
 	 * @param nowNanos the monotonic time
 	 * @return whether it has
 	 */
@@ -135,8 +141,8 @@
 		return this.expectedLoadNanosByModel.getOrDefault(model, INITIAL_LOAD_ESTIMATE_NANOS);
 	}
 
-	int desiredReplicas(String model, int unlessKnown) {
-		return this.desiredByModel.getOrDefault(model, unlessKnown);
+	int desiredReplicas(String model, int defaultReplicas) {
+		return this.desiredByModel.getOrDefault(model, defaultReplicas);
 	}
 
 	void setDesiredReplicas(String model, int replicas) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/RendezvousHash.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/RendezvousHash.java
@@ -9,8 +9,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Assigns a thing to a few of many by rendezvous hashing, so that all who know the same
- * many agree, and one that comes or goes moves only its own share.
+ * Assigns a key to some of many candidates by rendezvous hashing: all callers with the
+ * same candidates select the same ones, and a candidate that is added or removed moves
+ * only its own share of the keys.
  */
 public final class RendezvousHash {
 
@@ -18,42 +19,43 @@
 	}
 
 	/**
-	 * Returns the first choice for a thing.
-	 * @param thing the thing
-	 * @param candidates who may have it
-	 * @return the first choice; empty where there is no candidate
+	 * Returns the candidate with the highest score for a key.
+	 * @param key the key
+	 * @param candidates the candidates
+	 * @return the selected candidate; empty if there are none
 	 */
-	public static Optional<String> select(String thing, Collection<String> candidates) {
+	public static Optional<String> select(String key, Collection<String> candidates) {
 		return candidates.stream()
-			.map((candidate) -> Scored.of(thing, candidate))
+			.map((candidate) -> Scored.of(key, candidate))
 			.max(Scored.ORDER)
 			.map(Scored::candidate);
 	}
 
 	/**
-	 * Returns the first few choices for a thing.
-	 * @param thing the thing
-	 * @param candidates who may have it
-	 * @param count how many
-	 * @return the choices, the first one first
+	 * Returns the candidates with the highest scores for a key.
+	 * @param key the key
+	 * @param candidates the candidates
+	 * @param count the maximum number of candidates to return
+	 * @return the selected candidates, in descending order of score
 	 */
-	public static List<String> select(String thing, Collection<String> candidates, int count) {
+	public static List<String> select(String key, Collection<String> candidates, int count) {
 		return candidates.stream()
-			.map((candidate) -> Scored.of(thing, candidate))
+			.map((candidate) -> Scored.of(key, candidate))
 			.sorted(Scored.ORDER.reversed())
 			.limit(count)
 			.map(Scored::candidate)
 			.toList();
 	}
 
-	// The hash is computed once for each candidate: a sort would ask for it many times.
+	// Holds the hash of each candidate so that a sort does not compute it for each
+	// comparison.
 	private record Scored(long score, String candidate) {
 
 		static final Comparator<Scored> ORDER = Comparator.comparingLong(Scored::score)
 			.thenComparing(Scored::candidate);
 
-		static Scored of(String thing, String candidate) {
-			final byte[] bytes = (thing + '\n' + candidate).getBytes(StandardCharsets.UTF_8);
+		static Scored of(String key, String candidate) {
+			final byte[] bytes = (key + '\n' + candidate).getBytes(StandardCharsets.UTF_8);
 			return new Scored(MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0], candidate);
 		}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/ReplicaAutoscaler.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/ReplicaAutoscaler.java
@@ -8,23 +8,28 @@
 /**
  * Decides how many groups a model should have.
  * <p>
- * Made for demand that is near nothing for weeks and then multiplies within minutes. It
- * grows soon, since callers wait, and by as many groups as the demand needs at once. It
- * shrinks late and by one group a time, since a storm comes in waves and each load costs
- * the weight store and minutes; the distance between the two keeps it from swinging.
+ * Demand may be close to zero for weeks and then multiply within minutes. Scaling up is
+ * fast and in one step, because callers wait. Scaling down is slow and by one group at a
+ * time, because peaks come in waves and each load takes minutes and uses the weight
+ * store. The distance between the two thresholds prevents oscillation.
  */
 final class ReplicaAutoscaler {
 
-	/** The use above which it grows: a batch this full makes first tokens wait. */
+	/**
+	 * The utilization above which a model is scaled up; batches this full delay first
+	 * tokens.
+	 */
 	private static final double SCALE_UP_RATIO = 0.8;
 
-	/** The use that it grows to, and under which it shrinks. */
+	/**
+	 * The utilization that a scale-up leads to, and below which a model is scaled down.
+	 */
 	private static final double DESIRED_UTILIZATION_RATIO = 0.6;
 
-	/** A burst shorter than this is left to the queues. */
+	/** Shorter bursts are absorbed by the queues. */
 	private static final long SCALE_UP_DELAY_NANOS = 10_000_000_000L;
 
-	/** Longer than the lull between two waves of a storm. */
+	/** Longer than the pause between two waves of a peak. */
 	private static final long SCALE_DOWN_DELAY_NANOS = 180_000_000_000L;
 
 	private ReplicaAutoscaler() {
@@ -32,38 +37,40 @@
 
 	static int desiredReplicas(PlannerInput input, PlannerMemory memory, ModelSpec model,
 			Collection<GroupState> groups) {
-		final int present = (int) groups.stream().filter((group) -> !group.draining()).count();
-		final int before = clamp(model, memory.desiredReplicas(model.name(), present));
-		int desired = before;
-		final double used = estimateUsedSlots(input, groups) / model.maxConcurrentRequests();
-		final int wanted = clamp(model, (int) Math.ceil(used / DESIRED_UTILIZATION_RATIO));
-		if (present > 0 && used > SCALE_UP_RATIO * present && wanted > before) {
+		final int activeGroups = (int) groups.stream().filter((group) -> !group.draining()).count();
+		final int current = clamp(model, memory.desiredReplicas(model.name(), activeGroups));
+		int desired = current;
+		final double usedGroups = estimateUsedSlots(input, groups) / model.maxConcurrentRequests();
+		final int required = clamp(model, (int) Math.ceil(usedGroups / DESIRED_UTILIZATION_RATIO));
+		if (activeGroups > 0 && usedGroups > SCALE_UP_RATIO * activeGroups && required > current) {
 			final long sinceNanos = memory.sinceNanos("over " + model.name(), input.nowNanos());
-			desired = (input.nowNanos() - sinceNanos >= SCALE_UP_DELAY_NANOS) ? wanted : before;
+			desired = (input.nowNanos() - sinceNanos >= SCALE_UP_DELAY_NANOS) ? required : current;
 		}
-		else if (wanted < before) {
-			// The count is part of the note: after each step the wait begins anew.
-			final long sinceNanos = memory.sinceNanos("under " + before + " " + model.name(), input.nowNanos());
-			desired = (input.nowNanos() - sinceNanos >= SCALE_DOWN_DELAY_NANOS) ? before - 1 : before;
+		else if (required < current) {
+			// The count is part of the condition, so that the delay starts again
+			// after each step.
+			final long sinceNanos = memory.sinceNanos("under " + current + " " + model.name(), input.nowNanos());
+			desired = (input.nowNanos() - sinceNanos >= SCALE_DOWN_DELAY_NANOS) ? current - 1 : current;
 		}
 		memory.setDesiredReplicas(model.name(), desired);
 		return desired;
 	}
 
-	// Groups of which nothing is known count as busy as the others.
+	// Groups without a reported load are assumed to have the average load of the
+	// others.
 	private static double estimateUsedSlots(PlannerInput input, Collection<GroupState> groups) {
-		int known = 0;
-		int live = 0;
-		double total = 0;
+		int reportingGroups = 0;
+		int activeGroups = 0;
+		double totalRequests = 0;
 		for (final GroupState group : groups) {
 			final GroupLoad load = input.loads().get(group.groupId());
-			live += group.draining() ? 0 : 1;
+			activeGroups += group.draining() ? 0 : 1;
 			if (load != null && !group.draining()) {
-				known++;
-				total += load.totalRequests();
+				reportingGroups++;
+				totalRequests += load.totalRequests();
 			}
 		}
-		return (known == 0) ? 0 : total * live / known;
+		return (reportingGroups == 0) ? 0 : totalRequests * activeGroups / reportingGroups;
 	}
 
 	private static int clamp(ModelSpec model, int replicas) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/UnreachableDomains.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/UnreachableDomains.java
@@ -11,61 +11,63 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Finds the fabric domains that went dark as a whole.
+ * Finds the fabric domains of which a large part is unresponsive at once; the dump of the
+ * plan lists them as dark domains.
  * <p>
- * Made for a switch, a rack or a zone that stops answering at once, or for a planner that
- * is itself cut off. Taken as many single losses, every group there would be dissolved
- * and formed anew elsewhere: all loads at once against a rate-limited weight store, for
- * instances that are back a minute later. So changes there wait, up to a bound that is
- * longer than a switch takes to restart; afterwards the losses count one by one.
+ * The cause is usually a failed switch, rack or zone, or a planner that is itself
+ * partitioned from the domain. If each loss were handled by itself, every group of the
+ * domain would be dissolved and formed again elsewhere: all of them would load at once
+ * from a rate-limited weight store, although the instances usually return within a
+ * minute. Changes to such a domain are therefore deferred, for longer than a switch takes
+ * to restart; after that, the losses are handled one by one.
  */
 final class UnreachableDomains {
 
-	/** The share of a domain's instances that must be silent. */
+	/** The share of a domain's instances that must be unresponsive. */
 	private static final double MIN_UNRESPONSIVE_RATIO = 0.5;
 
-	/** Fewer silent instances than this are single losses. */
+	/** Fewer unresponsive instances than this are handled as single losses. */
 	private static final int MIN_UNRESPONSIVE_INSTANCES = 2;
 
-	/** A switch restarts in two minutes or so. */
+	/** Longer than a switch takes to restart, which is about two minutes. */
 	private static final long MAX_DEFERRAL_NANOS = 180_000_000_000L;
 
 	private UnreachableDomains() {
 	}
 
-	static Set<String> find(PlannerInput input, PlannerMemory memory, Collection<GroupState> mine) {
+	static Set<String> find(PlannerInput input, PlannerMemory memory, Collection<GroupState> ownGroups) {
 		final Map<String, Integer> instances = new HashMap<>();
-		final Map<String, Integer> silent = new HashMap<>();
-		final Set<String> counted = new HashSet<>();
-		for (final GroupState group : mine) {
+		final Map<String, Integer> unresponsive = new HashMap<>();
+		final Set<String> countedIds = new HashSet<>();
+		for (final GroupState group : ownGroups) {
 			for (final Member member : group.members()) {
-				countInstance(input, member.instanceId(), group.fabricDomain(), counted, instances, silent);
+				countInstance(input, member.instanceId(), group.fabricDomain(), countedIds, instances, unresponsive);
 			}
 		}
 		for (final Instance instance : input.instances()) {
 			if (input.ownEpoch(instance.fabricDomain()).isPresent()) {
-				countInstance(input, instance.id(), instance.fabricDomain(), counted, instances, silent);
+				countInstance(input, instance.id(), instance.fabricDomain(), countedIds, instances, unresponsive);
 			}
 		}
-		final Set<String> dark = new HashSet<>();
-		silent.forEach((domain, count) -> {
+		final Set<String> unreachable = new HashSet<>();
+		unresponsive.forEach((domain, count) -> {
 			if (memory.isTakeoverComplete(domain, input.nowNanos()) && count >= MIN_UNRESPONSIVE_INSTANCES
 					&& count >= MIN_UNRESPONSIVE_RATIO * instances.get(domain)) {
 				final long sinceNanos = memory.sinceNanos("dark " + domain, input.nowNanos());
 				if (input.nowNanos() - sinceNanos < MAX_DEFERRAL_NANOS) {
-					dark.add(domain);
+					unreachable.add(domain);
 				}
 			}
 		});
-		return dark;
+		return unreachable;
 	}
 
-	private static void countInstance(PlannerInput input, String instanceId, String domain, Set<String> counted,
-			Map<String, Integer> instances, Map<String, Integer> silent) {
-		if (counted.add(instanceId)) {
+	private static void countInstance(PlannerInput input, String instanceId, String domain, Set<String> countedIds,
+			Map<String, Integer> instances, Map<String, Integer> unresponsive) {
+		if (countedIds.add(instanceId)) {
 			instances.merge(domain, 1, Integer::sum);
 			if (input.unresponsiveIds().contains(instanceId)) {
-				silent.merge(domain, 1, Integer::sum);
+				unresponsive.merge(domain, 1, Integer::sum);
 			}
 		}
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/planner/OrderDeciderTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/planner/OrderDeciderTests.java
@@ -73,49 +73,49 @@
 		return new GroupFormation(id, "model", plannerEpoch, members, 1);
 	}
 
-	private List<EngineCommand> decide(OrderDecider decider, FleetState view, long readAt, long now) {
+	private List<EngineCommand> decide(OrderDecider decider, FleetState view, long readAtNanos, long nowNanos) {
 		final Map<String, PresenceProof> proofs = new HashMap<>();
-		this.engines.forEach((id, engine) -> proofs.put(id, new PresenceProof(engine.state, now)));
+		this.engines.forEach((id, engine) -> proofs.put(id, new PresenceProof(engine.state, nowNanos)));
 		final Manifest manifest = new Manifest(
 				List.of(new PoolSpec("engines", PoolKind.ENGINE, this.checksFencing, 100)), List.of(), List.of(),
 				List.of(), WeightSpec.DEFAULT, DeadlineSpec.DEFAULT);
-		return decider.decide(new OrderInput(now, readAt, manifest, view, this.instances, Set.of(), proofs));
+		return decider.decide(new OrderInput(nowNanos, readAtNanos, manifest, view, this.instances, Set.of(), proofs));
 	}
 
 	private void deliver(List<EngineCommand> commands) {
 		commands.forEach((command) -> this.engines.get(command.instanceId()).execute(command.order()));
 	}
 
-	private List<Integer> missingRanks(String groupId, long now) {
+	private List<Integer> missingRanks(String groupId, long nowNanos) {
 		final PresenceTable presence = new PresenceTable(5 * SECOND_NANOS);
-		this.engines.forEach((id, engine) -> presence.onProbeResponse(id, engine.state, now));
-		return presence.missingRanks(this.state.groups().get(groupId), now);
+		this.engines.forEach((id, engine) -> presence.onProbeResponse(id, engine.state, nowNanos));
+		return presence.missingRanks(this.state.groups().get(groupId), nowNanos);
 	}
 
-	// The old planner forms a group and decides on its orders, then stands still. Another
-	// takes over, dissolves the group and forms one anew from the same instances.
+	// The previous planner forms a group, decides on its orders and then pauses. Its
+	// successor takes over, dissolves the group and forms a new one from the same
+	// instances.
 	private List<EngineCommand> delayedOrdersOfReplacedPlanner() {
 		this.instances
 			.forEach((instance) -> this.engines.put(instance.id(), new FakeEngine(instance.id(), this.checksFencing)));
 		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
 		append("old#1", formation("first", 0));
 		decide(this.previous, this.state, 0, 0);
-		final List<EngineCommand> late = decide(this.previous, this.state, 10 * SECOND_NANOS, 10 * SECOND_NANOS);
-		assertThat(late).hasSize(2);
+		final List<EngineCommand> delayed = decide(this.previous, this.state, 10 * SECOND_NANOS, 10 * SECOND_NANOS);
+		assertThat(delayed).hasSize(2);
 		append("new#1", new PlannerClaim("rack", 0));
 		append("new#1", new GroupDissolution("first", 1, 2, "test"));
 		append("new#1", formation("second", 2));
 		deliver(decide(this.successor, this.state, 20 * SECOND_NANOS, 20 * SECOND_NANOS));
-		final long afterWait = 20 * SECOND_NANOS + LIMITS.handOverNanos();
-		deliver(decide(this.successor, this.state, afterWait, afterWait));
-		assertThat(missingRanks("second", afterWait)).isEmpty();
-		return late;
+		final long afterHandOverNanos = 20 * SECOND_NANOS + LIMITS.handOverNanos();
+		deliver(decide(this.successor, this.state, afterHandOverNanos, afterHandOverNanos));
+		assertThat(missingRanks("second", afterHandOverNanos)).isEmpty();
+		return delayed;
 	}
 
-	// A planner stands still for a minute between deciding on an order and sending it,
-	// long
-	// enough to be replaced. Engines that check fencing numbers refuse what it sends on
-	// waking; nobody notices anything.
+	// A planner pauses for a minute between deciding on an order and sending it, and
+	// is replaced meanwhile. Engines that check fencing tokens refuse the late
+	// order, so that the new group is not affected.
 	@Test
 	void anEngineThatChecksFencingTokensRefusesDelayedOrdersOfAReplacedPlanner() {
 		this.checksFencing = true;
@@ -123,9 +123,9 @@
 		assertThat(missingRanks("second", 60 * SECOND_NANOS)).isEmpty();
 	}
 
-	// Engines that ignore fencing numbers obey it: this window remains. The read-back
-	// shows
-	// the old epoch, so that the group serves nowhere, and the order is given again.
+	// Engines that ignore fencing tokens execute the late order: this window
+	// remains. The read-back shows the old epoch, so that the group serves nowhere,
+	// and the order is sent again.
 	@Test
 	void anEngineThatIgnoresFencingTokensExecutesDelayedOrdersAndIsCorrectedAfterReadBack() {
 		this.checksFencing = false;
@@ -135,8 +135,8 @@
 		assertThat(missingRanks("second", 60 * SECOND_NANOS)).isEmpty();
 	}
 
-	// The woken planner has not read the log since it paused. It must not decide again on
-	// what it knew, however sure it is of being the planner.
+	// A resumed planner has not read the log since it paused. It must not decide on
+	// its stale view, although it still considers itself the planner.
 	@Test
 	void aResumedPlannerWithAStaleViewSendsNoOrders() {
 		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
@@ -144,26 +144,26 @@
 		final FleetState before = this.state;
 		decide(this.previous, before, 0, 0);
 		assertThat(decide(this.previous, before, 10 * SECOND_NANOS, 10 * SECOND_NANOS)).isNotEmpty();
-		final long justFresh = 20 * SECOND_NANOS + LIMITS.maxViewAgeNanos();
-		assertThat(decide(this.previous, before, 20 * SECOND_NANOS, justFresh + 1)).isEmpty();
-		assertThat(decide(this.previous, before, 20 * SECOND_NANOS, justFresh)).isNotEmpty();
+		final long latestFreshNanos = 20 * SECOND_NANOS + LIMITS.maxViewAgeNanos();
+		assertThat(decide(this.previous, before, 20 * SECOND_NANOS, latestFreshNanos + 1)).isEmpty();
+		assertThat(decide(this.previous, before, 20 * SECOND_NANOS, latestFreshNanos)).isNotEmpty();
 	}
 
-	// A planner is replaced while its last order to an ignoring engine is still on the
-	// way.
-	// Were the successor's first order sent at once, the old one could come after it.
+	// A planner is replaced while its last order to an engine that ignores fencing
+	// tokens is in transit. If the successor sent its first order at once, the old
+	// order could arrive after it.
 	@Test
 	void aNewPlannerWaitsForEarlierOrdersOnlyToEnginesThatIgnoreFencingTokens() {
 		append("new#1", new PlannerClaim("rack", PlannerClaim.NONE));
 		append("new#1", formation("first", 0));
 		assertThat(decide(this.successor, this.state, 0, 0)).isEmpty();
 		assertThat(this.successor.domainsInHandOver(SECOND_NANOS)).containsExactly("rack");
-		final long last = LIMITS.handOverNanos() - 1;
-		assertThat(decide(this.successor, this.state, last, last)).isEmpty();
-		assertThat(decide(this.successor, this.state, last + 1, last + 1)).hasSize(2);
+		final long lastWaitingNanos = LIMITS.handOverNanos() - 1;
+		assertThat(decide(this.successor, this.state, lastWaitingNanos, lastWaitingNanos)).isEmpty();
+		assertThat(decide(this.successor, this.state, lastWaitingNanos + 1, lastWaitingNanos + 1)).hasSize(2);
 		this.checksFencing = true;
-		final OrderDecider quick = new OrderDecider("new#1", LIMITS);
-		assertThat(decide(quick, this.state, 0, 0)).hasSize(2);
+		final OrderDecider withoutHandOver = new OrderDecider("new#1", LIMITS);
+		assertThat(decide(withoutHandOver, this.state, 0, 0)).hasSize(2);
 	}
 
 	@Test
@@ -183,11 +183,11 @@
 		this.checksFencing = true;
 		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
 		append("old#1", formation("first", 0));
-		final List<Integer> sent = new ArrayList<>();
+		final List<Integer> orderCounts = new ArrayList<>();
 		for (int tick = 0; tick < 8; tick++) {
-			sent.add(decide(this.previous, this.state, tick * SECOND_NANOS / 4, tick * SECOND_NANOS / 4).size());
+			orderCounts.add(decide(this.previous, this.state, tick * SECOND_NANOS / 4, tick * SECOND_NANOS / 4).size());
 		}
-		assertThat(sent).containsExactly(2, 0, 0, 0, 2, 0, 0, 0);
+		assertThat(orderCounts).containsExactly(2, 0, 0, 0, 2, 0, 0, 0);
 	}
 
 	private static final class FakeEngine {
