--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupDigest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupDigest.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What one daemon tells another of a group; times are ages, since their clocks differ.
+ * What one daemon reports to another about the presence of a group. Times are sent as
+ * ages, since the daemons' monotonic clocks are unrelated.
  *
- * @param epoch the group's epoch, which no other group has
- * @param provenAgeMillis the age of the proof; negative where there is none
- * @param deniedAgeMillis the age of the last contrary answer; negative where there is
- * none
- * @param roundAgeMillis the age of the newest question; negative where there was none
- * @param missingRanks the ranks that were missing then
- * @param running how many requests the group said to be running
- * @param waiting how many requests it said to be waiting
- * @param loadAgeMillis the age of that load; negative where there is none
+ * @param epoch the group's epoch, which is unique among all groups
+ * @param provenAgeMillis the age of the proof; negative if there is none
+ * @param deniedAgeMillis the age of the last response that contradicts the proof;
+ * negative if there is none
+ * @param roundAgeMillis the age of the newest probe; negative if there was none
+ * @param missingRanks the ranks that were missing at that probe
+ * @param running the number of requests that the group reported as running
+ * @param waiting the number of requests that the group reported as waiting
+ * @param loadAgeMillis the age of the reported load; negative if there is none
  */
 public record GroupDigest(long epoch, long provenAgeMillis, long deniedAgeMillis, long roundAgeMillis,
 		List<Integer> missingRanks, int running, int waiting, long loadAgeMillis) {
@@ -25,9 +26,9 @@
 	}
 
 	/**
-	 * Tells what is known, with its ages.
+	 * Converts a proof to ages on the sender's clock.
 	 * @param epoch the group's epoch
-	 * @param proof what is known
+	 * @param proof the proof
 	 * @param nowNanos the sender's monotonic time
 	 * @return the digest
 	 */
@@ -38,22 +39,24 @@
 	}
 
 	/**
-	 * Takes what was told. The answer may have waited on its way for any time, but it was
-	 * given after the question: so ages count from before the question was sent.
-	 * @param askedAtNanos the receiver's monotonic time just before it asked
-	 * @return what is known, on the receiver's clock
+	 * Converts the ages to times on the receiver's clock. A response may be in transit
+	 * for any time, but it was created after the request was sent; ages are therefore
+	 * counted from before the request, so that a proof never appears newer than it is.
+	 * @param requestSentAtNanos the receiver's monotonic time just before it sent the
+	 * request
+	 * @return the proof
 	 */
-	public GroupProof toProof(long askedAtNanos) {
-		return new GroupProof(atNanos(this.provenAgeMillis, askedAtNanos), atNanos(this.deniedAgeMillis, askedAtNanos),
-				atNanos(this.roundAgeMillis, askedAtNanos), this.missingRanks, this.running, this.waiting,
-				atNanos(this.loadAgeMillis, askedAtNanos));
+	public GroupProof toProof(long requestSentAtNanos) {
+		return new GroupProof(atNanos(this.provenAgeMillis, requestSentAtNanos),
+				atNanos(this.deniedAgeMillis, requestSentAtNanos), atNanos(this.roundAgeMillis, requestSentAtNanos),
+				this.missingRanks, this.running, this.waiting, atNanos(this.loadAgeMillis, requestSentAtNanos));
 	}
 
-	private static long atNanos(long ageMillis, long askedAtNanos) {
-		return (ageMillis < 0) ? GroupProof.NEVER : askedAtNanos - ageMillis * NANOS_PER_MILLI;
+	private static long atNanos(long ageMillis, long requestSentAtNanos) {
+		return (ageMillis < 0) ? GroupProof.NEVER : requestSentAtNanos - ageMillis * NANOS_PER_MILLI;
 	}
 
-	// A proof is told older than it is, never younger, by rounding up.
+	// Rounds up, so that a proof is reported as older than it is and never as newer.
 	private static long olderMillis(long atNanos, long nowNanos) {
 		return (atNanos == GroupProof.NEVER) ? -1
 				: Math.max(0, (nowNanos - atNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRole.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRole.java
@@ -5,11 +5,12 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * This daemon's part before one group that it serves.
+ * This daemon's role for one group that it serves.
  *
  * @param group the group
- * @param position its place in the serving order; the first probes
- * @param daemonsToAsk the daemons to ask, the preferred one first
+ * @param position the daemon's position in the serving order; the daemon at position 0
+ * probes the group
+ * @param daemonsToAsk the ids of the daemons to ask for a proof, the preferred one first
  */
 record GroupRole(GroupState group, int position, List<String> daemonsToAsk) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRoles.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRoles.java
@@ -9,7 +9,7 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Works out which groups this daemon serves and its part before each.
+ * Computes which groups this daemon serves and its role for each of them.
  */
 final class GroupRoles {
 
@@ -31,9 +31,9 @@
 		final Map<Long, GroupRole> byEpoch = new HashMap<>();
 		for (final GroupState group : groups) {
 			final List<String> order = ServingOrder.forGroup(group.groupId(), roles.domainOrder(group));
-			final int servers = ServingOrder.serverCount(order.size(), groupsByModel.get(group.model()));
+			final int serverCount = ServingOrder.serverCount(order.size(), groupsByModel.get(group.model()));
 			final int position = order.indexOf(selfId);
-			if (position >= 0 && position < servers) {
+			if (position >= 0 && position < serverCount) {
 				byEpoch.put(group.epoch(), roles.createRole(group, order, position));
 			}
 		}
@@ -45,17 +45,16 @@
 				group.members().get(0).availabilityZone(), this.zonesByDaemon));
 	}
 
-	// Besides its parent each asks those who may probe, so that a lost daemon in the
-	// middle
-	// cuts nobody off from a proof.
+	// Each daemon asks the possible probers besides its parent, so that the failure
+	// of a daemon in between does not cut it off from proofs.
 	private GroupRole createRole(GroupState group, List<String> order, int position) {
-		final Set<String> asked = new LinkedHashSet<>();
+		final Set<String> daemonsToAsk = new LinkedHashSet<>();
 		if (position > 0) {
-			asked.add(order.get(ServingOrder.parentPosition(position)));
+			daemonsToAsk.add(order.get(ServingOrder.parentPosition(position)));
 		}
-		asked.addAll(order.subList(0, Math.min(order.size(), ServingOrder.MAX_PROBERS)));
-		asked.remove(this.selfId);
-		return new GroupRole(group, position, List.copyOf(asked));
+		daemonsToAsk.addAll(order.subList(0, Math.min(order.size(), ServingOrder.MAX_PROBERS)));
+		daemonsToAsk.remove(this.selfId);
+		return new GroupRole(group, position, List.copyOf(daemonsToAsk));
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceNode.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceNode.java
@@ -14,15 +14,17 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Decides whom a daemon asks for proof of presence, and which groups it may serve.
+ * Decides which members and daemons to ask for proofs of presence, and which groups this
+ * daemon may serve.
  * <p>
- * Made for a fleet in which no daemon can ask every member: the first daemon before a
- * fabric domain probes its groups, the others ask it. What a daemon may serve depends
- * only on the age of a proof, never on who should have brought it. So a prober that dies,
- * or is cut off from its members or from its peers, is replaced by age: the stand-by
- * probes when the proof is half as old as the bound, and any server that hears nothing at
- * all probes before the bound. A daemon that reaches neither the members nor a daemon
- * that does sees its proofs pass the bound and serves no group.
+ * In a large fleet no daemon can probe every member: the first daemon in the serving
+ * order of a fabric domain probes the domain's groups, and the others ask it. Whether a
+ * daemon may serve a group depends only on the age of the proof and not on the daemon
+ * that should have provided it. A prober that fails, or is partitioned from its members
+ * or its peers, is therefore replaced by time: the standby starts to probe when the proof
+ * has reached half the maximum age, and any server without updates starts before the
+ * proof expires. A daemon that reaches neither the members nor a daemon that does serves
+ * no group once its proofs have expired.
  */
 public final class PresenceNode {
 
@@ -36,7 +38,7 @@
 
 	private final Map<Long, Long> roleSinceNanos = new HashMap<>();
 
-	private final Map<String, Long> probedAtNanos = new HashMap<>();
+	private final Map<String, Long> lastProbeNanosById = new HashMap<>();
 
 	private final Map<String, SentRequest> lastRequests = new HashMap<>();
 
@@ -49,9 +51,9 @@
 	private long lastCorrelationId;
 
 	/**
-	 * Creates a node that knows nothing.
-	 * @param selfId this daemon's name
-	 * @param limits the times of probing
+	 * Creates a node without proofs.
+	 * @param selfId this daemon's id
+	 * @param limits the time limits of probes and proofs
 	 */
 	public PresenceNode(String selfId, PresenceLimits limits) {
 		this.selfId = selfId;
@@ -60,10 +62,11 @@
 	}
 
 	/**
-	 * Takes the agreed groups and the live daemons.
-	 * @param newGroups the groups by id
-	 * @param newZonesByDaemon the availability zone of each live daemon, this one
-	 * included
+	 * Updates the groups and the live daemons, and recomputes the roles if either has
+	 * changed.
+	 * @param newGroups the groups in the log, by id
+	 * @param newZonesByDaemon the availability zone of each live daemon, including this
+	 * one
 	 * @param nowNanos the monotonic time
 	 */
 	public void update(Map<String, GroupState> newGroups, Map<String, String> newZonesByDaemon, long nowNanos) {
@@ -80,42 +83,43 @@
 	}
 
 	/**
-	 * Decides what to ask now.
-	 * @param planned the instances that are probed in any case, since this daemon plans
-	 * their fabric domain
+	 * Returns the probes and requests that are due.
+	 * @param plannedMembers the instances that are probed in any case, because this
+	 * daemon plans their fabric domain
 	 * @param nowNanos the monotonic time
-	 * @return what to ask
+	 * @return the probes and requests to send now
 	 */
-	public PresenceStep step(List<Member> planned, long nowNanos) {
-		final Map<String, Member> wanted = new LinkedHashMap<>();
-		planned.forEach((member) -> wanted.put(member.instanceId(), member));
+	public PresenceStep step(List<Member> plannedMembers, long nowNanos) {
+		final Map<String, Member> membersById = new LinkedHashMap<>();
+		plannedMembers.forEach((member) -> membersById.put(member.instanceId(), member));
 		final Map<String, List<Long>> epochsByDaemon = new TreeMap<>();
 		for (final GroupRole role : this.roles.values()) {
 			if (shouldProbe(role, nowNanos)) {
-				role.group().members().forEach((member) -> wanted.put(member.instanceId(), member));
+				role.group().members().forEach((member) -> membersById.put(member.instanceId(), member));
 			}
 			selectDaemonsToAsk(role, nowNanos)
 				.forEach((daemon) -> epochsByDaemon.computeIfAbsent(daemon, (key) -> new ArrayList<>())
 					.add(role.group().epoch()));
 		}
-		this.probeResults.retain(wanted.keySet());
-		this.probedAtNanos.keySet().retainAll(wanted.keySet());
-		return new PresenceStep(dueProbes(wanted, nowNanos), dueRequests(epochsByDaemon, nowNanos));
+		this.probeResults.retain(membersById.keySet());
+		this.lastProbeNanosById.keySet().retainAll(membersById.keySet());
+		return new PresenceStep(dueProbes(membersById, nowNanos), dueRequests(epochsByDaemon, nowNanos));
 	}
 
 	private boolean shouldProbe(GroupRole role, long nowNanos) {
 		if (role.isProber()) {
 			return true;
 		}
-		// A role that is new has heard nothing yet; its silence counts from its start.
+		// A new role has no updates yet; the time without updates counts from its
+		// start.
 		final long sinceNanos = this.roleSinceNanos.get(role.group().epoch());
-		final GroupProof heard = this.peerProofs.getOrDefault(role.group().epoch(), GroupProof.NONE);
+		final GroupProof peerProof = this.peerProofs.getOrDefault(role.group().epoch(), GroupProof.NONE);
 		if (role.mayProbe()) {
-			final long afterNanos = role.isStandby() ? this.limits.standbyDelayNanos()
+			final long delayNanos = role.isStandby() ? this.limits.standbyDelayNanos()
 					: this.limits.fallbackDelayNanos();
-			return nowNanos - Math.max(sinceNanos, heard.provenAtNanos()) > afterNanos;
+			return nowNanos - Math.max(sinceNanos, peerProof.provenAtNanos()) > delayNanos;
 		}
-		return nowNanos - Math.max(sinceNanos, heard.roundAtNanos()) > this.limits.fallbackDelayNanos();
+		return nowNanos - Math.max(sinceNanos, peerProof.roundAtNanos()) > this.limits.fallbackDelayNanos();
 	}
 
 	private List<String> selectDaemonsToAsk(GroupRole role, long nowNanos) {
@@ -126,12 +130,12 @@
 		return role.isProber() ? List.of() : role.daemonsToAsk().subList(0, 1);
 	}
 
-	private List<Member> dueProbes(Map<String, Member> wanted, long nowNanos) {
+	private List<Member> dueProbes(Map<String, Member> membersById, long nowNanos) {
 		final List<Member> due = new ArrayList<>();
-		for (final Member member : wanted.values()) {
-			final Long last = this.probedAtNanos.get(member.instanceId());
-			if (last == null || nowNanos - last >= this.limits.probeIntervalNanos()) {
-				this.probedAtNanos.put(member.instanceId(), nowNanos);
+		for (final Member member : membersById.values()) {
+			final Long lastProbeNanos = this.lastProbeNanosById.get(member.instanceId());
+			if (lastProbeNanos == null || nowNanos - lastProbeNanos >= this.limits.probeIntervalNanos()) {
+				this.lastProbeNanosById.put(member.instanceId(), nowNanos);
 				due.add(member);
 			}
 		}
@@ -141,8 +145,8 @@
 	private List<PresenceRequest> dueRequests(Map<String, List<Long>> epochsByDaemon, long nowNanos) {
 		final List<PresenceRequest> due = new ArrayList<>();
 		epochsByDaemon.forEach((daemon, epochs) -> {
-			final SentRequest last = this.lastRequests.get(daemon);
-			if (last == null || nowNanos - last.sentAtNanos() >= this.limits.probeIntervalNanos()) {
+			final SentRequest lastRequest = this.lastRequests.get(daemon);
+			if (lastRequest == null || nowNanos - lastRequest.sentAtNanos() >= this.limits.probeIntervalNanos()) {
 				this.lastCorrelationId++;
 				this.lastRequests.put(daemon, new SentRequest(this.lastCorrelationId, nowNanos));
 				due.add(new PresenceRequest(daemon, this.lastCorrelationId, epochs));
@@ -152,20 +156,20 @@
 	}
 
 	/**
-	 * Takes a member's answer.
-	 * @param instanceId the instance that was asked
-	 * @param held what it said that it holds
-	 * @param askedAtNanos the monotonic time just before it was asked
+	 * Handles a member's response to a probe.
+	 * @param instanceId the id of the instance that was probed
+	 * @param state the state that it reported
+	 * @param probedAtNanos the monotonic time just before the probe was sent
 	 */
-	public void onProbeResponse(String instanceId, EngineState held, long askedAtNanos) {
-		this.probeResults.onProbeResponse(instanceId, held, askedAtNanos);
+	public void onProbeResponse(String instanceId, EngineState state, long probedAtNanos) {
+		this.probeResults.onProbeResponse(instanceId, state, probedAtNanos);
 	}
 
 	/**
-	 * Answers another daemon's question.
-	 * @param epochs the groups' epochs
+	 * Responds to another daemon's request.
+	 * @param epochs the epochs of the requested groups
 	 * @param nowNanos the monotonic time
-	 * @return what is known of those that this daemon serves
+	 * @return the digests of those groups that this daemon serves
 	 */
 	public List<GroupDigest> respond(List<Long> epochs, long nowNanos) {
 		final List<GroupDigest> digests = new ArrayList<>();
@@ -179,28 +183,28 @@
 	}
 
 	/**
-	 * Takes another daemon's answer. One that was not asked for, or that answers an older
-	 * question, is dropped: nothing would say how long it was on its way.
-	 * @param daemonId the daemon that answers
-	 * @param correlationId the question's token
-	 * @param digests what it knows
+	 * Handles another daemon's response. An unsolicited response, or one to an earlier
+	 * request, is ignored, since the time that it was in transit is unknown.
+	 * @param daemonId the id of the daemon that responds
+	 * @param correlationId the correlation id of the request
+	 * @param digests the digests in the response
 	 */
-	public void onResponse(String daemonId, long token, List<GroupDigest> digests) {
-		final SentRequest question = this.lastRequests.get(daemonId);
-		if (question == null || question.correlationId() != token) {
+	public void onResponse(String daemonId, long correlationId, List<GroupDigest> digests) {
+		final SentRequest request = this.lastRequests.get(daemonId);
+		if (request == null || request.correlationId() != correlationId) {
 			return;
 		}
 		for (final GroupDigest digest : digests) {
 			if (this.roles.containsKey(digest.epoch())) {
-				this.peerProofs.merge(digest.epoch(), digest.toProof(question.sentAtNanos()), GroupProof::merge);
+				this.peerProofs.merge(digest.epoch(), digest.toProof(request.sentAtNanos()), GroupProof::merge);
 			}
 		}
 	}
 
 	/**
-	 * Returns what is known of each group that this daemon serves.
+	 * Returns the current proof of each group that this daemon serves.
 	 * @param nowNanos the monotonic time
-	 * @return what is known, by the group's epoch
+	 * @return the proofs, by the group's epoch
 	 */
 	public Map<Long, GroupProof> proofs(long nowNanos) {
 		final Map<Long, GroupProof> proofs = new HashMap<>();
@@ -209,31 +213,31 @@
 	}
 
 	/**
-	 * Returns the groups that may serve now.
+	 * Returns the groups that this daemon may serve now.
 	 * @param nowNanos the monotonic time
-	 * @return their epochs
+	 * @return the epochs of the groups
 	 */
 	public Set<Long> servingEpochs(long nowNanos) {
-		final Set<Long> serving = new HashSet<>();
+		final Set<Long> servingEpochs = new HashSet<>();
 		proofs(nowNanos).forEach((epoch, proof) -> {
 			if (proof.mayServe(this.limits.maxProofAgeNanos(), nowNanos)) {
-				serving.add(epoch);
+				servingEpochs.add(epoch);
 			}
 		});
-		return serving;
+		return servingEpochs;
 	}
 
 	/**
-	 * Returns the instances that this daemon asks itself.
-	 * @return their ids
+	 * Returns the instances that this daemon probes.
+	 * @return the ids of the instances
 	 */
 	public Set<String> probedInstanceIds() {
-		return Set.copyOf(this.probedAtNanos.keySet());
+		return Set.copyOf(this.lastProbeNanosById.keySet());
 	}
 
 	/**
-	 * Returns what this daemon learnt by its own probes.
-	 * @return the answers of members
+	 * Returns the responses to this daemon's probes.
+	 * @return the responses
 	 */
 	public PresenceTable probeResults() {
 		return this.probeResults;
@@ -243,11 +247,12 @@
 		return ownProof(role, nowNanos).merge(this.peerProofs.getOrDefault(role.group().epoch(), GroupProof.NONE));
 	}
 
-	// A round without an answer is news too: else all servers would probe a dark domain.
+	// A round without responses counts as an update too: otherwise all servers would
+	// probe an unreachable domain.
 	private GroupProof ownProof(GroupRole role, long nowNanos) {
 		final GroupProof proof = this.probeResults.groupProof(role.group(), nowNanos);
-		final Long probed = this.probedAtNanos.get(role.group().members().get(0).instanceId());
-		return (probed != null) ? proof.withRound(probed) : proof;
+		final Long lastProbeNanos = this.lastProbeNanosById.get(role.group().members().get(0).instanceId());
+		return (lastProbeNanos != null) ? proof.withRound(lastProbeNanos) : proof;
 	}
 
 	private record SentRequest(long correlationId, long sentAtNanos) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceProof.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceProof.java
@@ -3,10 +3,11 @@
 import org.pistachioline.core.fleet.EngineState;
 
 /**
- * What an instance answered, and since when that can be relied on.
+ * The last probe response of an instance.
  *
- * @param state what it said that it holds
- * @param probedAtNanos the monotonic time just before it was asked
+ * @param state the state that the engine reported
+ * @param probedAtNanos the monotonic time just before the probe was sent, from which the
+ * age of the proof counts
  */
 public record PresenceProof(EngineState state, long probedAtNanos) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceRequest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceRequest.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Asks another daemon what it knows of groups.
+ * A request to another daemon for its proofs of groups.
  *
- * @param daemonId the daemon to ask
- * @param correlationId pairs the answer with the question
- * @param epochs the groups' epochs
+ * @param daemonId the id of the daemon to ask
+ * @param correlationId the id that matches the response with the request
+ * @param epochs the epochs of the groups
  */
 public record PresenceRequest(String daemonId, long correlationId, List<Long> epochs) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceStep.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceStep.java
@@ -5,10 +5,10 @@
 import org.pistachioline.core.record.Member;
 
 /**
- * What is to be asked now.
+ * The probes and requests that are due.
  *
- * @param probes the instances to ask what they hold
- * @param requests the questions to other daemons
+ * @param probes the members to probe for their state
+ * @param requests the requests to other daemons
  */
 public record PresenceStep(List<Member> probes, List<PresenceRequest> requests) {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceTable.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceTable.java
@@ -12,14 +12,15 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Says which groups may serve: those of which every member has proved within a bound that
- * it is ready as this rank of this group at this epoch.
+ * Holds the probe responses of instances, and determines which groups may serve: those of
+ * which every member reported, within a bound, that it is ready at its rank of this group
+ * and this epoch.
  * <p>
- * A member that died answers nothing, so its proof ages past the bound. A member that
- * paused and came back into another time names an old epoch. In both cases the replica
- * would run a request on a part of its model, or on the wrong one; so the whole group
- * stops taking work. The age counts from before the question, since the answer may have
- * waited on the way.
+ * A failed member does not respond, so its proof ages past the bound. A member that
+ * paused and resumed after its group was replaced reports an old epoch. In both cases the
+ * replica would run requests with a part of its model missing or of another model, so
+ * that the whole group stops serving. The age is counted from before the probe, since the
+ * response may have been in transit for any time.
  */
 public final class PresenceTable {
 
@@ -29,35 +30,35 @@
 
 	/**
 	 * Creates an empty table.
-	 * @param boundNanos the age at which a proof no longer counts
+	 * @param maxProofAgeNanos the age at which a proof expires
 	 */
-	public PresenceTable(long boundNanos) {
-		this.maxProofAgeNanos = boundNanos;
+	public PresenceTable(long maxProofAgeNanos) {
+		this.maxProofAgeNanos = maxProofAgeNanos;
 	}
 
 	/**
-	 * Notes an answer.
-	 * @param instanceId the instance that was asked
-	 * @param held what it said that it holds
-	 * @param askedAtNanos the monotonic time just before it was asked
+	 * Stores a response unless one to a later probe is known.
+	 * @param instanceId the id of the instance that was probed
+	 * @param state the state that it reported
+	 * @param probedAtNanos the monotonic time just before the probe was sent
 	 */
-	public void onProbeResponse(String instanceId, EngineState held, long askedAtNanos) {
-		final PresenceProof known = this.proofs.get(instanceId);
-		if (known == null || askedAtNanos - known.probedAtNanos() >= 0) {
-			this.proofs.put(instanceId, new PresenceProof(held, askedAtNanos));
+	public void onProbeResponse(String instanceId, EngineState state, long probedAtNanos) {
+		final PresenceProof previous = this.proofs.get(instanceId);
+		if (previous == null || probedAtNanos - previous.probedAtNanos() >= 0) {
+			this.proofs.put(instanceId, new PresenceProof(state, probedAtNanos));
 		}
 	}
 
 	/**
-	 * Forgets all instances but some.
-	 * @param instanceIds the instances that are still of interest
+	 * Removes all instances but the given ones.
+	 * @param instanceIds the ids of the instances to retain
 	 */
 	public void retain(Set<String> instanceIds) {
 		this.proofs.keySet().retainAll(instanceIds);
 	}
 
 	/**
-	 * Returns the instances that have answered.
+	 * Returns the instances that have responded.
 	 * @return their ids
 	 */
 	public Set<String> instanceIds() {
@@ -65,19 +66,19 @@
 	}
 
 	/**
-	 * Returns the last answer of an instance.
-	 * @param instanceId the instance
-	 * @return its proof; null where it never answered
+	 * Returns the last response of an instance.
+	 * @param instanceId the id of the instance
+	 * @return its proof; null if it never responded
 	 */
 	public PresenceProof proof(String instanceId) {
 		return this.proofs.get(instanceId);
 	}
 
 	/**
-	 * Returns the ranks of a group that have not proved to be ready.
+	 * Returns the ranks of a group that are not proven to be ready.
 	 * @param group the group
 	 * @param nowNanos the monotonic time
-	 * @return the missing ranks; empty where the group may serve
+	 * @return the missing ranks; empty if the group may serve
 	 */
 	public List<Integer> missingRanks(GroupState group, long nowNanos) {
 		final List<Integer> missing = new ArrayList<>();
@@ -90,10 +91,10 @@
 	}
 
 	/**
-	 * Sums up the answers of a group's members.
+	 * Combines the responses of a group's members.
 	 * @param group the group
 	 * @param nowNanos the monotonic time
-	 * @return what they prove together
+	 * @return the proof of the group
 	 */
 	public GroupProof groupProof(GroupState group, long nowNanos) {
 		long provenAtNanos = Long.MAX_VALUE;
@@ -115,10 +116,10 @@
 			}
 		}
 		final PresenceProof first = this.proofs.get(group.members().get(0).instanceId());
-		final boolean loaded = first != null;
+		final boolean hasLoad = first != null;
 		return new GroupProof(provenAtNanos, deniedAtNanos, roundAtNanos, missingRanks(group, nowNanos),
-				loaded ? first.state().running() : 0, loaded ? first.state().waiting() : 0,
-				loaded ? first.probedAtNanos() : GroupProof.NEVER);
+				hasLoad ? first.state().running() : 0, hasLoad ? first.state().waiting() : 0,
+				hasLoad ? first.probedAtNanos() : GroupProof.NEVER);
 	}
 
 	private boolean isProven(GroupState group, int rank, long nowNanos) {
@@ -130,10 +131,10 @@
 		return isReadyAs(proof.state(), group, rank);
 	}
 
-	private static boolean isReadyAs(EngineState held, GroupState group, int rank) {
+	private static boolean isReadyAs(EngineState state, GroupState group, int rank) {
 		final Member member = group.members().get(rank);
-		return held.instanceId().equals(member.instanceId()) && held.groupId().equals(group.groupId())
-				&& held.fencingToken() == group.epoch() && held.rank() == rank && held.phase() == EnginePhase.READY;
+		return state.instanceId().equals(member.instanceId()) && state.groupId().equals(group.groupId())
+				&& state.fencingToken() == group.epoch() && state.rank() == rank && state.phase() == EnginePhase.READY;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Proof that every member of a group is there, for the group's present epoch.
+ * Proves that every member of a group is present and ready at the group's current epoch.
  */
 package org.pistachioline.core.presence;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/presence/GroupDigestTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/presence/GroupDigestTests.java
@@ -10,19 +10,19 @@
 
 	private static final long MILLI_NANOS = 1_000_000;
 
-	// An answer that takes two seconds through a congested link tells of a proof that was
-	// fresh when it left. Counted from its arrival, the group would serve two seconds
-	// longer.
+	// A response is in transit for two seconds on a congested link and carries a
+	// proof that was fresh when it was sent. If its age counted from its arrival,
+	// the group would serve two seconds too long.
 	@Test
 	void theAgeOfAProofCountsFromBeforeTheRequest() {
 		final GroupProof sent = new GroupProof(400 * MILLI_NANOS, GroupProof.NEVER, 400 * MILLI_NANOS, List.of(), 3, 1,
 				400 * MILLI_NANOS);
 		final GroupDigest digest = GroupDigest.of(7, sent, 1_000 * MILLI_NANOS);
-		final long askedAtNanos = 90_000 * MILLI_NANOS;
-		final GroupProof received = digest.toProof(askedAtNanos);
-		assertThat(received.provenAtNanos()).isEqualTo(askedAtNanos - 600 * MILLI_NANOS);
-		assertThat(received.mayServe(2_500 * MILLI_NANOS, askedAtNanos + 1_900 * MILLI_NANOS)).isTrue();
-		assertThat(received.mayServe(2_500 * MILLI_NANOS, askedAtNanos + 1_901 * MILLI_NANOS)).isFalse();
+		final long requestSentAtNanos = 90_000 * MILLI_NANOS;
+		final GroupProof received = digest.toProof(requestSentAtNanos);
+		assertThat(received.provenAtNanos()).isEqualTo(requestSentAtNanos - 600 * MILLI_NANOS);
+		assertThat(received.mayServe(2_500 * MILLI_NANOS, requestSentAtNanos + 1_900 * MILLI_NANOS)).isTrue();
+		assertThat(received.mayServe(2_500 * MILLI_NANOS, requestSentAtNanos + 1_901 * MILLI_NANOS)).isFalse();
 	}
 
 	@Test
--- a/pistachioline-core/src/test/java/org/pistachioline/core/presence/PresenceNodeTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/presence/PresenceNodeTests.java
@@ -34,9 +34,9 @@
 		assertThat(this.simulation.probesByDaemon.keySet()).containsExactly(this.simulation.servingOrder(group).get(0));
 	}
 
-	// A member's machine loses power. Until the last proof has aged, requests would run
-	// on a
-	// replica that lacks a part of its model, and callers would wait for nothing.
+	// A member's machine loses power. As long as its last proof has not expired,
+	// requests go to a replica that lacks a part of its model, and their callers
+	// wait in vain.
 	@Test
 	void aGroupWithAFailedMemberStopsServingAfterTheMaximumProofAge() {
 		final GroupState group = groupServedByEightDaemons();
@@ -48,9 +48,9 @@
 		assertThat(this.simulation.servingDaemons(group)).hasSize(8);
 	}
 
-	// A member pauses, its group is formed anew elsewhere and back, and it wakes with the
-	// old
-	// epoch. It answers quickly, so only the epoch tells that it would run another model.
+	// A member pauses, its group is formed again elsewhere and back, and the member
+	// resumes with the old epoch. It responds in time, so only the epoch shows that
+	// it would run another model.
 	@Test
 	void aMemberThatReportsAnOldEpochStopsItsGroupBeforeTheMaximumProofAge() {
 		final GroupState group = groupServedByEightDaemons();
@@ -60,9 +60,9 @@
 		assertThat(this.simulation.servingDaemons(group)).isEmpty();
 	}
 
-	// The daemon that probes is replaced, as all are from time to time. Its groups are
-	// well;
-	// if they stopped serving, callers would be refused at every restart of a daemon.
+	// The daemon that probes restarts, as all daemons do from time to time. Its
+	// groups are healthy; if they stopped serving, callers would be refused at every
+	// restart of a daemon.
 	@Test
 	void aFailedProberIsReplacedBeforeAnyProofExpires() {
 		final GroupState group = groupServedByEightDaemons();
@@ -83,9 +83,9 @@
 		assertThat(this.simulation.servingDaemons(group)).hasSize(6);
 	}
 
-	// Every daemon that may probe is lost together with its zone. The rest hear nothing,
-	// and
-	// without the last resort they would refuse all work for a group that is well.
+	// All daemons that may probe fail together with their zone. The others get no
+	// updates; without the fallback they would refuse all requests for a healthy
+	// group.
 	@Test
 	void otherServersProbeWhenAllProbersHaveFailed() {
 		final GroupState group = groupServedByEightDaemons();
@@ -94,19 +94,20 @@
 		assertThat(this.simulation.servingDaemons(group)).hasSize(4);
 	}
 
-	// A cut leaves a daemon with callers but neither members nor peers. It must not go on
-	// sending work to groups whose members may be gone.
+	// A network partition leaves a daemon with callers, but without members and
+	// peers. It must not keep sending requests to groups whose members may have
+	// failed.
 	@Test
 	void anIsolatedDaemonServesNothingAfterTheMaximumProofAge() {
 		final GroupState group = groupServedByEightDaemons();
-		final String alone = this.simulation.servingOrder(group).get(5);
-		this.simulation.canReach = (from, to) -> !from.equals(alone) && !to.equals(alone);
+		final String isolated = this.simulation.servingOrder(group).get(5);
+		this.simulation.canReach = (from, to) -> !from.equals(isolated) && !to.equals(isolated);
 		this.simulation.runMillis(MAX_PROOF_AGE_MILLIS);
-		assertThat(this.simulation.servingDaemons(group)).hasSize(7).doesNotContain(alone);
+		assertThat(this.simulation.servingDaemons(group)).hasSize(7).doesNotContain(isolated);
 	}
 
-	// The prober reaches its peers but not the members: its rounds end with nothing. The
-	// group is well, and the stand-by can prove it.
+	// The prober reaches its peers but not the members, so that its probes get no
+	// responses. The group is healthy, and the standby can prove it.
 	@Test
 	void aProberThatCannotReachTheMembersDoesNotStopTheGroup() {
 		final GroupState group = groupServedByEightDaemons();
@@ -119,9 +120,9 @@
 		}
 	}
 
-	// An answer waits in a socket for longer than the bound while its member dies. Were
-	// its
-	// age counted from its arrival, the group would serve for another 2.5 seconds.
+	// A response stays in a socket for longer than the maximum proof age while its
+	// member fails. If its age counted from its arrival, the group would serve for
+	// another 2.5 seconds.
 	@Test
 	void aResponseDelayedBeyondTheMaximumProofAgeProvesNothing() {
 		final GroupState group = groupServedByEightDaemons();
@@ -146,8 +147,8 @@
 		assertThat(node.proofs(this.simulation.nowNanos).get(group.epoch())).isEqualTo(before);
 	}
 
-	// A rack goes dark. If every daemon then probed every member there, a storm of
-	// connections would hit the switch that is coming back.
+	// A rack becomes unreachable. If every daemon probed every member there, a burst
+	// of connections would hit the switch while it restarts.
 	@Test
 	void anUnreachableGroupIsProbedByAtMostFourDaemons() {
 		final GroupState group = groupServedByEightDaemons();
@@ -166,15 +167,16 @@
 		}
 		this.simulation.addGroup(2_000, "desk", "rack-0", "zone-0", 1);
 		this.simulation.runMillis(4_000);
-		final List<Integer> served = this.simulation.nodes.values()
+		final List<Integer> servedGroups = this.simulation.nodes.values()
 			.stream()
 			.map((node) -> node.servingEpochs(this.simulation.nowNanos).size())
 			.toList();
-		assertThat(Collections.min(served)).isGreaterThan(8);
-		assertThat(Collections.max(served)).isLessThan(200);
-		assertThat(served.stream().mapToInt(Integer::intValue).average().orElseThrow()).isBetween(60.0, 70.0);
-		final Set<String> desk = Set.copyOf(this.simulation.servingDaemons(this.simulation.groups.get("g-2000")));
-		assertThat(desk).hasSize(92);
+		assertThat(Collections.min(servedGroups)).isGreaterThan(8);
+		assertThat(Collections.max(servedGroups)).isLessThan(200);
+		assertThat(servedGroups.stream().mapToInt(Integer::intValue).average().orElseThrow()).isBetween(60.0, 70.0);
+		final Set<String> smallModelServers = Set
+			.copyOf(this.simulation.servingDaemons(this.simulation.groups.get("g-2000")));
+		assertThat(smallModelServers).hasSize(92);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/presence/PresenceSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/presence/PresenceSimulation.java
@@ -17,7 +17,7 @@
 import org.pistachioline.core.state.GroupState;
 
 /**
- * Daemons' presence nodes before fake members, in virtual time.
+ * Runs the presence nodes of several daemons with simulated members in virtual time.
  */
 final class PresenceSimulation {
 
@@ -45,7 +45,7 @@
 
 	final Map<String, Integer> digestsByDaemon = new TreeMap<>();
 
-	/** Whether a daemon reaches a daemon or a member. */
+	/** Whether a daemon can reach another daemon or a member. */
 	BiPredicate<String, String> canReach = (from, to) -> true;
 
 	long responseDelayNanos;
@@ -99,14 +99,14 @@
 				node.onProbeResponse(member.instanceId(), this.stateByMember.get(member.instanceId()), this.nowNanos);
 			}
 		}
-		for (final PresenceRequest question : step.requests()) {
+		for (final PresenceRequest request : step.requests()) {
 			this.requestsByDaemon.merge(id, 1, Integer::sum);
-			final String other = question.daemonId();
-			if (!this.failedDaemons.contains(other) && this.canReach.test(id, other)) {
-				final List<GroupDigest> answer = this.nodes.get(other).respond(question.epochs(), this.nowNanos);
-				this.digestsByDaemon.merge(other, answer.size(), Integer::sum);
+			final String peerId = request.daemonId();
+			if (!this.failedDaemons.contains(peerId) && this.canReach.test(id, peerId)) {
+				final List<GroupDigest> digests = this.nodes.get(peerId).respond(request.epochs(), this.nowNanos);
+				this.digestsByDaemon.merge(peerId, digests.size(), Integer::sum);
 				this.delayedResponses.add(new DelayedResponse(this.nowNanos + this.responseDelayNanos,
-						() -> node.onResponse(other, question.correlationId(), answer)));
+						() -> node.onResponse(peerId, request.correlationId(), digests)));
 			}
 		}
 	}
