--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsReducer.java
@@ -13,13 +13,15 @@
 import org.pistachioline.core.state.RejectReason;
 
 /**
- * Folds claims: the first of a key in log order is granted, all others are not.
+ * Applies claims: the first claim of a key in log order is granted, all others are
+ * rejected.
  * <p>
- * Whoever races, repeats or comes back from a pause, the log has one first claim, and all
- * daemons find the same one. The state is bounded: an entry past twice its key's lifetime
- * goes when a newer claim needs the room, and not before, so that one daemon with a fast
- * clock cannot make a quiet partition forget; a partition full of younger claims grants
- * none, which is refused as not run; answers beyond the bytes kept are stored as unknown.
+ * Whatever requests race, are retried or resume after a pause, the log has one first
+ * claim, and all daemons find the same one. The state is bounded. An entry past its
+ * retention of twice the key's lifetime is evicted only when a newer claim needs the
+ * space, so that one daemon with a fast clock cannot empty a partition with little
+ * traffic. A partition full of retained claims grants none, and these requests are
+ * refused as not run. Responses beyond the storage limit are stored as unknown.
  */
 public final class ClaimsReducer implements Reducer<ClaimsState> {
 
@@ -44,7 +46,8 @@
 			return storeOutcome(marked, outcome);
 		}
 		if (record.body() instanceof CheckpointPart) {
-			// It restates what the state says already; only its writer's mark moves.
+			// A checkpoint part repeats what the state contains; only the mark of
+			// its writer changes.
 			return Applied.accepted(marked);
 		}
 		final boolean unknown = record.body() instanceof UnknownBody;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsState.java
@@ -10,11 +10,11 @@
 import org.pistachioline.core.state.WriterMarks;
 
 /**
- * The agreed claims of one partition.
+ * The claims of one partition, as applied from the log.
  *
- * @param entries the claims by workspace and key
- * @param byExpiry the keys of the claims by the end of their keeping
- * @param storedBytes how much of the answers is stored
+ * @param entries the claims, by workspace and key
+ * @param byExpiry the keys of the claims, by the end of their retention
+ * @param storedBytes the total size of the stored responses
  * @param writers the marks of the stream's writers
  */
 public record ClaimsState(PMap<String, ClaimEntry> entries, PSortedMap<Expiry, String> byExpiry, long storedBytes,
@@ -23,20 +23,23 @@
 	/** The state before any claim. */
 	public static final ClaimsState EMPTY = new ClaimsState(HashTreePMap.empty(), WriterMarks.EMPTY);
 
-	/** From how many entries on those past their keeping are dropped. */
+	/** The number of entries above which those past their retention are evicted. */
 	public static final int EVICTION_THRESHOLD_ENTRIES = 8_192;
 
-	/** How many entries a partition holds; with it full, no claim is granted. */
+	/**
+	 * The maximum number of entries of a partition; once it is reached, no claim is
+	 * granted.
+	 */
 	public static final int MAX_ENTRIES = 32_768;
 
-	/** How much of the answers a partition stores. */
+	/** The maximum total size of the responses that a partition stores. */
 	public static final long MAX_STORED_BYTES = 8L * 1024 * 1024;
 
 	private static final int MAX_EVICTIONS_PER_CLAIM = 4;
 
 	/**
 	 * Creates a state from its entries, such as those of a checkpoint.
-	 * @param entries the claims by workspace and key
+	 * @param entries the claims, by workspace and key
 	 * @param writers the marks of the stream's writers
 	 */
 	public ClaimsState(PMap<String, ClaimEntry> entries, WriterMarks writers) {
@@ -44,20 +47,20 @@
 	}
 
 	/**
-	 * Finds the claim of a key.
+	 * Returns the claim of an idempotency key.
 	 * @param workspace the workspace
-	 * @param keyHash the hash of the key
-	 * @return the claim, if there is one
+	 * @param keyHash the hash of the idempotency key
+	 * @return the claim; empty if there is none
 	 */
 	public Optional<ClaimEntry> find(String workspace, String keyHash) {
 		return Optional.ofNullable(this.entries.get(keyOf(workspace, keyHash)));
 	}
 
 	/**
-	 * Returns the name under which a claim is kept.
+	 * Returns the map key under which a claim is stored.
 	 * @param workspace the workspace
-	 * @param keyHash the hash of the key
-	 * @return the name
+	 * @param keyHash the hash of the idempotency key
+	 * @return the map key
 	 */
 	public static String keyOf(String workspace, String keyHash) {
 		return workspace + '/' + keyHash;
@@ -68,8 +71,8 @@
 	}
 
 	ClaimsState withEntry(String key, ClaimEntry entry) {
-		final ClaimEntry before = this.entries.get(key);
-		final long replacedBytes = (before != null) ? before.storedBytes() : 0;
+		final ClaimEntry previous = this.entries.get(key);
+		final long replacedBytes = (previous != null) ? previous.storedBytes() : 0;
 		return new ClaimsState(this.entries.plus(key, entry),
 				this.byExpiry.plus(new Expiry(entry.retainedUntilMillis(), key), key),
 				this.storedBytes - replacedBytes + entry.storedBytes(), this.writers);
@@ -85,11 +88,11 @@
 	ClaimsState evictExpired(long atMillis) {
 		ClaimsState state = this;
 		for (int i = 0; i < MAX_EVICTIONS_PER_CLAIM && state.entries.size() > EVICTION_THRESHOLD_ENTRIES; i++) {
-			final Expiry first = state.byExpiry.firstKey();
-			if (first.retainedUntilMillis() > atMillis) {
+			final Expiry oldest = state.byExpiry.firstKey();
+			if (oldest.retainedUntilMillis() > atMillis) {
 				break;
 			}
-			state = state.without(first.key());
+			state = state.without(oldest.key());
 		}
 		return state;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/Expiry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/Expiry.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 
 /**
- * Orders claims by the end of their keeping, and by key where that is the same.
+ * The sort key of claims: the end of their retention, then their map key.
  *
- * @param retainedUntilMillis the end, by the claimer's wall clock
- * @param key the workspace and key
+ * @param retainedUntilMillis the end of the retention, by the claimer's wall clock
+ * @param key the map key of the claim, made of workspace and idempotency key
  */
 public record Expiry(long retainedUntilMillis, String key) implements Comparable<Expiry> {
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Claims of idempotency keys on the log, so that a non-idempotent request runs at most
- * once.
+ * Claims of idempotency keys in the log, which ensure that a non-idempotent request runs
+ * at most once.
  */
 package org.pistachioline.core.claims;
--- a/pistachioline-core/src/test/java/org/pistachioline/core/claims/ClaimsReducerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/claims/ClaimsReducerTests.java
@@ -43,35 +43,36 @@
 		return new KeyClaim("w", key, "digest", atMillis, atMillis + LIFETIME_MILLIS);
 	}
 
-	// A claim's answer is lost, so its writer sends it again; both copies land, the
-	// second
-	// one after the claim was given back. Folded twice it would hold a key for which
-	// nothing runs, and the caller's repeats would be told that it may have run.
+	// The response to an append is lost and the writer sends the claim again, so
+	// that both copies are appended, the second one after the claim was released. If
+	// it were applied twice, it would hold a key for which nothing runs, and retries
+	// would be told that the request may have run.
 	@Test
 	void aClaimThatIsAppendedTwiceIsAppliedOnce() {
 		append("a", 1, claim("k", 0));
 		append("a", 2, new KeyRelease("w", "k", 1));
-		final Applied<ClaimsState> again = append("a", 1, claim("k", 0));
-		assertThat(again.rejection()).contains(RejectReason.REPEATED);
+		final Applied<ClaimsState> duplicate = append("a", 1, claim("k", 0));
+		assertThat(duplicate.rejection()).contains(RejectReason.REPEATED);
 		assertThat(this.state.find("w", "k")).isEmpty();
 	}
 
-	// A daemon gave its claim back, another one claimed the key and runs it. The first
-	// one's release lands once more: it must not free the other's claim, or a third
-	// daemon would run the booking a second time.
+	// A daemon releases its claim, and another one claims the key and runs the
+	// request. The first daemon's release is appended again: if it removed the other
+	// claim, a third daemon would run the request a second time.
 	@Test
 	void aReleaseRemovesOnlyTheClaimThatItNames() {
 		append("a", 1, claim("k", 0));
 		append("a", 2, new KeyRelease("w", "k", 1));
 		append("b", 1, claim("k", 0));
-		final Applied<ClaimsState> late = append("a", 3, new KeyRelease("w", "k", 1));
-		assertThat(late.rejection()).contains(RejectReason.UNKNOWN_CLAIM);
+		final Applied<ClaimsState> lateRelease = append("a", 3, new KeyRelease("w", "k", 1));
+		assertThat(lateRelease.rejection()).contains(RejectReason.UNKNOWN_CLAIM);
 		assertThat(append("c", 1, claim("k", 0)).rejection()).contains(RejectReason.KEY_TAKEN);
 	}
 
-	// Claims come for years. A state that kept them all would fill the daemon; one that
-	// forgot them early would run a repeat as new. Past the bound the oldest go, and only
-	// once twice their lifetime has passed.
+	// Claims arrive for years. A state that kept all of them would exhaust the
+	// daemon's memory; one that evicted them early would run a retry as a new
+	// request. Above the threshold the oldest entries are evicted, and only after
+	// twice their lifetime.
 	@Test
 	void aPartitionIsBoundedAndEvictsOnlyEntriesPastRetention() {
 		for (int i = 0; i < 40_000; i++) {
@@ -84,8 +85,9 @@
 		assertThat(this.state.find("w", "k0")).isEmpty();
 	}
 
-	// More claims arrive within a key's lifetime than a partition may hold. No younger
-	// claim is forgotten for a newer one; the newer one is refused, as not run.
+	// More claims arrive within a key's lifetime than a partition may hold. No
+	// retained claim is evicted for a newer one; the newer one is refused, as not
+	// run.
 	@Test
 	void aPartitionFullOfUnexpiredClaimsGrantsNone() {
 		for (int i = 0; i < ClaimsState.MAX_ENTRIES; i++) {
@@ -95,8 +97,8 @@
 		assertThat(append("b", 2, claim("k0", 1)).rejection()).contains(RejectReason.KEY_TAKEN);
 	}
 
-	// Services answer with large bodies. What does not fit is remembered as having run
-	// with an unknown answer, and never as not having run.
+	// Services respond with large bodies. Those beyond the storage limit are stored
+	// as run with an unknown response, never as not run.
 	@Test
 	void responsesBeyondTheStorageLimitAreStoredAsUnknown() {
 		final String body = "x".repeat(1024 * 1024);
@@ -109,29 +111,30 @@
 		assertThat(this.state.find("w", "k8").orElseThrow().outcome().orElseThrow().unknown()).isTrue();
 	}
 
-	// Daemons race for the same few keys; appends land twice, late or not at all, claims
-	// are given back, answers are stored. Over the whole history a key has one holder at
-	// a time, and a second daemon that folds the same records finds the same holders.
+	// Daemons race for the same few keys; records are appended twice, late or not at
+	// all, claims are released, and outcomes are stored. A key must have one holder
+	// at a time throughout the history, and a second daemon that applies the same
+	// records must reach the same state.
 	@Property(seed = "7202", tries = 200, shrinking = ShrinkingMode.OFF)
 	void aKeyHasOneHolderAndAllReplicasAgreeForAnyHistory(@ForAll long seed) {
 		final Random random = new Random(seed);
 		final List<LogRecord> sent = new ArrayList<>();
 		final Map<String, Long> holders = new HashMap<>();
 		final Map<String, Long> sequences = new HashMap<>();
-		ClaimsState first = ClaimsState.EMPTY;
-		ClaimsState second = ClaimsState.EMPTY;
+		ClaimsState firstReplica = ClaimsState.EMPTY;
+		ClaimsState secondReplica = ClaimsState.EMPTY;
 		for (long at = 0; at < 200; at++) {
 			final boolean repeat = !sent.isEmpty() && random.nextInt(3) == 0;
 			final LogRecord record = repeat ? sent.get(random.nextInt(sent.size()))
-					: randomRecord(random, sequences, first);
+					: randomRecord(random, sequences, firstReplica);
 			sent.add(record);
-			final Applied<ClaimsState> applied = this.reducer.apply(first, at, record);
+			final Applied<ClaimsState> applied = this.reducer.apply(firstReplica, at, record);
 			updateHolders(holders, at, record, applied);
-			first = applied.state();
-			second = this.reducer.apply(second, at, record).state();
-			assertThat(second).isEqualTo(first);
+			firstReplica = applied.state();
+			secondReplica = this.reducer.apply(secondReplica, at, record).state();
+			assertThat(secondReplica).isEqualTo(firstReplica);
 		}
-		assertThat(new ClaimsState(first.entries(), first.writers())).isEqualTo(first);
+		assertThat(new ClaimsState(firstReplica.entries(), firstReplica.writers())).isEqualTo(firstReplica);
 	}
 
 	private static LogRecord randomRecord(Random random, Map<String, Long> sequences, ClaimsState state) {
@@ -152,7 +155,7 @@
 			return;
 		}
 		if (record.body() instanceof KeyClaim claim) {
-			assertThat(holders.put(claim.key(), at)).as("granted once").isNull();
+			assertThat(holders.put(claim.key(), at)).as("no other holder of the key").isNull();
 		}
 		else if (record.body() instanceof KeyRelease release) {
 			assertThat(holders.remove(release.key())).isEqualTo(release.claimOffset());
