--- a/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EnginePhase.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EnginePhase.java
@@ -3,26 +3,26 @@
 import java.util.Locale;
 
 /**
- * How far an engine is with the model that it was told to load.
+ * The phase of an engine in loading the model of its last order.
  */
 public enum EnginePhase {
 
-	/** It holds nothing. */
+	/** The engine holds no model. */
 	FREE,
 
-	/** It loads. */
+	/** The engine loads the model. */
 	LOADING,
 
-	/** It can run requests. */
+	/** The engine can run requests. */
 	READY,
 
-	/** It says something else. */
+	/** The engine reported a phase that is not known here. */
 	UNKNOWN;
 
 	/**
-	 * Finds a phase by its name on the wire.
+	 * Returns the phase with a given name on the wire.
 	 * @param name the name, in lower case
-	 * @return the phase
+	 * @return the phase; {@link #UNKNOWN} for any other name
 	 */
 	public static EnginePhase fromWireName(String name) {
 		for (final EnginePhase phase : values()) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EngineState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EngineState.java
@@ -1,16 +1,17 @@
 package org.pistachioline.core.fleet;
 
 /**
- * What one engine says that it holds.
+ * The state that one engine reports.
  *
- * @param instanceId the instance
- * @param groupId the group that it believes to be in; empty where it is free
- * @param fencingToken the group's epoch, or the highest fencing number seen
+ * @param instanceId the id of the instance
+ * @param groupId the id of the group that it is in; empty if it is free
+ * @param fencingToken the epoch of that group, or the highest fencing token that the
+ * engine has seen
  * @param rank its rank in the group
- * @param model the model that it holds
- * @param phase how far it is
- * @param running how many requests it runs
- * @param waiting how many requests wait there
+ * @param model the name of the model that it holds
+ * @param phase the phase of loading
+ * @param running the number of requests that it runs
+ * @param waiting the number of requests that wait there
  */
 public record EngineState(String instanceId, String groupId, long fencingToken, int rank, String model,
 		EnginePhase phase, int running, int waiting) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/fleet/package-info.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/fleet/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Instances as the platform lists them, and what engines hold.
+ * Instances as listed by the platform, and the state and orders of their engines.
  */
 package org.pistachioline.core.fleet;
