--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
@@ -119,8 +119,8 @@
 			for (int copy = 0; copy < FAN_OUT; copy++) {
 				final PeerTable receiver = tables.get(this.random.nextInt(tables.size()));
 				receiver.merge(self, nowNanos);
-				sample.whole().forEach((status) -> receiver.merge(status, nowNanos));
-				sample.news().forEach((news) -> receiver.merge(news, nowNanos));
+				sample.statuses().forEach((status) -> receiver.merge(status, nowNanos));
+				sample.updates().forEach((news) -> receiver.merge(news, nowNanos));
 			}
 		}
 		return bytes;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ReadingOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/DistributionTree.java
@@ -17,21 +17,21 @@
  * of daemons as by two, and a change passes through at most three of 300. Views of who
  * lives may differ for seconds: then one daemon more reads, or somebody is asked by more.
  */
-final class ReadingOrder {
+final class DistributionTree {
 
 	/** One may be dead for seconds before all know it; the other is there meanwhile. */
-	static final int READERS = 2;
+	static final int READER_COUNT = 2;
 
 	/**
 	 * How many daemons ask one: a few hundredths of the weakest machine's processor.
 	 */
-	static final int ASKERS = 8;
+	static final int MAX_CHILDREN = 8;
 
 	private final List<String> ids;
 
 	private final int position;
 
-	private ReadingOrder(List<String> ids, int position) {
+	private DistributionTree(List<String> ids, int position) {
 		this.ids = ids;
 		this.position = position;
 	}
@@ -42,13 +42,13 @@
 	 * @param liveIds the live daemons, this one included or not
 	 * @return the order
 	 */
-	static ReadingOrder of(String selfId, Collection<String> liveIds) {
-		final List<Place> places = new ArrayList<>();
-		liveIds.stream().filter((id) -> !id.equals(selfId)).forEach((id) -> places.add(Place.of(id)));
-		places.add(Place.of(selfId));
-		places.sort(Place.ORDER);
-		final List<String> ids = places.stream().map(Place::daemonId).toList();
-		return new ReadingOrder(ids, ids.indexOf(selfId));
+	static DistributionTree of(String selfId, Collection<String> liveIds) {
+		final List<Node> places = new ArrayList<>();
+		liveIds.stream().filter((id) -> !id.equals(selfId)).forEach((id) -> places.add(Node.of(id)));
+		places.add(Node.of(selfId));
+		places.sort(Node.ORDER);
+		final List<String> ids = places.stream().map(Node::daemonId).toList();
+		return new DistributionTree(ids, ids.indexOf(selfId));
 	}
 
 	int size() {
@@ -59,16 +59,16 @@
 	 * Returns whether this daemon reads the platform's list.
 	 * @return whether it does
 	 */
-	boolean reads() {
-		return this.position < READERS;
+	boolean isReader() {
+		return this.position < READER_COUNT;
 	}
 
 	/**
 	 * Returns whom this daemon asks as a rule.
 	 * @return the daemon's name
 	 */
-	String asked() {
-		return this.ids.get((this.position - READERS) / ASKERS);
+	String parent() {
+		return this.ids.get((this.position - READER_COUNT) / MAX_CHILDREN);
 	}
 
 	/**
@@ -76,7 +76,7 @@
 	 * @param draw a number drawn by chance, from 0 to 1
 	 * @return the daemon's name; empty where there is no other
 	 */
-	String other(double draw) {
+	String randomPeer(double draw) {
 		if (this.ids.size() < 2) {
 			return "";
 		}
@@ -90,12 +90,12 @@
 	 * @param daemonId its name
 	 * @param hash the hash that the order goes by
 	 */
-	private record Place(String daemonId, int hash) {
+	private record Node(String daemonId, int hash) {
 
-		static final Comparator<Place> ORDER = Comparator.comparingInt(Place::hash).thenComparing(Place::daemonId);
+		static final Comparator<Node> ORDER = Comparator.comparingInt(Node::hash).thenComparing(Node::daemonId);
 
-		static Place of(String daemonId) {
-			return new Place(daemonId, MurmurHash3.hash32x86(daemonId.getBytes(StandardCharsets.UTF_8)));
+		static Node of(String daemonId) {
+			return new Node(daemonId, MurmurHash3.hash32x86(daemonId.getBytes(StandardCharsets.UTF_8)));
 		}
 
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/SeenHistory.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/HistoryCoverage.java
@@ -8,20 +8,20 @@
  * before. A daemon that stands between the two may have seen an instance come that nobody
  * who looked knows of; told only the rest, it would keep that instance for good.
  */
-final class SeenHistory {
+final class HistoryCoverage {
 
-	private long completeFrom;
+	private long completeFromOffset;
 
-	private long gapStart;
+	private long gapStartOffset;
 
-	private long gapEnd;
+	private long gapEndOffset;
 
 	/**
 	 * Begins anew with a whole list.
 	 * @param offset the offset that the list stands for
 	 */
-	void beginAt(long offset) {
-		this.completeFrom = offset;
+	void startAt(long offset) {
+		this.completeFromOffset = offset;
 	}
 
 	/**
@@ -29,18 +29,18 @@
 	 * @param fromOffset the offset up to which all was known
 	 * @param toOffset the offset from which all is known again
 	 */
-	void noteGap(long fromOffset, long toOffset) {
-		this.completeFrom = Math.max(this.completeFrom, this.gapEnd);
-		this.gapStart = fromOffset;
-		this.gapEnd = toOffset;
+	void addGap(long fromOffset, long toOffset) {
+		this.completeFromOffset = Math.max(this.completeFromOffset, this.gapEndOffset);
+		this.gapStartOffset = fromOffset;
+		this.gapEndOffset = toOffset;
 	}
 
 	/**
 	 * Notes that a drop is remembered no longer.
 	 * @param offset the drop's offset
 	 */
-	void noteForgotten(long offset) {
-		this.completeFrom = Math.max(this.completeFrom, offset + 1);
+	void onTombstoneEvicted(long offset) {
+		this.completeFromOffset = Math.max(this.completeFromOffset, offset + 1);
 	}
 
 	/**
@@ -49,16 +49,16 @@
 	 * @return whether it can
 	 */
 	boolean covers(long fromOffset) {
-		final boolean inGap = fromOffset > this.gapStart && fromOffset < this.gapEnd;
-		return fromOffset >= this.completeFrom && !inGap;
+		final boolean inGap = fromOffset > this.gapStartOffset && fromOffset < this.gapEndOffset;
+		return fromOffset >= this.completeFromOffset && !inGap;
 	}
 
 	/**
 	 * Returns the end of the last gap.
 	 * @return the first offset after it; 0 where there is none
 	 */
-	long gapEnd() {
-		return this.gapEnd;
+	long gapEndOffset() {
+		return this.gapEndOffset;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceListing.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceListing.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-import org.pistachioline.core.listing.DoubtfulInstances.Cause;
+import org.pistachioline.core.listing.UnconfirmedRemovals.Cause;
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
@@ -27,8 +27,8 @@
  * at the second; nothing is told that lies beyond.</li>
  * </ul>
  * An entry that the list shows no more and whose instance may live all the same is used
- * on for a moment ({@link DoubtfulInstances}). That a drop is in doubt is told beside it,
- * and changes neither of the two.
+ * on for a moment ({@link UnconfirmedRemovals}). That a drop is in doubt is told beside
+ * it, and changes neither of the two.
  */
 final class InstanceListing {
 
@@ -36,33 +36,33 @@
 	 * How many drops are remembered for daemons that were told nothing for a while; some
 	 * minutes' worth where ten instances die every three seconds.
 	 */
-	private static final int MOST_DROPPED = 1_024;
+	private static final int MAX_TOMBSTONES = 1_024;
 
 	/** A longer list is read from the platform rather than told. */
-	private static final int LONGEST_TOLD = 2_000;
+	private static final int MAX_SNAPSHOT_RECORDS = 2_000;
 
 	private final Map<String, InstanceRecord.Listed> listed = new HashMap<>();
 
-	private final Map<String, InstanceRecord.Dropped> dropped = new LinkedHashMap<>();
+	private final Map<String, InstanceRecord.Tombstone> tombstones = new LinkedHashMap<>();
 
-	private final DoubtfulInstances doubtful = new DoubtfulInstances();
+	private final UnconfirmedRemovals unconfirmed = new UnconfirmedRemovals();
 
-	private final SeenHistory seen = new SeenHistory();
+	private final HistoryCoverage coverage = new HistoryCoverage();
 
 	private boolean known;
 
 	private long nextOffset;
 
-	private long changedOffset;
+	private long lastChangeOffset;
 
 	/** A look at the whole list may show records that were written while it went on. */
-	private long aheadOffset;
+	private long snapshotRecordsEnd;
 
-	private long freshAtNanos;
+	private long asOfNanos;
 
 	private boolean changed;
 
-	private boolean settled;
+	private boolean resolved;
 
 	/**
 	 * Returns whether the list is known at all.
@@ -76,8 +76,8 @@
 	 * Returns whether others can be told what is known.
 	 * @return whether all that is known lies before the first offset that is not
 	 */
-	boolean tellable() {
-		return this.known && this.aheadOffset <= this.nextOffset;
+	boolean isShareable() {
+		return this.known && this.snapshotRecordsEnd <= this.nextOffset;
 	}
 
 	/**
@@ -94,7 +94,7 @@
 	 * @return the time since the platform was asked for what is known
 	 */
 	long ageNanos(long nowNanos) {
-		return this.known ? nowNanos - this.freshAtNanos : ListingNode.NEVER_NANOS;
+		return this.known ? nowNanos - this.asOfNanos : ListingSynchronizer.UNKNOWN_AGE_NANOS;
 	}
 
 	/**
@@ -104,22 +104,23 @@
 	 * @param whole the records; they count from its first offset
 	 * @param unsettled whether entries may have lapsed though their instances live
 	 */
-	void takeWhole(long nowNanos, long askedAtNanos, ListingChange whole, boolean unsettled) {
+	void applySnapshot(long nowNanos, long askedAtNanos, ListingDelta whole, boolean unsettled) {
 		if (this.known && whole.fromOffset() < this.nextOffset) {
 			return;
 		}
-		replace(nowNanos, whole, (key) -> lapsed(unsettled));
-		whole.records().forEach((each) -> this.aheadOffset = Math.max(this.aheadOffset, each.offset() + 1));
+		replace(nowNanos, whole, (key) -> expiryCause(unsettled));
+		whole.records()
+			.forEach((each) -> this.snapshotRecordsEnd = Math.max(this.snapshotRecordsEnd, each.offset() + 1));
 		advance(whole.nextOffset(), askedAtNanos);
 	}
 
-	private static Optional<Cause> lapsed(boolean unsettled) {
-		return unsettled ? Optional.of(Cause.LAPSED) : Optional.empty();
+	private static Optional<Cause> expiryCause(boolean unsettled) {
+		return unsettled ? Optional.of(Cause.LEASE_EXPIRED) : Optional.empty();
 	}
 
 	// What a whole list shows goes before all that was known, so one look settles
 	// whatever was wrong here.
-	private void replace(long nowNanos, ListingChange whole, Function<String, Optional<Cause>> doubtOf) {
+	private void replace(long nowNanos, ListingDelta whole, Function<String, Optional<Cause>> doubtOf) {
 		final long offset = whole.nextOffset();
 		final Map<String, InstanceRecord.Listed> found = new HashMap<>();
 		final Set<String> overwritten = new HashSet<>();
@@ -132,26 +133,26 @@
 			}
 		}
 		final Set<String> missing = new HashSet<>(this.listed.keySet());
-		missing.addAll(this.doubtful.keys());
+		missing.addAll(this.unconfirmed.keys());
 		missing.removeAll(found.keySet());
-		missing.forEach((key) -> vanish(nowNanos, new InstanceRecord.Dropped(key, offset - 1),
+		missing.forEach((key) -> removeEntry(nowNanos, new InstanceRecord.Tombstone(key, offset - 1),
 				overwritten.contains(key) ? Optional.of(Cause.OVERWRITTEN) : doubtOf.apply(key)));
-		found.values().forEach((entry) -> list(nowNanos, renewed(entry, offset), true));
+		found.values().forEach((entry) -> addEntry(nowNanos, withResendOffset(entry, offset), true));
 		if (this.known) {
-			this.seen.noteGap(this.nextOffset, offset);
+			this.coverage.addGap(this.nextOffset, offset);
 		}
 		else {
-			this.seen.beginAt(offset);
+			this.coverage.startAt(offset);
 		}
 	}
 
 	// An entry that lies before what was known and is new all the same was missed here,
 	// and whoever was told by this daemon misses it, too.
-	private InstanceRecord.Listed renewed(InstanceRecord.Listed entry, long offset) {
+	private InstanceRecord.Listed withResendOffset(InstanceRecord.Listed entry, long offset) {
 		final InstanceRecord.Listed before = this.listed.get(entry.key());
 		final boolean missed = this.known && entry.offset() < this.nextOffset
-				&& (before == null || !entry.sameAs(before));
-		return missed ? new InstanceRecord.Listed(entry.key(), offset - 1, entry.bornMillis(), entry.instance())
+				&& (before == null || !entry.hasSameContent(before));
+		return missed ? new InstanceRecord.Listed(entry.key(), offset - 1, entry.startedAtMillis(), entry.instance())
 				: entry;
 	}
 
@@ -162,19 +163,20 @@
 	 * @param change the records
 	 * @param unsettled whether entries may have lapsed though their instances live
 	 */
-	void takeRead(long nowNanos, long askedAtNanos, ListingChange change, boolean unsettled) {
+	void applyRead(long nowNanos, long askedAtNanos, ListingDelta change, boolean unsettled) {
 		if (change.fromOffset() > this.nextOffset) {
 			return;
 		}
-		for (final InstanceRecord each : newIn(change)) {
+		for (final InstanceRecord each : unknownRecords(change)) {
 			if (each instanceof InstanceRecord.Listed entry) {
-				list(nowNanos, entry, false);
+				addEntry(nowNanos, entry, false);
 			}
-			else if (each instanceof InstanceRecord.Dropped gone) {
-				vanish(nowNanos, gone, lapsed(unsettled));
+			else if (each instanceof InstanceRecord.Tombstone gone) {
+				removeEntry(nowNanos, gone, expiryCause(unsettled));
 			}
 			else if (this.listed.containsKey(each.key())) {
-				vanish(nowNanos, new InstanceRecord.Dropped(each.key(), each.offset()), Optional.of(Cause.OVERWRITTEN));
+				removeEntry(nowNanos, new InstanceRecord.Tombstone(each.key(), each.offset()),
+						Optional.of(Cause.OVERWRITTEN));
 			}
 		}
 		advance(change.nextOffset(), askedAtNanos);
@@ -182,7 +184,7 @@
 
 	// All that lies before the next offset is known, drops included: what is told of it
 	// again may be of an instance that was dropped since and is forgotten here.
-	private List<InstanceRecord> newIn(ListingChange change) {
+	private List<InstanceRecord> unknownRecords(ListingDelta change) {
 		final long before = this.known ? this.nextOffset : 0;
 		return change.records().stream().filter((each) -> each.offset() >= before).toList();
 	}
@@ -193,115 +195,115 @@
 	 * @param askedAtNanos when the platform was asked for it
 	 * @param change what was told
 	 */
-	void takeTold(long nowNanos, long askedAtNanos, ListingChange change) {
-		if (!joins(change)) {
+	void applyFromPeer(long nowNanos, long askedAtNanos, ListingDelta change) {
+		if (!isApplicable(change)) {
 			return;
 		}
 		if (change.fromOffset() == 0) {
-			replace(nowNanos, change, (key) -> toldDoubt(change, key));
+			replace(nowNanos, change, (key) -> peerCause(change, key));
 		}
 		else {
-			if (change.gapEnd() > this.nextOffset) {
-				this.seen.noteGap(this.nextOffset, change.gapEnd());
+			if (change.gapEndOffset() > this.nextOffset) {
+				this.coverage.addGap(this.nextOffset, change.gapEndOffset());
 			}
-			newIn(change).forEach((each) -> takeToldRecord(nowNanos, change, each));
+			unknownRecords(change).forEach((each) -> applyPeerRecord(nowNanos, change, each));
 		}
-		noteSettled(this.doubtful.settleTold(change));
+		noteResolved(this.unconfirmed.resolveReportedByPeer(change));
 		advance(change.nextOffset(), askedAtNanos);
 	}
 
-	private void takeToldRecord(long nowNanos, ListingChange change, InstanceRecord found) {
+	private void applyPeerRecord(long nowNanos, ListingDelta change, InstanceRecord found) {
 		if (found instanceof InstanceRecord.Listed entry) {
-			list(nowNanos, entry, true);
+			addEntry(nowNanos, entry, true);
 		}
-		else if (found instanceof InstanceRecord.Dropped gone) {
-			vanish(nowNanos, gone, toldDoubt(change, gone.key()));
+		else if (found instanceof InstanceRecord.Tombstone gone) {
+			removeEntry(nowNanos, gone, peerCause(change, gone.key()));
 		}
 	}
 
-	private static Optional<Cause> toldDoubt(ListingChange change, String key) {
-		return change.doubtedKeys().contains(key) ? Optional.of(Cause.TOLD) : Optional.empty();
+	private static Optional<Cause> peerCause(ListingDelta change, String key) {
+		return change.unconfirmedKeys().contains(key) ? Optional.of(Cause.REPORTED_BY_PEER) : Optional.empty();
 	}
 
-	private void noteSettled(boolean any) {
-		this.settled |= any;
+	private void noteResolved(boolean any) {
+		this.resolved |= any;
 		this.changed |= any;
 	}
 
 	// What was asked for later than the start is not the whole list, and what came and
 	// went in a gap is missing in what was told: this daemon may have read of its coming
 	// since it asked.
-	private boolean joins(ListingChange change) {
+	private boolean isApplicable(ListingDelta change) {
 		if (change.fromOffset() == 0) {
 			return !this.known || change.nextOffset() >= this.nextOffset;
 		}
-		final boolean acrossGap = change.gapEnd() > this.nextOffset;
-		final boolean readOn = change.fromOffset() < this.nextOffset || !tellable();
+		final boolean acrossGap = change.gapEndOffset() > this.nextOffset;
+		final boolean readOn = change.fromOffset() < this.nextOffset || !isShareable();
 		return this.known && change.fromOffset() <= this.nextOffset && !(acrossGap && readOn);
 	}
 
 	private void advance(long offset, long askedAtNanos) {
 		this.changed |= !this.known;
-		this.freshAtNanos = this.known ? Math.max(this.freshAtNanos, askedAtNanos) : askedAtNanos;
+		this.asOfNanos = this.known ? Math.max(this.asOfNanos, askedAtNanos) : askedAtNanos;
 		this.known = true;
 		this.nextOffset = Math.max(this.nextOffset, offset);
 	}
 
 	// What was not seen written may have come anew since others were told of it. Its
 	// place is renewed, though it says what is known, so that they hear of it again.
-	private void list(long nowNanos, InstanceRecord.Listed entry, boolean renews) {
+	private void addEntry(long nowNanos, InstanceRecord.Listed entry, boolean renews) {
 		final InstanceRecord.Listed before = this.listed.get(entry.key());
-		final InstanceRecord.Dropped gone = this.dropped.get(entry.key());
+		final InstanceRecord.Tombstone gone = this.tombstones.get(entry.key());
 		final boolean old = (before != null && entry.offset() <= before.offset())
 				|| (gone != null && entry.offset() <= gone.offset());
-		final boolean heartbeat = before != null && entry.sameAs(before) && !renews;
+		final boolean heartbeat = before != null && entry.hasSameContent(before) && !renews;
 		if (old || heartbeat) {
 			return;
 		}
-		final Optional<InstanceRecord.Listed> used = used(entry.key());
-		if (used.isEmpty() || entry.bornMillis() >= used.get().bornMillis()) {
-			noteSettled(this.doubtful.end(entry.key()));
+		final Optional<InstanceRecord.Listed> used = entryInUse(entry.key());
+		if (used.isEmpty() || entry.startedAtMillis() >= used.get().startedAtMillis()) {
+			noteResolved(this.unconfirmed.resolve(entry.key()));
 		}
 		else {
-			this.doubtful.keep(nowNanos, used.get(), entry.offset(), Cause.OVERWRITTEN);
+			this.unconfirmed.retain(nowNanos, used.get(), entry.offset(), Cause.OVERWRITTEN);
 		}
 		this.listed.put(entry.key(), entry);
-		this.dropped.remove(entry.key());
-		this.changed |= used.isEmpty() || !entry.sameAs(used.get());
-		this.changedOffset = Math.max(this.changedOffset, entry.offset());
+		this.tombstones.remove(entry.key());
+		this.changed |= used.isEmpty() || !entry.hasSameContent(used.get());
+		this.lastChangeOffset = Math.max(this.lastChangeOffset, entry.offset());
 	}
 
-	private Optional<InstanceRecord.Listed> used(String key) {
-		return this.doubtful.entry(key).or(() -> Optional.ofNullable(this.listed.get(key)));
+	private Optional<InstanceRecord.Listed> entryInUse(String key) {
+		return this.unconfirmed.entry(key).or(() -> Optional.ofNullable(this.listed.get(key)));
 	}
 
 	// A drop is remembered even where its instance was never heard of here: what is told
 	// leaves out the coming of an instance that has gone, but others may have heard of
 	// it.
-	private void vanish(long nowNanos, InstanceRecord.Dropped gone, Optional<Cause> cause) {
+	private void removeEntry(long nowNanos, InstanceRecord.Tombstone gone, Optional<Cause> cause) {
 		final InstanceRecord.Listed before = this.listed.get(gone.key());
-		final InstanceRecord.Dropped earlier = this.dropped.get(gone.key());
+		final InstanceRecord.Tombstone earlier = this.tombstones.get(gone.key());
 		if ((before != null && gone.offset() <= before.offset())
 				|| (earlier != null && gone.offset() <= earlier.offset())) {
 			return;
 		}
 		if (cause.isEmpty()) {
-			noteSettled(this.doubtful.end(gone.key()));
+			noteResolved(this.unconfirmed.resolve(gone.key()));
 		}
 		else if (before != null) {
-			this.doubtful.keep(nowNanos, before, gone.offset(), cause.get());
+			this.unconfirmed.retain(nowNanos, before, gone.offset(), cause.get());
 		}
 		this.changed |= this.listed.remove(gone.key()) != null;
-		this.dropped.remove(gone.key());
-		this.dropped.put(gone.key(), gone);
-		this.changedOffset = Math.max(this.changedOffset, gone.offset());
-		forgetOldDrops();
+		this.tombstones.remove(gone.key());
+		this.tombstones.put(gone.key(), gone);
+		this.lastChangeOffset = Math.max(this.lastChangeOffset, gone.offset());
+		evictOldTombstones();
 	}
 
-	private void forgetOldDrops() {
-		final Iterator<InstanceRecord.Dropped> oldest = this.dropped.values().iterator();
-		while (this.dropped.size() > MOST_DROPPED) {
-			this.seen.noteForgotten(oldest.next().offset());
+	private void evictOldTombstones() {
+		final Iterator<InstanceRecord.Tombstone> oldest = this.tombstones.values().iterator();
+		while (this.tombstones.size() > MAX_TOMBSTONES) {
+			this.coverage.onTombstoneEvicted(oldest.next().offset());
 			oldest.remove();
 		}
 	}
@@ -311,8 +313,8 @@
 	 * @param nowNanos the monotonic time
 	 * @param unsettled whether entries may have lapsed though their instances live
 	 */
-	void settle(long nowNanos, boolean unsettled) {
-		noteSettled(this.doubtful.settle(nowNanos, unsettled));
+	void resolveExpired(long nowNanos, boolean unsettled) {
+		noteResolved(this.unconfirmed.resolveExpired(nowNanos, unsettled));
 	}
 
 	/**
@@ -321,29 +323,29 @@
 	 * @return the change; the whole list where drops that it may not know of are
 	 * forgotten here; empty where that is too long to tell
 	 */
-	Optional<ListingChange> since(long fromOffset) {
+	Optional<ListingDelta> deltaSince(long fromOffset) {
 		if (!this.known) {
 			return Optional.empty();
 		}
-		if (fromOffset > 0 && !this.seen.covers(fromOffset)) {
-			return since(0);
+		if (fromOffset > 0 && !this.coverage.covers(fromOffset)) {
+			return deltaSince(0);
 		}
-		final List<InstanceRecord> news = newsSince(fromOffset);
-		if (fromOffset == 0 && news.size() > LONGEST_TOLD) {
+		final List<InstanceRecord> news = recordsSince(fromOffset);
+		if (fromOffset == 0 && news.size() > MAX_SNAPSHOT_RECORDS) {
 			return Optional.empty();
 		}
-		return Optional.of(new ListingChange(fromOffset, Math.max(fromOffset, this.nextOffset), this.seen.gapEnd(),
-				news, this.doubtful.keys()));
+		return Optional.of(new ListingDelta(fromOffset, Math.max(fromOffset, this.nextOffset),
+				this.coverage.gapEndOffset(), news, this.unconfirmed.keys()));
 	}
 
-	private List<InstanceRecord> newsSince(long fromOffset) {
+	private List<InstanceRecord> recordsSince(long fromOffset) {
 		final List<InstanceRecord> news = new ArrayList<>();
-		if (fromOffset > this.changedOffset) {
+		if (fromOffset > this.lastChangeOffset) {
 			return news;
 		}
 		this.listed.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(news::add);
 		if (fromOffset > 0) {
-			this.dropped.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(news::add);
+			this.tombstones.values().stream().filter((each) -> each.offset() >= fromOffset).forEach(news::add);
 		}
 		return news;
 	}
@@ -353,17 +355,17 @@
 	 * @param fromOffset the first offset that it lacks
 	 * @return whether it does
 	 */
-	boolean hasNewsSince(long fromOffset) {
-		return this.known && fromOffset <= this.changedOffset;
+	boolean hasChangesSince(long fromOffset) {
+		return this.known && fromOffset <= this.lastChangeOffset;
 	}
 
 	/**
 	 * Returns whether a doubt that others share has ended since this was last asked.
 	 * @return whether one has
 	 */
-	boolean takeSettled() {
-		final boolean was = this.settled;
-		this.settled = false;
+	boolean takeResolved() {
+		final boolean was = this.resolved;
+		this.resolved = false;
 		return was;
 	}
 
@@ -383,7 +385,7 @@
 	 */
 	List<ServingInstance> instances() {
 		final Map<String, InstanceRecord.Listed> used = new HashMap<>(this.listed);
-		this.doubtful.entries().forEach((each) -> used.put(each.key(), each));
+		this.unconfirmed.entries().forEach((each) -> used.put(each.key(), each));
 		return used.values()
 			.stream()
 			.map(InstanceRecord.Listed::instance)
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceRecord.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/InstanceRecord.java
@@ -6,7 +6,8 @@
  * One record of the platform's list of instances. Its offset is its place among all
  * records, the same for every daemon, whoever read it.
  */
-public sealed interface InstanceRecord permits InstanceRecord.Listed, InstanceRecord.Dropped, InstanceRecord.Unusable {
+public sealed interface InstanceRecord
+		permits InstanceRecord.Listed, InstanceRecord.Tombstone, InstanceRecord.Unusable {
 
 	/**
 	 * Returns the instance's key in the list; it stays when the instance starts again.
@@ -25,14 +26,14 @@
 	 *
 	 * @param key the instance's key
 	 * @param offset the record's offset
-	 * @param bornMillis when the instance's process started, by its own clock; 0 where it
-	 * does not tell
+	 * @param startedAtMillis when the instance's process started, by its own clock; 0
+	 * where it does not tell
 	 * @param instance the instance
 	 */
-	record Listed(String key, long offset, long bornMillis, ServingInstance instance) implements InstanceRecord {
+	record Listed(String key, long offset, long startedAtMillis, ServingInstance instance) implements InstanceRecord {
 
-		boolean sameAs(Listed other) {
-			return this.bornMillis == other.bornMillis && this.instance.equals(other.instance);
+		boolean hasSameContent(Listed other) {
+			return this.startedAtMillis == other.startedAtMillis && this.instance.equals(other.instance);
 		}
 
 	}
@@ -43,7 +44,7 @@
 	 * @param key the instance's key
 	 * @param offset the record's offset
 	 */
-	record Dropped(String key, long offset) implements InstanceRecord {
+	record Tombstone(String key, long offset) implements InstanceRecord {
 
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingAction.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingAction.java
@@ -7,16 +7,16 @@
 /**
  * What must be done next to follow the list.
  */
-public sealed interface ListingAction permits ListingAction.Ask, ListingAction.Answer, ListingAction.ReadWhole,
-		ListingAction.ReadChanges, ListingAction.Publish {
+public sealed interface ListingAction permits ListingAction.SendRequest, ListingAction.SendResponse,
+		ListingAction.ReadSnapshot, ListingAction.ReadDelta, ListingAction.Publish {
 
 	/**
 	 * Ask another daemon.
 	 *
 	 * @param daemonId the daemon
-	 * @param question the question
+	 * @param request the question
 	 */
-	record Ask(String daemonId, ListingQuestion question) implements ListingAction {
+	record SendRequest(String daemonId, ListingRequest request) implements ListingAction {
 
 	}
 
@@ -24,16 +24,16 @@
 	 * Answer another daemon.
 	 *
 	 * @param daemonId the daemon
-	 * @param answer the answer
+	 * @param response the answer
 	 */
-	record Answer(String daemonId, ListingAnswer answer) implements ListingAction {
+	record SendResponse(String daemonId, ListingResponse response) implements ListingAction {
 
 	}
 
 	/**
 	 * Read the newest record of every instance from the platform.
 	 */
-	record ReadWhole() implements ListingAction {
+	record ReadSnapshot() implements ListingAction {
 
 	}
 
@@ -42,7 +42,7 @@
 	 *
 	 * @param fromOffset the first offset
 	 */
-	record ReadChanges(long fromOffset) implements ListingAction {
+	record ReadDelta(long fromOffset) implements ListingAction {
 
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingChange.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingDelta.java
@@ -9,14 +9,14 @@
  *
  * @param fromOffset the offset of the first record that counts
  * @param nextOffset the offset after the last one
- * @param gapEnd an instance that came and went before this offset may be missing
+ * @param gapEndOffset an instance that came and went before this offset may be missing
  * altogether, if it came after the first one; 0 where none is
  * @param records the records
- * @param doubtedKeys instances that are dropped by then and may live all the same, as far
- * as whoever tells it knows
+ * @param unconfirmedKeys instances that are dropped by then and may live all the same, as
+ * far as whoever tells it knows
  */
-public record ListingChange(long fromOffset, long nextOffset, long gapEnd, List<InstanceRecord> records,
-		Set<String> doubtedKeys) {
+public record ListingDelta(long fromOffset, long nextOffset, long gapEndOffset, List<InstanceRecord> records,
+		Set<String> unconfirmedKeys) {
 
 	/**
 	 * Creates a change in which nothing is missing.
@@ -24,7 +24,7 @@
 	 * @param nextOffset the offset after the last one
 	 * @param records the records
 	 */
-	public ListingChange(long fromOffset, long nextOffset, List<InstanceRecord> records) {
+	public ListingDelta(long fromOffset, long nextOffset, List<InstanceRecord> records) {
 		this(fromOffset, nextOffset, 0, records);
 	}
 
@@ -32,17 +32,17 @@
 	 * Creates a change that no instance outlives in doubt.
 	 * @param fromOffset the offset of the first record that counts
 	 * @param nextOffset the offset after the last one
-	 * @param gapEnd an instance that came and went before this offset may be missing
-	 * altogether, if it came after the first one; 0 where none is
+	 * @param gapEndOffset an instance that came and went before this offset may be
+	 * missing altogether, if it came after the first one; 0 where none is
 	 * @param records the records
 	 */
-	public ListingChange(long fromOffset, long nextOffset, long gapEnd, List<InstanceRecord> records) {
-		this(fromOffset, nextOffset, gapEnd, records, Set.of());
+	public ListingDelta(long fromOffset, long nextOffset, long gapEndOffset, List<InstanceRecord> records) {
+		this(fromOffset, nextOffset, gapEndOffset, records, Set.of());
 	}
 
-	public ListingChange {
+	public ListingDelta {
 		records = List.copyOf(records);
-		doubtedKeys = Set.copyOf(doubtedKeys);
+		unconfirmedKeys = Set.copyOf(unconfirmedKeys);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingPortions.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingPageAssembler.java
@@ -13,13 +13,13 @@
  * since, which is not what it lacks. The teller's list goes on changing meanwhile, but an
  * entry that changes moves on to a later offset, into a portion that is still to come.
  */
-final class ListingPortions {
+final class ListingPageAssembler {
 
 	private final Map<String, InstanceRecord> records = new HashMap<>();
 
-	private Optional<ListingAnswer> first = Optional.empty();
+	private Optional<ListingResponse> firstPage = Optional.empty();
 
-	private long restOffset;
+	private long continuationOffset;
 
 	/**
 	 * Takes what a daemon told that was asked for the rest, or for all where there is no
@@ -28,31 +28,32 @@
 	 * @param change what it tells
 	 * @return the whole change; empty while something of it is left out
 	 */
-	Optional<ListingChange> join(ListingAnswer answer, ListingChange change) {
-		if (this.first.isPresent() && !continues(this.first.get(), answer)) {
+	Optional<ListingDelta> add(ListingResponse answer, ListingDelta change) {
+		if (this.firstPage.isPresent() && !continues(this.firstPage.get(), answer)) {
 			clear();
 			// A whole list stands for itself; anything else lacks its beginning.
-			return (change.fromOffset() == 0 && answer.restOffset() == 0) ? Optional.of(change) : Optional.empty();
+			return (change.fromOffset() == 0 && answer.continuationOffset() == 0) ? Optional.of(change)
+					: Optional.empty();
 		}
-		this.first = this.first.or(() -> Optional.of(answer));
-		this.restOffset = answer.restOffset();
+		this.firstPage = this.firstPage.or(() -> Optional.of(answer));
+		this.continuationOffset = answer.continuationOffset();
 		change.records().forEach((each) -> this.records.put(each.key(), each));
-		if (this.restOffset > 0) {
+		if (this.continuationOffset > 0) {
 			return Optional.empty();
 		}
-		final ListingChange whole = new ListingChange(change.fromOffset(), change.nextOffset(), change.gapEnd(),
-				List.copyOf(this.records.values()), change.doubtedKeys());
+		final ListingDelta whole = new ListingDelta(change.fromOffset(), change.nextOffset(), change.gapEndOffset(),
+				List.copyOf(this.records.values()), change.unconfirmedKeys());
 		clear();
 		return Optional.of(whole);
 	}
 
 	// What came and went in a gap that the teller has had since is in no portion, and a
 	// later life of the teller may have heard of what was left out at earlier offsets.
-	private static boolean continues(ListingAnswer begun, ListingAnswer answer) {
-		final ListingChange first = begun.change().orElseThrow();
-		final ListingChange next = answer.change().orElseThrow();
-		return answer.lifeId() == begun.lifeId() && next.fromOffset() == first.fromOffset()
-				&& next.gapEnd() <= first.nextOffset();
+	private static boolean continues(ListingResponse begun, ListingResponse answer) {
+		final ListingDelta first = begun.delta().orElseThrow();
+		final ListingDelta next = answer.delta().orElseThrow();
+		return answer.incarnationId() == begun.incarnationId() && next.fromOffset() == first.fromOffset()
+				&& next.gapEndOffset() <= first.nextOffset();
 	}
 
 	/**
@@ -60,16 +61,16 @@
 	 */
 	void clear() {
 		this.records.clear();
-		this.first = Optional.empty();
-		this.restOffset = 0;
+		this.firstPage = Optional.empty();
+		this.continuationOffset = 0;
 	}
 
 	/**
 	 * Returns which daemon must be asked for the rest.
 	 * @return the daemon; empty where no rest is left
 	 */
-	Optional<String> tellerId() {
-		return this.first.map(ListingAnswer::answererId);
+	Optional<String> responderId() {
+		return this.firstPage.map(ListingResponse::responderId);
 	}
 
 	/**
@@ -78,15 +79,15 @@
 	 * @return the first offset that this daemon lacked when it asked first
 	 */
 	long fromOffset(long otherwise) {
-		return this.first.flatMap(ListingAnswer::change).map(ListingChange::fromOffset).orElse(otherwise);
+		return this.firstPage.flatMap(ListingResponse::delta).map(ListingDelta::fromOffset).orElse(otherwise);
 	}
 
 	/**
 	 * Returns where the records begin that are still to be told.
 	 * @return the offset; 0 where no rest is left
 	 */
-	long restOffset() {
-		return this.restOffset;
+	long continuationOffset() {
+		return this.continuationOffset;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingRead.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/ListingRead.java
@@ -6,9 +6,9 @@
  * What came of a read of the platform's list.
  *
  * @param outcome what came of it
- * @param change what was read; empty where nothing was
+ * @param delta what was read; empty where nothing was
  */
-public record ListingRead(Outcome outcome, Optional<ListingChange> change) {
+public record ListingRead(Outcome outcome, Optional<ListingDelta> delta) {
 
 	/** The platform did not answer. */
 	public static final ListingRead FAILED = new ListingRead(Outcome.FAILED, Optional.empty());
@@ -18,20 +18,20 @@
 
 	/**
 	 * Returns a read of the newest record of every instance.
-	 * @param change the records; they count from where the list ended when the read began
+	 * @param delta the records; they count from where the list ended when the read began
 	 * @return the read
 	 */
-	public static ListingRead whole(ListingChange change) {
-		return new ListingRead(Outcome.WHOLE, Optional.of(change));
+	public static ListingRead snapshot(ListingDelta change) {
+		return new ListingRead(Outcome.SNAPSHOT, Optional.of(change));
 	}
 
 	/**
 	 * Returns a read of the records from an offset on.
-	 * @param change the records
+	 * @param delta the records
 	 * @return the read
 	 */
-	public static ListingRead changes(ListingChange change) {
-		return new ListingRead(Outcome.CHANGES, Optional.of(change));
+	public static ListingRead delta(ListingDelta change) {
+		return new ListingRead(Outcome.DELTA, Optional.of(change));
 	}
 
 	/**
@@ -40,10 +40,10 @@
 	public enum Outcome {
 
 		/** The newest record of every instance was read. */
-		WHOLE,
+		SNAPSHOT,
 
 		/** All records from an offset on were read. */
-		CHANGES,
+		DELTA,
 
 		/** The records from that offset on are not kept any more. */
 		HISTORY_GONE,
--- a/pistachioline-core/src/main/java/org/pistachioline/core/listing/DoubtfulInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/listing/UnconfirmedRemovals.java
@@ -17,24 +17,24 @@
  * entry's place. A live instance writes again within a heartbeat. Taken out before, it
  * would break its group for nothing.
  */
-final class DoubtfulInstances {
+final class UnconfirmedRemovals {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
 	/** Three heartbeats: by then an instance has written again, or is taken for gone. */
-	private static final long DOUBT_NANOS = 3_600 * NANOS_PER_MILLI;
+	private static final long CONFIRMATION_NANOS = 3_600 * NANOS_PER_MILLI;
 
-	private final Map<String, Doubt> doubts = new HashMap<>();
+	private final Map<String, UnconfirmedRemoval> removals = new HashMap<>();
 
 	/**
 	 * Keeps an entry that went, unless one is kept already.
 	 * @param nowNanos the monotonic time
 	 * @param entry the entry
-	 * @param goneOffset where it went
+	 * @param removedOffset where it went
 	 * @param cause why its instance may live
 	 */
-	void keep(long nowNanos, InstanceRecord.Listed entry, long goneOffset, Cause cause) {
-		this.doubts.putIfAbsent(entry.key(), new Doubt(entry, goneOffset, nowNanos, cause));
+	void retain(long nowNanos, InstanceRecord.Listed entry, long goneOffset, Cause cause) {
+		this.removals.putIfAbsent(entry.key(), new UnconfirmedRemoval(entry, goneOffset, nowNanos, cause));
 	}
 
 	/**
@@ -42,8 +42,8 @@
 	 * @param key the instance's key
 	 * @return whether there was a doubt
 	 */
-	boolean end(String key) {
-		return this.doubts.remove(key) != null;
+	boolean resolve(String key) {
+		return this.removals.remove(key) != null;
 	}
 
 	/**
@@ -52,10 +52,10 @@
 	 * @param unsettled whether entries may have lapsed though their instances live
 	 * @return whether a doubt ended
 	 */
-	boolean settle(long nowNanos, boolean unsettled) {
-		return this.doubts.values()
-			.removeIf((doubt) -> (doubt.cause() == Cause.LAPSED) ? !unsettled
-					: nowNanos - doubt.sinceNanos() >= DOUBT_NANOS);
+	boolean resolveExpired(long nowNanos, boolean unsettled) {
+		return this.removals.values()
+			.removeIf((doubt) -> (doubt.cause() == Cause.LEASE_EXPIRED) ? !unsettled
+					: nowNanos - doubt.sinceNanos() >= CONFIRMATION_NANOS);
 	}
 
 	/**
@@ -63,10 +63,10 @@
 	 * @param change what a daemon tells now
 	 * @return whether a doubt ended
 	 */
-	boolean settleTold(ListingChange change) {
-		return this.doubts.values()
-			.removeIf((doubt) -> doubt.cause() == Cause.TOLD && doubt.goneOffset() < change.nextOffset()
-					&& !change.doubtedKeys().contains(doubt.entry().key()));
+	boolean resolveReportedByPeer(ListingDelta change) {
+		return this.removals.values()
+			.removeIf((doubt) -> doubt.cause() == Cause.REPORTED_BY_PEER && doubt.removedOffset() < change.nextOffset()
+					&& !change.unconfirmedKeys().contains(doubt.entry().key()));
 	}
 
 	/**
@@ -75,7 +75,7 @@
 	 * @return the entry; empty where there is no doubt
 	 */
 	Optional<InstanceRecord.Listed> entry(String key) {
-		return Optional.ofNullable(this.doubts.get(key)).map(Doubt::entry);
+		return Optional.ofNullable(this.removals.get(key)).map(UnconfirmedRemoval::entry);
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 */
 	Collection<InstanceRecord.Listed> entries() {
 		final List<InstanceRecord.Listed> entries = new ArrayList<>();
-		this.doubts.values().forEach((doubt) -> entries.add(doubt.entry()));
+		this.removals.values().forEach((doubt) -> entries.add(doubt.entry()));
 		return entries;
 	}
 
@@ -93,7 +93,7 @@
 	 * @return the keys
 	 */
 	Set<String> keys() {
-		return Set.copyOf(this.doubts.keySet());
+		return Set.copyOf(this.removals.keySet());
 	}
 
 	/**
@@ -102,7 +102,7 @@
 	enum Cause {
 
 		/** Its entry may have lapsed while the platform's store was away. */
-		LAPSED,
+		LEASE_EXPIRED,
 
 		/**
 		 * Another writer's record, or its own former life's, stands in its entry's place.
@@ -110,7 +110,7 @@
 		OVERWRITTEN,
 
 		/** The daemon that told of it doubts that it has gone. */
-		TOLD
+		REPORTED_BY_PEER
 
 	}
 
@@ -118,11 +118,11 @@
 	 * An instance that may live.
 	 *
 	 * @param entry the entry that it had
-	 * @param goneOffset where it went
+	 * @param removedOffset where it went
 	 * @param sinceNanos since when it is in doubt, by the monotonic clock
 	 * @param cause why it may live
 	 */
-	private record Doubt(InstanceRecord.Listed entry, long goneOffset, long sinceNanos, Cause cause) {
+	private record UnconfirmedRemoval(InstanceRecord.Listed entry, long removedOffset, long sinceNanos, Cause cause) {
 
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/GossipSample.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/GossipSample.java
@@ -5,14 +5,14 @@
 /**
  * What one heartbeat tells of other daemons.
  *
- * @param whole some whole statuses
- * @param news what changed of some others
+ * @param statuses some whole statuses
+ * @param updates what changed of some others
  */
-public record GossipSample(List<PeerStatus> whole, List<PeerNews> news) {
+public record GossipSample(List<PeerStatus> statuses, List<PeerUpdate> updates) {
 
 	public GossipSample {
-		whole = List.copyOf(whole);
-		news = List.copyOf(news);
+		statuses = List.copyOf(statuses);
+		updates = List.copyOf(updates);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerStatus.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerStatus.java
@@ -38,18 +38,18 @@
 	 * Returns what may have changed since the daemon's start.
 	 * @return the news
 	 */
-	public PeerNews news() {
-		return new PeerNews(this.daemonId, this.incarnation, this.sequence, this.configVersion, this.ready,
+	public PeerUpdate toUpdate() {
+		return new PeerUpdate(this.daemonId, this.incarnation, this.sequence, this.configVersion, this.ready,
 				this.leaving);
 	}
 
-	PeerStatus with(PeerNews news) {
+	PeerStatus withUpdate(PeerUpdate news) {
 		return new PeerStatus(this.daemonId, this.peerAddress, this.callerAddress, this.adminAddress,
 				this.availabilityZone, this.incarnation, news.sequence(), news.configVersion(), this.configOffset,
 				this.fleetOffset, news.ready(), news.leaving(), this.loadRatio, this.logAgeMillis);
 	}
 
-	boolean differsFrom(PeerStatus known) {
+	boolean hasChangedSince(PeerStatus known) {
 		return this.configVersion != known.configVersion || this.ready != known.ready || this.leaving != known.leaving;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerTable.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerTable.java
@@ -20,33 +20,33 @@
 public final class PeerTable {
 
 	/** How many whole statuses one heartbeat tells besides the sender's. */
-	public static final int MAX_WHOLE = 3;
+	public static final int MAX_STATUSES = 3;
 
 	/** How many daemons' news one heartbeat tells. */
-	public static final int MAX_NEWS = 32;
+	public static final int MAX_UPDATES = 32;
 
 	/**
 	 * How often a change is told before it waits its turn again: the receivers tell it
 	 * on, so that it reaches 370 daemons in about as many steps as their number has bits.
 	 */
-	private static final int NEWS_REPEATS = 3;
+	private static final int CHANGE_TRANSMISSIONS = 3;
 
 	/** The growth of the live bound: a fleet this large doubles it. */
-	private static final int DOUBLING_DAEMONS = 48;
+	private static final int TIMEOUT_DOUBLING_DAEMONS = 48;
 
 	/** How many live bounds the last word of a dead daemon is kept, though not told. */
-	private static final int FORGOTTEN_BOUNDS = 4;
+	private static final int RETENTION_TIMEOUTS = 4;
 
 	/** More daemons than this are not kept, so that no peer can fill the memory. */
 	private static final int MAX_DAEMONS = 4_096;
 
 	private final String selfId;
 
-	private final long liveBoundNanos;
+	private final long baseTimeoutNanos;
 
-	private final Map<String, Known> peers = new HashMap<>();
+	private final Map<String, Entry> peers = new HashMap<>();
 
-	private long told;
+	private long sendSequence;
 
 	private boolean changed;
 
@@ -57,7 +57,7 @@
 	 */
 	public PeerTable(String selfId, long liveBoundNanos) {
 		this.selfId = selfId;
-		this.liveBoundNanos = liveBoundNanos;
+		this.baseTimeoutNanos = liveBoundNanos;
 	}
 
 	/**
@@ -70,12 +70,12 @@
 		if (status.daemonId().equals(this.selfId)) {
 			return false;
 		}
-		final Known known = this.peers.get(status.daemonId());
+		final Entry known = this.peers.get(status.daemonId());
 		if (known == null) {
 			if (this.peers.size() >= MAX_DAEMONS) {
 				return false;
 			}
-			this.peers.put(status.daemonId(), new Known(status, nowNanos));
+			this.peers.put(status.daemonId(), new Entry(status, nowNanos));
 			this.changed = true;
 			return true;
 		}
@@ -88,14 +88,14 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether the daemon was not live before
 	 */
-	public boolean merge(PeerNews news, long nowNanos) {
-		final Known known = this.peers.get(news.daemonId());
+	public boolean merge(PeerUpdate news, long nowNanos) {
+		final Entry known = this.peers.get(news.daemonId());
 		// Another start may have other addresses: only its whole status tells them.
 		if (known == null || known.status.incarnation() != news.incarnation()
 				|| news.sequence() <= known.status.sequence()) {
 			return false;
 		}
-		return renew(known, known.status.with(news), nowNanos);
+		return renew(known, known.status.withUpdate(news), nowNanos);
 	}
 
 	/**
@@ -105,14 +105,14 @@
 	 * @return whether it has
 	 */
 	public boolean isLive(PeerStatus status, long nowNanos) {
-		final Known known = this.peers.get(status.daemonId());
+		final Entry known = this.peers.get(status.daemonId());
 		return known != null && known.status.incarnation() == status.incarnation()
-				&& nowNanos - known.heardAtNanos <= boundNanos();
+				&& nowNanos - known.lastHeardAtNanos <= timeoutNanos();
 	}
 
-	private boolean renew(Known known, PeerStatus newer, long nowNanos) {
-		this.changed |= newer.incarnation() != known.status.incarnation() || newer.differsFrom(known.status);
-		final boolean wasLost = known.renew(newer, nowNanos, boundNanos());
+	private boolean renew(Entry known, PeerStatus newer, long nowNanos) {
+		this.changed |= newer.incarnation() != known.status.incarnation() || newer.hasChangedSince(known.status);
+		final boolean wasLost = known.renew(newer, nowNanos, timeoutNanos());
 		this.changed |= wasLost;
 		return wasLost;
 	}
@@ -135,26 +135,26 @@
 	 * @return the sample
 	 */
 	public GossipSample sample(long nowNanos) {
-		final long boundNanos = boundNanos();
-		final List<Known> order = new ArrayList<>(this.peers.values());
-		order.removeIf((known) -> nowNanos - known.heardAtNanos > boundNanos);
-		order.sort(Known.ORDER);
+		final long boundNanos = timeoutNanos();
+		final List<Entry> order = new ArrayList<>(this.peers.values());
+		order.removeIf((known) -> nowNanos - known.lastHeardAtNanos > boundNanos);
+		order.sort(Entry.BY_URGENCY);
 		final List<PeerStatus> whole = new ArrayList<>();
-		final List<PeerNews> news = new ArrayList<>();
-		final long before = this.told;
-		final List<Known> byWhole = new ArrayList<>(order);
-		byWhole.sort(Comparator.comparingLong((known) -> known.wholeAt));
-		for (final Known known : byWhole.subList(0, Math.min(MAX_WHOLE, byWhole.size()))) {
-			this.told++;
-			known.wholeAt = this.told;
-			known.tell(this.told);
+		final List<PeerUpdate> news = new ArrayList<>();
+		final long before = this.sendSequence;
+		final List<Entry> byWhole = new ArrayList<>(order);
+		byWhole.sort(Comparator.comparingLong((known) -> known.statusSentSequence));
+		for (final Entry known : byWhole.subList(0, Math.min(MAX_STATUSES, byWhole.size()))) {
+			this.sendSequence++;
+			known.statusSentSequence = this.sendSequence;
+			known.markSent(this.sendSequence);
 			whole.add(known.status);
 		}
-		for (final Known known : order) {
-			if (news.size() < MAX_NEWS && known.wholeAt <= before) {
-				this.told++;
-				known.tell(this.told);
-				news.add(known.status.news());
+		for (final Entry known : order) {
+			if (news.size() < MAX_UPDATES && known.statusSentSequence <= before) {
+				this.sendSequence++;
+				known.markSent(this.sendSequence);
+				news.add(known.status.toUpdate());
 			}
 		}
 		return new GossipSample(whole, news);
@@ -166,59 +166,59 @@
 	 * @return what each said of itself, by name
 	 */
 	public List<PeerStatus> live(long nowNanos) {
-		final long boundNanos = boundNanos();
+		final long boundNanos = timeoutNanos();
 		// Kept longer than others tell of it: an echo must not raise the dead.
-		this.peers.values().removeIf((known) -> nowNanos - known.heardAtNanos > FORGOTTEN_BOUNDS * boundNanos);
+		this.peers.values().removeIf((known) -> nowNanos - known.lastHeardAtNanos > RETENTION_TIMEOUTS * boundNanos);
 		final Map<String, PeerStatus> live = new TreeMap<>();
-		for (final Known known : this.peers.values()) {
-			if (nowNanos - known.heardAtNanos <= boundNanos) {
+		for (final Entry known : this.peers.values()) {
+			if (nowNanos - known.lastHeardAtNanos <= boundNanos) {
 				live.put(known.status.daemonId(), known.status);
 			}
 		}
 		return new ArrayList<>(live.values());
 	}
 
-	private long boundNanos() {
-		return this.liveBoundNanos + this.liveBoundNanos * this.peers.size() / DOUBLING_DAEMONS;
+	private long timeoutNanos() {
+		return this.baseTimeoutNanos + this.baseTimeoutNanos * this.peers.size() / TIMEOUT_DOUBLING_DAEMONS;
 	}
 
-	private static final class Known {
+	private static final class Entry {
 
-		static final Comparator<Known> ORDER = Comparator.comparingInt((Known known) -> -known.newsLeft)
-			.thenComparingLong((known) -> known.toldAt);
+		static final Comparator<Entry> BY_URGENCY = Comparator.comparingInt((Entry known) -> -known.transmissionsLeft)
+			.thenComparingLong((known) -> known.sentSequence);
 
 		private PeerStatus status;
 
-		private long heardAtNanos;
+		private long lastHeardAtNanos;
 
-		private int newsLeft = NEWS_REPEATS;
+		private int transmissionsLeft = CHANGE_TRANSMISSIONS;
 
-		private long toldAt;
+		private long sentSequence;
 
-		private long wholeAt;
+		private long statusSentSequence;
 
-		Known(PeerStatus status, long heardAtNanos) {
+		Entry(PeerStatus status, long heardAtNanos) {
 			this.status = status;
-			this.heardAtNanos = heardAtNanos;
+			this.lastHeardAtNanos = heardAtNanos;
 		}
 
 		boolean renew(PeerStatus newer, long nowNanos, long boundNanos) {
-			final boolean wasLost = nowNanos - this.heardAtNanos > boundNanos;
+			final boolean wasLost = nowNanos - this.lastHeardAtNanos > boundNanos;
 			if (newer.incarnation() != this.status.incarnation()) {
-				this.wholeAt = 0;
-				this.newsLeft = NEWS_REPEATS;
+				this.statusSentSequence = 0;
+				this.transmissionsLeft = CHANGE_TRANSMISSIONS;
 			}
-			if (newer.differsFrom(this.status)) {
-				this.newsLeft = NEWS_REPEATS;
+			if (newer.hasChangedSince(this.status)) {
+				this.transmissionsLeft = CHANGE_TRANSMISSIONS;
 			}
 			this.status = newer;
-			this.heardAtNanos = nowNanos;
+			this.lastHeardAtNanos = nowNanos;
 			return wasLost;
 		}
 
-		void tell(long at) {
-			this.toldAt = at;
-			this.newsLeft = Math.max(0, this.newsLeft - 1);
+		void markSent(long at) {
+			this.sentSequence = at;
+			this.transmissionsLeft = Math.max(0, this.transmissionsLeft - 1);
 		}
 
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerNews.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/peer/PeerUpdate.java
@@ -10,7 +10,7 @@
  * @param ready whether it takes requests
  * @param leaving whether it is about to stop
  */
-public record PeerNews(String daemonId, long incarnation, long sequence, long configVersion, boolean ready,
+public record PeerUpdate(String daemonId, long incarnation, long sequence, long configVersion, boolean ready,
 		boolean leaving) {
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/InstanceListingTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/InstanceListingTests.java
@@ -13,7 +13,7 @@
 class InstanceListingTests {
 
 	/** Past every doubt. */
-	private static final long LATER_NANOS = 60_000_000_000L;
+	private static final long PAST_CONFIRMATION_NANOS = 60_000_000_000L;
 
 	/**
 	 * An instance comes and goes between two questions, so that only its drop is told.
@@ -22,11 +22,12 @@
 	 * itself.
 	 */
 	@Test
-	void aDropOfAnInstanceThatWasNeverHeardOfIsToldOn() {
-		final InstanceListing listing = listedUpTo(100);
-		listing.takeTold(0, 0, new ListingChange(100, 112, List.of(new InstanceRecord.Dropped("i-1", 110))));
-		assertThat(listing.hasNewsSince(107)).isTrue();
-		assertThat(listing.since(107).orElseThrow().records()).containsExactly(new InstanceRecord.Dropped("i-1", 110));
+	void aTombstoneOfAnUnknownInstanceIsPassedOn() {
+		final InstanceListing listing = emptyListingAt(100);
+		listing.applyFromPeer(0, 0, new ListingDelta(100, 112, List.of(new InstanceRecord.Tombstone("i-1", 110))));
+		assertThat(listing.hasChangesSince(107)).isTrue();
+		assertThat(listing.deltaSince(107).orElseThrow().records())
+			.containsExactly(new InstanceRecord.Tombstone("i-1", 110));
 	}
 
 	/**
@@ -35,23 +36,23 @@
 	 * that saw it come must not be told that the rest is complete.
 	 */
 	@Test
-	void aGapInWhatADaemonSawIsAGapForThoseItTells() {
-		final InstanceListing looked = listedUpTo(100);
-		looked.takeWhole(0, 0, new ListingChange(140, 140, List.of()), false);
-		assertTellsTheWholeList(looked);
-		final InstanceListing told = listedUpTo(100);
-		told.takeTold(0, 0, looked.since(100).orElseThrow());
+	void aGapInTheHistoryIsPassedOnToPeers() {
+		final InstanceListing looked = emptyListingAt(100);
+		looked.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
+		assertSendsSnapshot(looked);
+		final InstanceListing told = emptyListingAt(100);
+		told.applyFromPeer(0, 0, looked.deltaSince(100).orElseThrow());
 		assertThat(told.nextOffset()).isEqualTo(140);
-		assertTellsTheWholeList(told);
-		assertThat(told.since(140).orElseThrow().fromOffset()).isEqualTo(140);
+		assertSendsSnapshot(told);
+		assertThat(told.deltaSince(140).orElseThrow().fromOffset()).isEqualTo(140);
 	}
 
-	private static void assertTellsTheWholeList(InstanceListing teller) {
-		assertThat(teller.since(120).orElseThrow().fromOffset()).isZero();
-		final InstanceListing third = listedUpTo(100);
-		third.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110), listed("i-2", 111))), false);
+	private static void assertSendsSnapshot(InstanceListing teller) {
+		assertThat(teller.deltaSince(120).orElseThrow().fromOffset()).isZero();
+		final InstanceListing third = emptyListingAt(100);
+		third.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110), listed("i-2", 111))), false);
 		assertThat(third.instances()).hasSize(2);
-		third.takeTold(0, 0, teller.since(120).orElseThrow());
+		third.applyFromPeer(0, 0, teller.deltaSince(120).orElseThrow());
 		assertThat(third.instances()).isEmpty();
 		assertThat(third.nextOffset()).isEqualTo(140);
 	}
@@ -61,15 +62,15 @@
 	 * came and went in the teller's gap, and that the asker has read of, would be kept.
 	 */
 	@Test
-	void anAnswerFromAcrossAGapIsNotTakenInsideIt() {
-		final InstanceListing teller = listedUpTo(100);
-		teller.takeWhole(0, 0, new ListingChange(140, 140, List.of()), false);
-		final ListingChange late = teller.since(100).orElseThrow();
-		final InstanceListing asker = listedUpTo(100);
-		asker.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		asker.takeTold(0, 0, late);
+	void aDeltaAcrossAGapIsIgnoredByAListInsideTheGap() {
+		final InstanceListing teller = emptyListingAt(100);
+		teller.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
+		final ListingDelta late = teller.deltaSince(100).orElseThrow();
+		final InstanceListing asker = emptyListingAt(100);
+		asker.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		asker.applyFromPeer(0, 0, late);
 		assertThat(asker.nextOffset()).isEqualTo(120);
-		asker.takeTold(0, 0, teller.since(120).orElseThrow());
+		asker.applyFromPeer(0, 0, teller.deltaSince(120).orElseThrow());
 		assertThat(asker.instances()).isEmpty();
 	}
 
@@ -78,12 +79,12 @@
 	 * again, since it came back as this one knew it all the while.
 	 */
 	@Test
-	void whatAWholeListShowsIsToldAgainThoughItSaysNothingNew() {
-		final InstanceListing teller = listedUpTo(100);
-		teller.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		teller.takeWhole(0, 0, new ListingChange(150, 150, List.of(listed("i-1", 145))), false);
-		assertThat(teller.hasNewsSince(140)).isTrue();
-		assertThat(teller.since(120).orElseThrow().records()).containsExactly(listed("i-1", 145));
+	void unchangedSnapshotEntriesAreSentAgain() {
+		final InstanceListing teller = emptyListingAt(100);
+		teller.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		teller.applySnapshot(0, 0, new ListingDelta(150, 150, List.of(listed("i-1", 145))), false);
+		assertThat(teller.hasChangesSince(140)).isTrue();
+		assertThat(teller.deltaSince(120).orElseThrow().records()).containsExactly(listed("i-1", 145));
 	}
 
 	/**
@@ -91,17 +92,17 @@
 	 * never saw: told the rest by that one, a third would keep it for good.
 	 */
 	@Test
-	void whoDoubtsThatAnEntryHasGoneTellsNothingAfterItsLastSight() {
-		final InstanceListing doubting = listedUpTo(100);
-		doubting.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		doubting.takeWhole(0, 0, new ListingChange(160, 160, List.of()), true);
+	void anUnconfirmedRemovalDoesNotHideTheTombstoneFromPeers() {
+		final InstanceListing doubting = emptyListingAt(100);
+		doubting.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		doubting.applySnapshot(0, 0, new ListingDelta(160, 160, List.of()), true);
 		final InstanceListing started = new InstanceListing();
-		started.takeWhole(0, 0, new ListingChange(140, 140, List.of()), false);
-		started.takeRead(0, 0, new ListingChange(140, 170, List.of()), false);
-		final InstanceListing third = listedUpTo(100);
-		third.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		third.takeTold(0, 0, doubting.since(120).orElseThrow());
-		third.takeTold(0, 0, started.since(third.nextOffset()).orElseThrow());
+		started.applySnapshot(0, 0, new ListingDelta(140, 140, List.of()), false);
+		started.applyRead(0, 0, new ListingDelta(140, 170, List.of()), false);
+		final InstanceListing third = emptyListingAt(100);
+		third.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		third.applyFromPeer(0, 0, doubting.deltaSince(120).orElseThrow());
+		third.applyFromPeer(0, 0, started.deltaSince(third.nextOffset()).orElseThrow());
 		assertThat(third.instances()).isEmpty();
 		assertThat(third.nextOffset()).isEqualTo(170);
 	}
@@ -112,17 +113,17 @@
 	 * it for good.
 	 */
 	@Test
-	void nothingIsToldThatLiesBeyondTheOffsetUpToWhichAllIsTold() {
-		final InstanceListing doubting = listedUpTo(100);
-		doubting.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		doubting.takeWhole(0, 0, new ListingChange(160, 160, List.of(listed("i-2", 150))), true);
-		final InstanceListing third = listedUpTo(100);
-		third.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		final InstanceListing looked = listedUpTo(100);
-		looked.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		looked.takeWhole(0, 0, new ListingChange(170, 170, List.of()), false);
-		third.takeTold(0, 0, doubting.since(120).orElseThrow());
-		third.takeTold(0, 0, looked.since(third.nextOffset()).orElseThrow());
+	void noRecordIsSentBeyondTheEndOfTheDelta() {
+		final InstanceListing doubting = emptyListingAt(100);
+		doubting.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		doubting.applySnapshot(0, 0, new ListingDelta(160, 160, List.of(listed("i-2", 150))), true);
+		final InstanceListing third = emptyListingAt(100);
+		third.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		final InstanceListing looked = emptyListingAt(100);
+		looked.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		looked.applySnapshot(0, 0, new ListingDelta(170, 170, List.of()), false);
+		third.applyFromPeer(0, 0, doubting.deltaSince(120).orElseThrow());
+		third.applyFromPeer(0, 0, looked.deltaSince(third.nextOffset()).orElseThrow());
 		assertThat(third.instances()).isEmpty();
 		assertThat(third.nextOffset()).isEqualTo(170);
 	}
@@ -133,22 +134,22 @@
 	 * a moment later.
 	 */
 	@Test
-	void whoIsToldOfADropInDoubtKeepsTheInstanceUntilTheDoubtEnds() {
-		final InstanceListing doubting = listedUpTo(100);
-		doubting.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		doubting.takeRead(0, 0, new ListingChange(120, 130, List.of(new InstanceRecord.Dropped("i-1", 125))), true);
-		final InstanceListing told = listedUpTo(100);
-		told.takeRead(0, 0, new ListingChange(100, 120, List.of(listed("i-1", 110))), false);
-		told.takeTold(0, 0, doubting.since(120).orElseThrow());
-		told.takeRead(0, 0, new ListingChange(130, 131, List.of(listed("i-2", 130))), false);
-		told.takeTold(0, 0, doubting.since(130).orElseThrow());
-		told.settle(0, false);
+	void aPeerRetainsAnUnconfirmedRemovalUntilItIsResolved() {
+		final InstanceListing doubting = emptyListingAt(100);
+		doubting.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		doubting.applyRead(0, 0, new ListingDelta(120, 130, List.of(new InstanceRecord.Tombstone("i-1", 125))), true);
+		final InstanceListing told = emptyListingAt(100);
+		told.applyRead(0, 0, new ListingDelta(100, 120, List.of(listed("i-1", 110))), false);
+		told.applyFromPeer(0, 0, doubting.deltaSince(120).orElseThrow());
+		told.applyRead(0, 0, new ListingDelta(130, 131, List.of(listed("i-2", 130))), false);
+		told.applyFromPeer(0, 0, doubting.deltaSince(130).orElseThrow());
+		told.resolveExpired(0, false);
 		assertThat(told.instances()).extracting(ServingInstance::id).containsExactly("i-1", "i-2");
-		doubting.settle(0, false);
-		assertThat(doubting.takeSettled()).isTrue();
-		told.takeTold(0, 0, doubting.since(131).orElseThrow());
+		doubting.resolveExpired(0, false);
+		assertThat(doubting.takeResolved()).isTrue();
+		told.applyFromPeer(0, 0, doubting.deltaSince(131).orElseThrow());
 		assertThat(told.instances()).extracting(ServingInstance::id).containsExactly("i-2");
-		assertThat(told.takeSettled()).isTrue();
+		assertThat(told.takeResolved()).isTrue();
 	}
 
 	/**
@@ -157,21 +158,23 @@
 	 * has been set back between the two.
 	 */
 	@Test
-	void theWordOfAFormerLifeIsBelievedOnlyIfTheLaterLifeStaysSilent() {
-		final InstanceListing listing = listedUpTo(100);
-		listing.takeRead(0, 0, new ListingChange(100, 101, List.of(life("domain-2", 100, 2_000))), false);
-		listing.takeRead(0, 0, new ListingChange(101, 102, List.of(life("domain-1", 101, 1_000))), false);
+	void aRecordOfAnEarlierIncarnationCountsOnlyIfTheLaterOneStopsRenewing() {
+		final InstanceListing listing = emptyListingAt(100);
+		listing.applyRead(0, 0, new ListingDelta(100, 101, List.of(incarnation("domain-2", 100, 2_000))), false);
+		listing.applyRead(0, 0, new ListingDelta(101, 102, List.of(incarnation("domain-1", 101, 1_000))), false);
 		assertThat(listing.instances()).extracting(ServingInstance::fabricDomain).containsExactly("domain-2");
-		listing.takeRead(0, 0, new ListingChange(102, 103, List.of(life("domain-2", 102, 2_000))), false);
-		listing.settle(LATER_NANOS, false);
+		listing.applyRead(0, 0, new ListingDelta(102, 103, List.of(incarnation("domain-2", 102, 2_000))), false);
+		listing.resolveExpired(PAST_CONFIRMATION_NANOS, false);
 		assertThat(listing.instances()).extracting(ServingInstance::fabricDomain).containsExactly("domain-2");
-		assertThat(listing.since(102).orElseThrow().records()).containsExactly(life("domain-2", 102, 2_000));
-		listing.takeRead(LATER_NANOS, 0, new ListingChange(103, 104, List.of(life("domain-1", 103, 1_000))), false);
-		listing.settle(2 * LATER_NANOS, false);
+		assertThat(listing.deltaSince(102).orElseThrow().records())
+			.containsExactly(incarnation("domain-2", 102, 2_000));
+		listing.applyRead(PAST_CONFIRMATION_NANOS, 0,
+				new ListingDelta(103, 104, List.of(incarnation("domain-1", 103, 1_000))), false);
+		listing.resolveExpired(2 * PAST_CONFIRMATION_NANOS, false);
 		assertThat(listing.instances()).extracting(ServingInstance::fabricDomain).containsExactly("domain-1");
 	}
 
-	private static InstanceRecord.Listed life(String domain, long offset, long bornMillis) {
+	private static InstanceRecord.Listed incarnation(String domain, long offset, long bornMillis) {
 		return new InstanceRecord.Listed("i-1", offset, bornMillis, new ServingInstance("i-1", "pool", "10.0.0.1:80",
 				"zone", domain, false, 4, Set.of(), Optional.empty()));
 	}
@@ -182,19 +185,19 @@
 	 * whoever hears of its drop from nobody.
 	 */
 	@Test
-	void whoSawRecordsAheadOfItsOffsetTellsNothingUntilItHasReadOn() {
+	void aSnapshotWithRecordsPastItsOffsetIsNotSharedUntilTheListHasCaughtUp() {
 		final InstanceListing looked = new InstanceListing();
-		looked.takeWhole(0, 0, new ListingChange(140, 140, List.of(listed("i-1", 143))), false);
+		looked.applySnapshot(0, 0, new ListingDelta(140, 140, List.of(listed("i-1", 143))), false);
 		assertThat(looked.known()).isTrue();
-		assertThat(looked.tellable()).isFalse();
-		final InstanceListing gap = listedUpTo(140);
-		gap.takeWhole(0, 0, new ListingChange(150, 150, List.of()), false);
-		looked.takeTold(0, 0, gap.since(140).orElseThrow());
+		assertThat(looked.isShareable()).isFalse();
+		final InstanceListing gap = emptyListingAt(140);
+		gap.applySnapshot(0, 0, new ListingDelta(150, 150, List.of()), false);
+		looked.applyFromPeer(0, 0, gap.deltaSince(140).orElseThrow());
 		assertThat(looked.nextOffset()).isEqualTo(140);
-		looked.takeRead(0, 0,
-				new ListingChange(140, 150, List.of(listed("i-1", 143), new InstanceRecord.Dropped("i-1", 145))),
+		looked.applyRead(0, 0,
+				new ListingDelta(140, 150, List.of(listed("i-1", 143), new InstanceRecord.Tombstone("i-1", 145))),
 				false);
-		assertThat(looked.tellable()).isTrue();
+		assertThat(looked.isShareable()).isTrue();
 		assertThat(looked.instances()).isEmpty();
 	}
 
@@ -202,24 +205,24 @@
 	 * Guards against a daemon that holds a wrong list after it has looked at the store.
 	 */
 	@Test
-	void aLookAtTheWholeListSettlesWhateverWasWrong() {
-		final InstanceListing wrong = listedUpTo(100);
-		wrong.takeRead(0, 0, new ListingChange(100, 130, List.of(listed("i-1", 110))), false);
-		wrong.takeWhole(0, 0, new ListingChange(140, 140, List.of(listed("i-2", 115))), false);
+	void aSnapshotRepairsAWrongList() {
+		final InstanceListing wrong = emptyListingAt(100);
+		wrong.applyRead(0, 0, new ListingDelta(100, 130, List.of(listed("i-1", 110))), false);
+		wrong.applySnapshot(0, 0, new ListingDelta(140, 140, List.of(listed("i-2", 115))), false);
 		assertThat(wrong.instances()).extracting(ServingInstance::id).containsExactly("i-2");
-		assertThat(wrong.since(135).orElseThrow().fromOffset()).isZero();
-		assertThat(wrong.since(130).orElseThrow().records()).containsExactlyInAnyOrder(listed("i-2", 139),
-				new InstanceRecord.Dropped("i-1", 139));
+		assertThat(wrong.deltaSince(135).orElseThrow().fromOffset()).isZero();
+		assertThat(wrong.deltaSince(130).orElseThrow().records()).containsExactlyInAnyOrder(listed("i-2", 139),
+				new InstanceRecord.Tombstone("i-1", 139));
 	}
 
 	/**
 	 * Guards against a whole list that is older than what its reader knows.
 	 */
 	@Test
-	void aWholeListThatIsOlderThanWhatIsKnownTakesNothingBack() {
-		final InstanceListing known = listedUpTo(150);
-		known.takeRead(0, 0, new ListingChange(150, 160, List.of(listed("i-1", 155))), false);
-		known.takeTold(0, 0, new ListingChange(0, 140, List.of()));
+	void anOutdatedSnapshotIsIgnored() {
+		final InstanceListing known = emptyListingAt(150);
+		known.applyRead(0, 0, new ListingDelta(150, 160, List.of(listed("i-1", 155))), false);
+		known.applyFromPeer(0, 0, new ListingDelta(0, 140, List.of()));
 		assertThat(known.instances()).hasSize(1);
 		assertThat(known.nextOffset()).isEqualTo(160);
 	}
@@ -229,9 +232,9 @@
 				new ServingInstance(key, "pool", "10.0.0.1:80", "zone", "", false, 4, Set.of(), Optional.empty()));
 	}
 
-	private static InstanceListing listedUpTo(long offset) {
+	private static InstanceListing emptyListingAt(long offset) {
 		final InstanceListing listing = new InstanceListing();
-		listing.takeWhole(0, 0, new ListingChange(offset, offset, List.of()), false);
+		listing.applySnapshot(0, 0, new ListingDelta(offset, offset, List.of()), false);
 		return listing;
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingDaemon.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingDaemon.java
@@ -7,35 +7,35 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * One daemon of a {@link ListingWorld}.
+ * One daemon of a {@link ListingSimulation}.
  */
 final class ListingDaemon {
 
 	final int index;
 
-	ListingNode node;
+	ListingSynchronizer synchronizer;
 
 	boolean alive = true;
 
-	boolean cut;
+	boolean partitioned;
 
-	int life;
+	int incarnation;
 
-	long bornAtMillis = -10_000;
+	long startedAtMillis = -10_000;
 
-	long diedAtMillis;
+	long killedAtMillis;
 
-	long noticedAtMillis = -ListingWorld.COPIED_MILLIS;
+	long restoreNoticedAtMillis = -ListingSimulation.RESTORE_HOLD_MILLIS;
 
 	long pausedUntilMillis;
 
 	List<ServingInstance> published;
 
-	final Map<String, Long> newestSeen = new HashMap<>();
+	final Map<String, Long> newestVersions = new HashMap<>();
 
-	ListingDaemon(int index, ListingNode node) {
+	ListingDaemon(int index, ListingSynchronizer node) {
 		this.index = index;
-		this.node = node;
+		this.synchronizer = node;
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModel.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModel.java
@@ -20,19 +20,19 @@
 	private static final int ERA_BITS = 40;
 
 	/** How many records one answer holds. */
-	private static final int MOST_TOLD = 1;
+	private static final int MAX_RECORDS_PER_PAGE = 1;
 
 	/** Past every doubt. */
-	private static final long LATER_NANOS = 60_000_000_000L;
+	private static final long PAST_CONFIRMATION_NANOS = 60_000_000_000L;
 
 	private final List<InstanceListing> daemons = new ArrayList<>();
 
 	/** The answer that is on its way to each daemon; empty where there is none. */
-	private final List<Optional<ListingAnswer>> onTheWay = new ArrayList<>();
+	private final List<Optional<ListingResponse>> responsesInFlight = new ArrayList<>();
 
-	private final List<ListingPortions> portions = new ArrayList<>();
+	private final List<ListingPageAssembler> pages = new ArrayList<>();
 
-	private final List<Integer> lives = new ArrayList<>();
+	private final List<Integer> incarnations = new ArrayList<>();
 
 	/** The log of each era, with what a copy left out of it. */
 	private final List<List<InstanceRecord>> logs = new ArrayList<>();
@@ -40,18 +40,18 @@
 	/** The first position of each era that anybody can stand at. */
 	private final List<Long> firstPositions = new ArrayList<>();
 
-	private long firstKept;
+	private long firstRetainedPosition;
 
-	private int contents;
+	private int contentCount;
 
-	private boolean unsettled;
+	private boolean expiryUnreliable;
 
 	ListingModel(int daemonCount) {
 		for (int i = 0; i < daemonCount; i++) {
 			this.daemons.add(new InstanceListing());
-			this.onTheWay.add(Optional.empty());
-			this.portions.add(new ListingPortions());
-			this.lives.add(0);
+			this.responsesInFlight.add(Optional.empty());
+			this.pages.add(new ListingPageAssembler());
+			this.incarnations.add(0);
 		}
 		this.logs.add(new ArrayList<>());
 		// What stands at the first offset could not be told from knowing nothing.
@@ -84,7 +84,7 @@
 	 * @param key the instance
 	 */
 	void write(String key) {
-		append(key, this.contents++, 0);
+		append(key, this.contentCount++, 0);
 	}
 
 	/**
@@ -92,20 +92,20 @@
 	 * been set.
 	 * @param key the instance
 	 */
-	void writeOfFormerLife(String key) {
-		append(key, this.contents++, -1);
+	void writeFromEarlierIncarnation(String key) {
+		append(key, this.contentCount++, -1);
 	}
 
 	/**
 	 * Has an instance write again what it said last, if it is listed.
 	 * @param key the instance
 	 */
-	void writeAgain(String key) {
+	void renew(String key) {
 		log().stream()
 			.filter((each) -> each.key().equals(key))
 			.reduce((earlier, later) -> later)
 			.filter((last) -> last instanceof InstanceRecord.Listed)
-			.ifPresent((last) -> log().add(copied(last, end())));
+			.ifPresent((last) -> log().add(copyTo(last, end())));
 	}
 
 	private void append(String key, int content, long bornMillis) {
@@ -113,14 +113,14 @@
 				"zone-a", "domain-" + content, false, 4, Set.of(), Optional.empty())));
 	}
 
-	void drop(String key) {
+	void remove(String key) {
 		if (listAt(end()).containsKey(key)) {
-			log().add(new InstanceRecord.Dropped(key, end()));
+			log().add(new InstanceRecord.Tombstone(key, end()));
 		}
 	}
 
-	void forgetHistory() {
-		this.firstKept = end();
+	void truncateHistory() {
+		this.firstRetainedPosition = end();
 	}
 
 	/**
@@ -130,32 +130,32 @@
 	void restore(int lost) {
 		final List<InstanceRecord> copy = new ArrayList<>();
 		for (final InstanceRecord each : log().subList(0, Math.max(1, log().size() - lost))) {
-			copy.add(copied(each, position(this.logs.size(), copy.size())));
+			copy.add(copyTo(each, position(this.logs.size(), copy.size())));
 		}
 		this.logs.add(copy);
 		this.firstPositions.add(end());
-		this.firstKept = position(this.logs.size() - 1, 0);
+		this.firstRetainedPosition = position(this.logs.size() - 1, 0);
 	}
 
-	private static InstanceRecord copied(InstanceRecord origin, long position) {
+	private static InstanceRecord copyTo(InstanceRecord origin, long position) {
 		return (origin instanceof InstanceRecord.Listed entry)
-				? new InstanceRecord.Listed(entry.key(), position, entry.bornMillis(), entry.instance())
-				: new InstanceRecord.Dropped(origin.key(), position);
+				? new InstanceRecord.Listed(entry.key(), position, entry.startedAtMillis(), entry.instance())
+				: new InstanceRecord.Tombstone(origin.key(), position);
 	}
 
 	/**
 	 * Has the store go away and come back, or settle again.
 	 */
-	void changeSettled() {
-		this.unsettled = !this.unsettled;
-		this.daemons.forEach((daemon) -> daemon.settle(0, this.unsettled));
+	void toggleExpiryUnreliable() {
+		this.expiryUnreliable = !this.expiryUnreliable;
+		this.daemons.forEach((daemon) -> daemon.resolveExpired(0, this.expiryUnreliable));
 	}
 
 	void restart(int daemon) {
 		this.daemons.set(daemon, new InstanceListing());
-		this.lives.set(daemon, this.lives.get(daemon) + 1);
-		this.onTheWay.set(daemon, Optional.empty());
-		this.portions.get(daemon).clear();
+		this.incarnations.set(daemon, this.incarnations.get(daemon) + 1);
+		this.responsesInFlight.set(daemon, Optional.empty());
+		this.pages.get(daemon).clear();
 	}
 
 	/**
@@ -165,12 +165,12 @@
 	void read(int daemon) {
 		final InstanceListing listing = this.daemons.get(daemon);
 		final long from = listing.nextOffset();
-		if (!listing.known() || from < this.firstKept) {
-			look(daemon);
+		if (!listing.known() || from < this.firstRetainedPosition) {
+			readSnapshot(daemon);
 			return;
 		}
-		listing.takeRead(0, 0, new ListingChange(from, end(), log().subList(index(from), log().size())),
-				this.unsettled);
+		listing.applyRead(0, 0, new ListingDelta(from, end(), log().subList(index(from), log().size())),
+				this.expiryUnreliable);
 	}
 
 	/**
@@ -186,12 +186,12 @@
 	 * Has a daemon look at the whole list.
 	 * @param daemon the daemon
 	 */
-	void look(int daemon) {
+	void readSnapshot(int daemon) {
 		final Map<String, InstanceRecord> newest = new HashMap<>();
 		log().forEach((each) -> newest.put(each.key(), each));
-		newest.values().removeIf((each) -> each instanceof InstanceRecord.Dropped);
+		newest.values().removeIf((each) -> each instanceof InstanceRecord.Tombstone);
 		this.daemons.get(daemon)
-			.takeWhole(0, 0, new ListingChange(end(), end(), List.copyOf(newest.values())), this.unsettled);
+			.applySnapshot(0, 0, new ListingDelta(end(), end(), List.copyOf(newest.values())), this.expiryUnreliable);
 	}
 
 	/**
@@ -200,62 +200,62 @@
 	 * @param asker the daemon that asks
 	 * @param teller the daemon that answers
 	 */
-	void ask(int asker, int teller) {
+	void request(int asker, int teller) {
 		final InstanceListing listing = this.daemons.get(asker);
-		final ListingPortions told = this.portions.get(asker);
-		final int asked = told.tellerId().map(Integer::parseInt).orElse(teller);
-		final ListingQuestion question = new ListingQuestion(Integer.toString(asker), 0,
-				told.fromOffset(listing.known() ? listing.nextOffset() : 0), told.restOffset());
-		final Optional<ListingPortion> portion = this.daemons.get(asked)
-			.since(question.fromOffset())
-			.map((change) -> ListingPortion.of(change, question, MOST_TOLD));
-		this.onTheWay.set(asker, portion.map((each) -> new ListingAnswer(Integer.toString(asked), 0, 0, 0,
-				Optional.of(each.change()), each.restOffset(), this.lives.get(asked))));
+		final ListingPageAssembler told = this.pages.get(asker);
+		final int asked = told.responderId().map(Integer::parseInt).orElse(teller);
+		final ListingRequest question = new ListingRequest(Integer.toString(asker), 0,
+				told.fromOffset(listing.known() ? listing.nextOffset() : 0), told.continuationOffset());
+		final Optional<ListingPage> portion = this.daemons.get(asked)
+			.deltaSince(question.fromOffset())
+			.map((change) -> ListingPage.of(change, question, MAX_RECORDS_PER_PAGE));
+		this.responsesInFlight.set(asker, portion.map((each) -> new ListingResponse(Integer.toString(asked), 0, 0, 0,
+				Optional.of(each.delta()), each.continuationOffset(), this.incarnations.get(asked))));
 	}
 
 	/**
 	 * Has the answer to a daemon's question arrive.
 	 * @param asker the daemon that asked
 	 */
-	void hear(int asker) {
-		this.onTheWay.get(asker)
-			.flatMap((answer) -> this.portions.get(asker).join(answer, answer.change().orElseThrow()))
-			.ifPresent((change) -> this.daemons.get(asker).takeTold(0, 0, change));
-		this.onTheWay.set(asker, Optional.empty());
+	void deliverResponse(int asker) {
+		this.responsesInFlight.get(asker)
+			.flatMap((answer) -> this.pages.get(asker).add(answer, answer.delta().orElseThrow()))
+			.ifPresent((change) -> this.daemons.get(asker).applyFromPeer(0, 0, change));
+		this.responsesInFlight.set(asker, Optional.empty());
 	}
 
 	/**
 	 * Has a daemon give up what it was told in part.
 	 * @param asker the daemon
 	 */
-	void giveUp(int asker) {
-		this.onTheWay.set(asker, Optional.empty());
-		this.portions.get(asker).clear();
+	void abandonRequest(int asker) {
+		this.responsesInFlight.set(asker, Optional.empty());
+		this.pages.get(asker).clear();
 	}
 
-	private void askForAll(int asker, int teller) {
-		giveUp(asker);
+	private void requestAllPages(int asker, int teller) {
+		abandonRequest(asker);
 		do {
-			ask(asker, teller);
-			hear(asker);
+			request(asker, teller);
+			deliverResponse(asker);
 		}
-		while (this.portions.get(asker).restOffset() > 0);
+		while (this.pages.get(asker).continuationOffset() > 0);
 	}
 
 	/**
 	 * Lets all doubts end and all daemons hear of everything.
 	 */
-	void calm() {
-		this.unsettled = false;
+	void converge() {
+		this.expiryUnreliable = false;
 		for (int i = 0; i < this.daemons.size(); i++) {
 			read(i);
 			for (int other = 0; other < this.daemons.size(); other++) {
-				askForAll(i, other);
+				requestAllPages(i, other);
 			}
 		}
-		this.daemons.forEach((daemon) -> daemon.settle(LATER_NANOS, false));
+		this.daemons.forEach((daemon) -> daemon.resolveExpired(PAST_CONFIRMATION_NANOS, false));
 		for (int i = 0; i < this.daemons.size(); i++) {
-			askForAll(i, 0);
+			requestAllPages(i, 0);
 		}
 	}
 
@@ -264,13 +264,13 @@
 	 * say they know.
 	 * @return their numbers, and what they use
 	 */
-	List<String> wrong() {
+	List<String> daemonsWithWrongList() {
 		final List<String> wrong = new ArrayList<>();
 		for (int i = 0; i < this.daemons.size(); i++) {
 			final InstanceListing daemon = this.daemons.get(i);
 			if (daemon.known()
 					&& !new HashSet<>(daemon.instances()).equals(new HashSet<>(listAt(daemon.nextOffset()).values()))) {
-				wrong.add("daemon " + i + " at " + shown(daemon.nextOffset()) + " uses " + daemon.instances());
+				wrong.add("daemon " + i + " at " + format(daemon.nextOffset()) + " uses " + daemon.instances());
 			}
 		}
 		return wrong;
@@ -280,35 +280,35 @@
 	 * Returns what daemons hold or would tell that is not the store's.
 	 * @return a line for each breach
 	 */
-	List<String> breaches() {
+	List<String> violations() {
 		final List<String> breaches = new ArrayList<>();
 		for (int i = 0; i < this.daemons.size(); i++) {
 			final InstanceListing daemon = this.daemons.get(i);
 			if (daemon.known()) {
-				addBreaches(i, daemon, breaches);
+				addViolations(i, daemon, breaches);
 			}
 		}
 		return breaches;
 	}
 
-	private void addBreaches(int number, InstanceListing daemon, List<String> breaches) {
-		final ListingChange whole = daemon.since(0).orElseThrow();
-		final String name = "daemon " + number + " at " + shown(daemon.nextOffset());
+	private void addViolations(int number, InstanceListing daemon, List<String> breaches) {
+		final ListingDelta whole = daemon.deltaSince(0).orElseThrow();
+		final String name = "daemon " + number + " at " + format(daemon.nextOffset());
 		if (whole.nextOffset() != daemon.nextOffset()
-				|| !applied(new HashMap<>(), whole).equals(listAt(daemon.nextOffset()))) {
+				|| !apply(new HashMap<>(), whole).equals(listAt(daemon.nextOffset()))) {
 			breaches.add(name + " holds " + whole);
 		}
 		for (int era = 0; era < this.logs.size(); era++) {
 			for (long from = this.firstPositions.get(era); from <= position(era, this.logs.get(era).size()); from++) {
-				final ListingChange told = daemon.since(from).orElseThrow();
-				if (from <= daemon.nextOffset() && !applied(listAt(from), told).equals(listAt(told.nextOffset()))) {
-					breaches.add(name + " tells from " + shown(from) + " " + told);
+				final ListingDelta told = daemon.deltaSince(from).orElseThrow();
+				if (from <= daemon.nextOffset() && !apply(listAt(from), told).equals(listAt(told.nextOffset()))) {
+					breaches.add(name + " tells from " + format(from) + " " + told);
 				}
 			}
 		}
 	}
 
-	private static Map<String, ServingInstance> applied(Map<String, ServingInstance> list, ListingChange change) {
+	private static Map<String, ServingInstance> apply(Map<String, ServingInstance> list, ListingDelta change) {
 		final Map<String, ServingInstance> next = new HashMap<>((change.fromOffset() == 0) ? Map.of() : list);
 		for (final InstanceRecord each : change.records()) {
 			if (each instanceof InstanceRecord.Listed entry) {
@@ -334,7 +334,7 @@
 		return list;
 	}
 
-	private static String shown(long position) {
+	private static String format(long position) {
 		return era(position) + ":" + index(position);
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModelTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingModelTests.java
@@ -23,13 +23,14 @@
 
 	private static final String INSTANCE = "i-1";
 
-	private static final String OTHER = "i-2";
+	private static final String OTHER_INSTANCE = "i-2";
 
 	private static final Step READ_ALL = new Step("read all", ListingModel::readAll);
 
 	private static final Step RESTORE = new Step("restore", (model) -> model.restore(2));
 
-	private static final Step CHANGE_SETTLED = new Step("change settled", ListingModel::changeSettled);
+	private static final Step TOGGLE_EXPIRY_UNRELIABLE = new Step("change settled",
+			ListingModel::toggleExpiryUnreliable);
 
 	/** All orders of so many steps are tried. */
 	private static final int STEPS = 6;
@@ -44,18 +45,18 @@
 	 * daemons look at the store, the third hears of it from them.
 	 */
 	@Test
-	void afterEachOrderOfAFewStepsEachDaemonHoldsAndTellsTheStoresList() {
-		final List<Step> before = List.of(writes(INSTANCE), READ_ALL, drops(INSTANCE), writes(OTHER), READ_ALL, RESTORE,
-				CHANGE_SETTLED);
-		final List<Step> steps = List.of(drops(INSTANCE), RESTORE, CHANGE_SETTLED, looks(0), looks(2), isTold(1, 0),
-				isTold(1, 2));
+	void everyDaemonHoldsAndSendsTheStoresListAfterAnyOrderOfAFewSteps() {
+		final List<Step> before = List.of(write(INSTANCE), READ_ALL, remove(INSTANCE), write(OTHER_INSTANCE), READ_ALL,
+				RESTORE, TOGGLE_EXPIRY_UNRELIABLE);
+		final List<Step> steps = List.of(remove(INSTANCE), RESTORE, TOGGLE_EXPIRY_UNRELIABLE, readSnapshot(0),
+				readSnapshot(2), requestAndDeliver(1, 0), requestAndDeliver(1, 2));
 		final int[] order = new int[STEPS];
 		do {
 			final List<Step> history = new ArrayList<>(before);
 			Arrays.stream(order).mapToObj(steps::get).forEach(history::add);
-			assertHolds(history);
+			assertInvariants(history);
 		}
-		while (advance(order, steps.size()));
+		while (nextSequence(order, steps.size()));
 	}
 
 	/**
@@ -64,27 +65,27 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
-	void afterEachStepOfALongHistoryEachDaemonHoldsAndTellsTheStoresList(long seed) {
+	void everyDaemonHoldsAndSendsTheStoresListThroughoutALongRandomHistory(long seed) {
 		final Random random = new Random(seed);
 		final List<Step> steps = steps();
 		for (int i = 0; i < RANDOM_HISTORIES; i++) {
-			assertHolds(random.ints(RANDOM_STEPS, 0, steps.size()).mapToObj(steps::get).toList());
+			assertInvariants(random.ints(RANDOM_STEPS, 0, steps.size()).mapToObj(steps::get).toList());
 		}
 	}
 
-	private static void assertHolds(List<Step> history) {
+	private static void assertInvariants(List<Step> history) {
 		final ListingModel model = new ListingModel(DAEMONS);
 		final List<String> done = new ArrayList<>();
 		for (final Step step : history) {
-			step.what().accept(model);
+			step.action().accept(model);
 			done.add(step.name());
-			assertThat(model.breaches()).as(() -> "after " + done).isEmpty();
+			assertThat(model.violations()).as(() -> "after " + done).isEmpty();
 		}
-		model.calm();
-		assertThat(model.wrong()).as(() -> "in calm after " + done).isEmpty();
+		model.converge();
+		assertThat(model.daemonsWithWrongList()).as(() -> "in calm after " + done).isEmpty();
 	}
 
-	private static boolean advance(int[] order, int base) {
+	private static boolean nextSequence(int[] order, int base) {
 		for (int i = order.length - 1; i >= 0; i--) {
 			order[i] = (order[i] + 1) % base;
 			if (order[i] != 0) {
@@ -95,52 +96,52 @@
 	}
 
 	private static List<Step> steps() {
-		final List<Step> steps = new ArrayList<>(List.of(writes(INSTANCE), drops(INSTANCE), writes(OTHER), drops(OTHER),
-				new Step("write again", (model) -> model.writeAgain(INSTANCE)),
-				new Step("write of a former life", (model) -> model.writeOfFormerLife(INSTANCE)), READ_ALL, RESTORE,
-				CHANGE_SETTLED, new Step("restore the newest", (model) -> model.restore(1)),
-				new Step("forget history", ListingModel::forgetHistory)));
+		final List<Step> steps = new ArrayList<>(List.of(write(INSTANCE), remove(INSTANCE), write(OTHER_INSTANCE),
+				remove(OTHER_INSTANCE), new Step("write again", (model) -> model.renew(INSTANCE)),
+				new Step("write of a former life", (model) -> model.writeFromEarlierIncarnation(INSTANCE)), READ_ALL,
+				RESTORE, TOGGLE_EXPIRY_UNRELIABLE, new Step("restore the newest", (model) -> model.restore(1)),
+				new Step("forget history", ListingModel::truncateHistory)));
 		for (int daemon = 0; daemon < DAEMONS; daemon++) {
-			addSteps(daemon, steps);
+			addDaemonSteps(daemon, steps);
 		}
 		return steps;
 	}
 
-	private static void addSteps(int daemon, List<Step> steps) {
-		steps.add(reads(daemon));
-		steps.add(looks(daemon));
-		steps.add(new Step("hear " + daemon, (model) -> model.hear(daemon)));
+	private static void addDaemonSteps(int daemon, List<Step> steps) {
+		steps.add(read(daemon));
+		steps.add(readSnapshot(daemon));
+		steps.add(new Step("hear " + daemon, (model) -> model.deliverResponse(daemon)));
 		for (int other = 0; other < DAEMONS; other++) {
 			if (other != daemon) {
 				final int teller = other;
-				steps.add(new Step("ask " + daemon + " " + other, (model) -> model.ask(daemon, teller)));
-				steps.add(isTold(daemon, teller));
+				steps.add(new Step("ask " + daemon + " " + other, (model) -> model.request(daemon, teller)));
+				steps.add(requestAndDeliver(daemon, teller));
 			}
 		}
-		steps.add(new Step("give up " + daemon, (model) -> model.giveUp(daemon)));
+		steps.add(new Step("give up " + daemon, (model) -> model.abandonRequest(daemon)));
 		steps.add(new Step("restart " + daemon, (model) -> model.restart(daemon)));
 	}
 
-	private static Step writes(String key) {
+	private static Step write(String key) {
 		return new Step("write " + key, (model) -> model.write(key));
 	}
 
-	private static Step drops(String key) {
-		return new Step("drop " + key, (model) -> model.drop(key));
+	private static Step remove(String key) {
+		return new Step("drop " + key, (model) -> model.remove(key));
 	}
 
-	private static Step reads(int daemon) {
+	private static Step read(int daemon) {
 		return new Step("read " + daemon, (model) -> model.read(daemon));
 	}
 
-	private static Step looks(int daemon) {
-		return new Step("look " + daemon, (model) -> model.look(daemon));
+	private static Step readSnapshot(int daemon) {
+		return new Step("look " + daemon, (model) -> model.readSnapshot(daemon));
 	}
 
-	private static Step isTold(int daemon, int teller) {
+	private static Step requestAndDeliver(int daemon, int teller) {
 		return new Step("tell " + daemon + " by " + teller, (model) -> {
-			model.ask(daemon, teller);
-			model.hear(daemon);
+			model.request(daemon, teller);
+			model.deliverResponse(daemon);
 		});
 	}
 
@@ -148,9 +149,9 @@
 	 * One step of a history.
 	 *
 	 * @param name what is shown of it
-	 * @param what what it does
+	 * @param action what it does
 	 */
-	private record Step(String name, Consumer<ListingModel> what) {
+	private record Step(String name, Consumer<ListingModel> action) {
 
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingWorld.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSimulation.java
@@ -16,29 +16,29 @@
  * Many daemons before one store, in virtual time: they ask each other and read the list
  * while daemons die, stand still and lose their ways and the store does what stores do.
  */
-final class ListingWorld {
+final class ListingSimulation {
 
 	static final long MILLI = 1_000_000L;
 
-	static final long MOST_AGE_NANOS = 1_000 * MILLI;
+	static final long MAX_AGE_NANOS = 1_000 * MILLI;
 
 	private static final long TICK_MILLIS = 50;
 
 	/** How long it takes until all daemons have noticed that one is dead. */
-	private static final long GOSSIP_MILLIS = 5_000;
+	private static final long FAILURE_DETECTION_MILLIS = 5_000;
 
 	/** How long after the store's return entries may be missing. */
-	private static final long GRACE_MILLIS = 2_300;
+	private static final long EXPIRY_GRACE_MILLIS = 2_300;
 
 	/** For how long a daemon reads nothing from a store that came back from a copy. */
-	static final long COPIED_MILLIS = 3_800;
+	static final long RESTORE_HOLD_MILLIS = 3_800;
 
 	/** By then all daemons have had an answer of the new era. */
-	private static final int MOST_NOTICED_MILLIS = 1_600;
+	private static final int MAX_RESTORE_NOTICE_MILLIS = 1_600;
 
 	private final Random random;
 
-	private final PriorityQueue<WorldEvent> events = new PriorityQueue<>();
+	private final PriorityQueue<SimulationEvent> events = new PriorityQueue<>();
 
 	private final List<ListingDaemon> daemons = new ArrayList<>();
 
@@ -47,39 +47,39 @@
 	/**
 	 * Instances that a daemon showed older than it had shown them, or after they went.
 	 */
-	final List<String> stepsBack = new ArrayList<>();
+	final List<String> regressions = new ArrayList<>();
 
-	private final Set<Integer> refused = new HashSet<>();
+	private final Set<Integer> refusedDaemons = new HashSet<>();
 
 	private long nowMillis;
 
-	private long eventNumber;
+	private long eventSequence;
 
-	private int calls;
+	private int storeCalls;
 
-	private boolean storeDown;
+	private boolean storeUnavailable;
 
-	private double answersLost;
+	private double storeFailureRatio;
 
-	private double framesLost;
+	private double frameLossRatio;
 
 	private long frameDelayMillis = 2;
 
-	ListingWorld(int daemonCount, int instances, long seed) {
+	ListingSimulation(int daemonCount, int instances, long seed) {
 		this.random = new Random(seed);
-		this.store = new ListingStore(this.random, () -> this.nowMillis, this::at);
+		this.store = new ListingStore(this.random, () -> this.nowMillis, this::schedule);
 		for (int i = 0; i < instances; i++) {
 			this.store.write(i, 0);
 		}
 		for (int i = 0; i < daemonCount; i++) {
-			this.daemons.add(new ListingDaemon(i, new ListingNode("daemon-" + i, MOST_AGE_NANOS, 0, seed + i)));
+			this.daemons.add(new ListingDaemon(i, new ListingSynchronizer("daemon-" + i, MAX_AGE_NANOS, 0, seed + i)));
 			final int index = i;
-			at(this.random.nextInt((int) TICK_MILLIS), () -> tick(index));
+			schedule(this.random.nextInt((int) TICK_MILLIS), () -> tick(index));
 		}
 	}
 
-	private void at(long afterMillis, Runnable what) {
-		this.events.add(new WorldEvent(this.nowMillis + afterMillis, this.eventNumber++, what));
+	private void schedule(long afterMillis, Runnable what) {
+		this.events.add(new SimulationEvent(this.nowMillis + afterMillis, this.eventSequence++, what));
 	}
 
 	/**
@@ -89,9 +89,9 @@
 	void run(long millis) {
 		final long until = this.nowMillis + millis;
 		while (!this.events.isEmpty() && this.events.peek().atMillis() <= until) {
-			final WorldEvent event = this.events.poll();
+			final SimulationEvent event = this.events.poll();
 			this.nowMillis = event.atMillis();
-			event.what().run();
+			event.action().run();
 		}
 		this.nowMillis = until;
 	}
@@ -102,10 +102,10 @@
 	 * @param instances among how many
 	 */
 	void changeInstances(int perSecond, int instances) {
-		at(this.random.nextInt(2_000 / perSecond + 1), () -> {
+		schedule(this.random.nextInt(2_000 / perSecond + 1), () -> {
 			final int number = this.random.nextInt(instances);
 			if (this.random.nextInt(5) == 0) {
-				this.store.drop(number);
+				this.store.remove(number);
 			}
 			else {
 				this.store.write(number, this.nowMillis);
@@ -120,28 +120,29 @@
 	 * @param ageMillis how old the copy is
 	 */
 	void restore(long ageMillis) {
-		this.store.restore(ageMillis, () -> this.daemons
-			.forEach((daemon) -> daemon.noticedAtMillis = this.nowMillis + this.random.nextInt(MOST_NOTICED_MILLIS)));
+		this.store.restore(ageMillis,
+				() -> this.daemons.forEach((daemon) -> daemon.restoreNoticedAtMillis = this.nowMillis
+						+ this.random.nextInt(MAX_RESTORE_NOTICE_MILLIS)));
 	}
 
-	private boolean unsettled() {
-		return this.storeDown || this.nowMillis - this.store.restoredAtMillis() < GRACE_MILLIS;
+	private boolean expiryUnreliable() {
+		return this.storeUnavailable || this.nowMillis - this.store.restoredAtMillis() < EXPIRY_GRACE_MILLIS;
 	}
 
-	void forgetHistory() {
-		this.store.forgetHistory();
+	void truncateHistory() {
+		this.store.truncateHistory();
 	}
 
-	void storeDown(boolean down) {
-		this.storeDown = down;
+	void storeUnavailable(boolean down) {
+		this.storeUnavailable = down;
 	}
 
-	void answersLost(double ratio) {
-		this.answersLost = ratio;
+	void storeFailureRatio(double ratio) {
+		this.storeFailureRatio = ratio;
 	}
 
-	void framesLost(double ratio) {
-		this.framesLost = ratio;
+	void frameLossRatio(double ratio) {
+		this.frameLossRatio = ratio;
 	}
 
 	void frameDelayMillis(long millis) {
@@ -153,10 +154,10 @@
 	 * @param ratio how many of all
 	 */
 	void refuse(double ratio) {
-		this.refused.clear();
+		this.refusedDaemons.clear();
 		for (int i = 0; i < this.daemons.size(); i++) {
 			if (this.random.nextDouble() < ratio) {
-				this.refused.add(i);
+				this.refusedDaemons.add(i);
 			}
 		}
 	}
@@ -165,12 +166,12 @@
 	 * Has the store turn away those daemons that read for others.
 	 */
 	void refuseReaders() {
-		this.refused.addAll(readers());
+		this.refusedDaemons.addAll(readers());
 	}
 
-	void refuseOnly(int index) {
-		this.refused.clear();
-		this.refused.add(index);
+	void refuseOneMore(int index) {
+		this.refusedDaemons.clear();
+		this.refusedDaemons.add(index);
 	}
 
 	List<ServingInstance> published(int index) {
@@ -179,56 +180,57 @@
 
 	List<Integer> readers() {
 		return this.daemons.stream()
-			.filter((daemon) -> daemon.alive && daemon.node.readsForOthers())
+			.filter((daemon) -> daemon.alive && daemon.synchronizer.readsForOthers())
 			.map((daemon) -> daemon.index)
 			.toList();
 	}
 
 	void kill(int index) {
 		this.daemons.get(index).alive = false;
-		this.daemons.get(index).diedAtMillis = this.nowMillis;
+		this.daemons.get(index).killedAtMillis = this.nowMillis;
 	}
 
 	void restart(int index) {
 		final ListingDaemon daemon = this.daemons.get(index);
 		daemon.alive = true;
-		daemon.life++;
-		daemon.bornAtMillis = this.nowMillis;
-		daemon.node = new ListingNode("daemon-" + index, MOST_AGE_NANOS, this.nowMillis * MILLI,
+		daemon.incarnation++;
+		daemon.startedAtMillis = this.nowMillis;
+		daemon.synchronizer = new ListingSynchronizer("daemon-" + index, MAX_AGE_NANOS, this.nowMillis * MILLI,
 				this.random.nextLong());
 		daemon.published = null;
-		daemon.newestSeen.clear();
+		daemon.newestVersions.clear();
 	}
 
 	void pause(int index, long millis) {
 		this.daemons.get(index).pausedUntilMillis = this.nowMillis + millis;
 	}
 
-	void cutPeers(int index, boolean cut) {
-		this.daemons.get(index).cut = cut;
+	void setPartitioned(int index, boolean cut) {
+		this.daemons.get(index).partitioned = cut;
 	}
 
-	void cutAllPeers(boolean cut) {
-		this.daemons.forEach((daemon) -> daemon.cut = cut);
+	void setAllPartitioned(boolean cut) {
+		this.daemons.forEach((daemon) -> daemon.partitioned = cut);
 	}
 
-	int takeCalls() {
-		final int now = this.calls;
-		this.calls = 0;
+	int takeStoreCalls() {
+		final int now = this.storeCalls;
+		this.storeCalls = 0;
 		return now;
 	}
 
 	private void tick(int index) {
 		final ListingDaemon daemon = this.daemons.get(index);
-		at(TICK_MILLIS, () -> tick(index));
-		deliver(index, () -> daemon.node.onTick(this.nowMillis * MILLI, () -> liveIds(index), false, unsettled()));
+		schedule(TICK_MILLIS, () -> tick(index));
+		deliver(index, () -> daemon.synchronizer.onTick(this.nowMillis * MILLI, () -> liveIds(index), false,
+				expiryUnreliable()));
 	}
 
 	private Set<String> liveIds(int self) {
 		final Set<String> ids = new TreeSet<>();
 		for (final ListingDaemon other : this.daemons) {
-			final boolean known = other.alive ? this.nowMillis - other.bornAtMillis > 300
-					: this.nowMillis - other.diedAtMillis < GOSSIP_MILLIS;
+			final boolean known = other.alive ? this.nowMillis - other.startedAtMillis > 300
+					: this.nowMillis - other.killedAtMillis < FAILURE_DETECTION_MILLIS;
 			if (other.index == self || known) {
 				ids.add("daemon-" + other.index);
 			}
@@ -243,96 +245,101 @@
 			return;
 		}
 		if (daemon.pausedUntilMillis > this.nowMillis) {
-			final int life = daemon.life;
-			at(daemon.pausedUntilMillis - this.nowMillis, () -> {
-				if (daemon.life == life) {
+			final int life = daemon.incarnation;
+			schedule(daemon.pausedUntilMillis - this.nowMillis, () -> {
+				if (daemon.incarnation == life) {
 					deliver(index, step);
 				}
 			});
 			return;
 		}
-		step.get().forEach((action) -> carryOut(index, action));
+		step.get().forEach((action) -> execute(index, action));
 	}
 
-	private void carryOut(int index, ListingAction action) {
+	private void execute(int index, ListingAction action) {
 		final ListingDaemon daemon = this.daemons.get(index);
-		if (action instanceof ListingAction.Ask ask) {
+		if (action instanceof ListingAction.SendRequest ask) {
 			final int other = Integer.parseInt(ask.daemonId().substring("daemon-".length()));
-			frame(index, other, () -> this.daemons.get(other).node.onQuestion(this.nowMillis * MILLI, ask.question()));
+			sendFrame(index, other,
+					() -> this.daemons.get(other).synchronizer.onRequest(this.nowMillis * MILLI, ask.request()));
 		}
-		else if (action instanceof ListingAction.Answer answer) {
+		else if (action instanceof ListingAction.SendResponse answer) {
 			final int other = Integer.parseInt(answer.daemonId().substring("daemon-".length()));
-			frame(index, other, () -> this.daemons.get(other).node.onAnswer(this.nowMillis * MILLI, answer.answer()));
+			sendFrame(index, other,
+					() -> this.daemons.get(other).synchronizer.onResponse(this.nowMillis * MILLI, answer.response()));
 		}
 		else if (action instanceof ListingAction.Publish publish) {
-			noteStepsBack(daemon, publish.instances());
+			recordRegressions(daemon, publish.instances());
 			daemon.published = publish.instances();
 		}
 		else {
-			call(index, action);
+			callStore(index, action);
 		}
 	}
 
 	// The domain of an instance tells when it was written.
-	private void noteStepsBack(ListingDaemon daemon, List<ServingInstance> next) {
+	private void recordRegressions(ListingDaemon daemon, List<ServingInstance> next) {
 		for (final ServingInstance instance : next) {
-			final Long before = daemon.newestSeen.get(instance.id());
+			final Long before = daemon.newestVersions.get(instance.id());
 			final long epoch = Long.parseLong(instance.fabricDomain().substring("domain-".length()));
 			if (before != null && epoch < before) {
-				this.stepsBack.add("daemon " + daemon.index + " at " + this.nowMillis + " ms: " + instance.id()
+				this.regressions.add("daemon " + daemon.index + " at " + this.nowMillis + " ms: " + instance.id()
 						+ " as of " + epoch + " after " + before);
 			}
-			daemon.newestSeen.merge(instance.id(), epoch, Math::max);
+			daemon.newestVersions.merge(instance.id(), epoch, Math::max);
 		}
 		if (daemon.published != null) {
 			final Set<String> listed = next.stream().map(ServingInstance::id).collect(Collectors.toSet());
 			daemon.published.stream()
 				.filter((instance) -> !listed.contains(instance.id()))
-				.forEach((instance) -> daemon.newestSeen.merge(instance.id(), 1 + daemon.newestSeen.get(instance.id()),
-						Math::max));
+				.forEach((instance) -> daemon.newestVersions.merge(instance.id(),
+						1 + daemon.newestVersions.get(instance.id()), Math::max));
 		}
 	}
 
-	private void frame(int from, int to, Supplier<List<ListingAction>> step) {
-		if (this.daemons.get(from).cut || this.daemons.get(to).cut || this.random.nextDouble() < this.framesLost) {
+	private void sendFrame(int from, int to, Supplier<List<ListingAction>> step) {
+		if (this.daemons.get(from).partitioned || this.daemons.get(to).partitioned
+				|| this.random.nextDouble() < this.frameLossRatio) {
 			return;
 		}
-		final int life = this.daemons.get(to).life;
-		at(1 + this.random.nextInt((int) this.frameDelayMillis), () -> {
-			if (this.daemons.get(to).life == life) {
+		final int life = this.daemons.get(to).incarnation;
+		schedule(1 + this.random.nextInt((int) this.frameDelayMillis), () -> {
+			if (this.daemons.get(to).incarnation == life) {
 				deliver(to, step);
 			}
 		});
 	}
 
-	private void call(int index, ListingAction action) {
-		this.calls++;
-		final int life = this.daemons.get(index).life;
-		final boolean lost = this.storeDown || this.refused.contains(index) || isHeldBack(index)
-				|| this.random.nextDouble() < this.answersLost;
-		final ListingRead read = lost ? ListingRead.FAILED : this.store.answer(action);
-		at(lost ? 20 + this.random.nextInt(780) : 4, () -> {
-			if (this.daemons.get(index).life == life) {
-				deliver(index, () -> this.daemons.get(index).node.onRead(this.nowMillis * MILLI, read, unsettled()));
+	private void callStore(int index, ListingAction action) {
+		this.storeCalls++;
+		final int life = this.daemons.get(index).incarnation;
+		final boolean lost = this.storeUnavailable || this.refusedDaemons.contains(index) || isHoldingReads(index)
+				|| this.random.nextDouble() < this.storeFailureRatio;
+		final ListingRead read = lost ? ListingRead.FAILED : this.store.read(action);
+		schedule(lost ? 20 + this.random.nextInt(780) : 4, () -> {
+			if (this.daemons.get(index).incarnation == life) {
+				deliver(index, () -> this.daemons.get(index).synchronizer.onRead(this.nowMillis * MILLI, read,
+						expiryUnreliable()));
 			}
 		});
 	}
 
 	// A daemon that has started since has nothing to compare the era with.
-	private boolean isHeldBack(int index) {
+	private boolean isHoldingReads(int index) {
 		final ListingDaemon daemon = this.daemons.get(index);
-		return daemon.bornAtMillis < daemon.noticedAtMillis && this.nowMillis - daemon.noticedAtMillis < COPIED_MILLIS;
+		return daemon.startedAtMillis < daemon.restoreNoticedAtMillis
+				&& this.nowMillis - daemon.restoreNoticedAtMillis < RESTORE_HOLD_MILLIS;
 	}
 
 	/**
 	 * Returns how late the latest of all daemons is that live and are not cut off.
 	 * @return the age of the oldest record that one of them does not know
 	 */
-	long mostLateMillis() {
+	long maxLagMillis() {
 		long most = 0;
 		for (final ListingDaemon daemon : this.daemons) {
 			if (daemon.alive && daemon.pausedUntilMillis <= this.nowMillis) {
-				most = Math.max(most, this.store.lateMillis(daemon.node.nextOffset()));
+				most = Math.max(most, this.store.lagMillis(daemon.synchronizer.nextOffset()));
 			}
 		}
 		return most;
@@ -343,11 +350,11 @@
 	 * say they know.
 	 * @return their numbers
 	 */
-	List<Integer> wrong() {
+	List<Integer> daemonsWithWrongList() {
 		final List<Integer> wrong = new ArrayList<>();
 		for (final ListingDaemon daemon : this.daemons) {
-			if (daemon.alive && daemon.published != null && this.store.isOfThisEra(daemon.node.nextOffset())
-					&& !new HashSet<>(daemon.published).equals(this.store.listAt(daemon.node.nextOffset()))) {
+			if (daemon.alive && daemon.published != null && this.store.isInCurrentEra(daemon.synchronizer.nextOffset())
+					&& !new HashSet<>(daemon.published).equals(this.store.listAt(daemon.synchronizer.nextOffset()))) {
 				wrong.add(daemon.index);
 			}
 		}
@@ -359,13 +366,13 @@
 	 * @param index the daemon
 	 * @return the difference, for a failed test
 	 */
-	String difference(int index) {
+	String describeDifference(int index) {
 		final ListingDaemon daemon = this.daemons.get(index);
-		final Set<ServingInstance> right = this.store.listAt(daemon.node.nextOffset());
+		final Set<ServingInstance> right = this.store.listAt(daemon.synchronizer.nextOffset());
 		final Set<ServingInstance> more = new HashSet<>(daemon.published);
 		more.removeAll(right);
 		right.removeAll(new HashSet<>(daemon.published));
-		return "daemon " + index + " next " + daemon.node.nextOffset() + " life " + daemon.life + " of "
+		return "daemon " + index + " next " + daemon.synchronizer.nextOffset() + " life " + daemon.incarnation + " of "
 				+ this.store.size() + " at " + this.nowMillis + " ms has " + more + " and lacks " + right;
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingStore.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingStore.java
@@ -14,7 +14,7 @@
 import org.pistachioline.core.replica.ServingInstance;
 
 /**
- * The store of a {@link ListingWorld} and the instances that write into it.
+ * The store of a {@link ListingSimulation} and the instances that write into it.
  */
 final class ListingStore {
 
@@ -27,31 +27,31 @@
 	private static final int HEARTBEAT_MILLIS = 1_200;
 
 	/** By then the store drops an instance that has not. */
-	private static final long SILENCE_MILLIS = 3 * HEARTBEAT_MILLIS;
+	private static final long LEASE_MILLIS = 3 * HEARTBEAT_MILLIS;
 
 	private final Random random;
 
 	private final LongSupplier clockMillis;
 
-	private final BiConsumer<Long, Runnable> schedule;
+	private final BiConsumer<Long, Runnable> scheduler;
 
 	private final List<InstanceRecord> log = new ArrayList<>();
 
 	private final List<Long> writtenAtMillis = new ArrayList<>();
 
-	private final Map<String, InstanceRecord.Listed> newest = new HashMap<>();
+	private final Map<String, InstanceRecord.Listed> entries = new HashMap<>();
 
 	/** What live instances wrote last, whatever the store has kept of it. */
-	private final Map<String, InstanceRecord.Listed> live = new HashMap<>();
+	private final Map<String, InstanceRecord.Listed> lastWritten = new HashMap<>();
 
-	private long firstKept;
+	private long firstRetainedIndex;
 
 	private long era;
 
 	/** The position of the first record that was written in this era. */
-	private long firstWritten;
+	private long firstPositionOfEra;
 
-	private long restoredAtMillis = -SILENCE_MILLIS;
+	private long restoredAtMillis = -LEASE_MILLIS;
 
 	/**
 	 * Creates an empty store.
@@ -62,7 +62,7 @@
 	ListingStore(Random random, LongSupplier clockMillis, BiConsumer<Long, Runnable> schedule) {
 		this.random = random;
 		this.clockMillis = clockMillis;
-		this.schedule = schedule;
+		this.scheduler = schedule;
 	}
 
 	long restoredAtMillis() {
@@ -73,8 +73,8 @@
 		return this.log.size();
 	}
 
-	void forgetHistory() {
-		this.firstKept = this.log.size();
+	void truncateHistory() {
+		this.firstRetainedIndex = this.log.size();
 	}
 
 	void write(int number, long epoch) {
@@ -83,11 +83,11 @@
 				"domain-" + epoch, false, 4, Set.of(), Optional.empty());
 		final InstanceRecord.Listed entry = new InstanceRecord.Listed(key, nextPosition(), 0, instance);
 		append(entry);
-		this.newest.put(key, entry);
-		this.live.put(key, entry);
+		this.entries.put(key, entry);
+		this.lastWritten.put(key, entry);
 		// Heartbeats are left out but where they matter.
-		if (this.clockMillis.getAsLong() - this.restoredAtMillis < SILENCE_MILLIS) {
-			this.schedule.accept((long) HEARTBEAT_MILLIS, () -> writeAgain(entry, 3));
+		if (this.clockMillis.getAsLong() - this.restoredAtMillis < LEASE_MILLIS) {
+			this.scheduler.accept((long) HEARTBEAT_MILLIS, () -> renew(entry, 3));
 		}
 	}
 
@@ -103,7 +103,7 @@
 		return position & INDEX_MASK;
 	}
 
-	boolean isOfThisEra(long position) {
+	boolean isInCurrentEra(long position) {
 		return position >>> ERA_BITS == this.era;
 	}
 
@@ -123,59 +123,59 @@
 		this.era++;
 		onNewEra.run();
 		this.restoredAtMillis = this.clockMillis.getAsLong();
-		this.firstWritten = position(kept);
-		this.newest.clear();
+		this.firstPositionOfEra = position(kept);
+		this.entries.clear();
 		for (int i = 0; i < kept; i++) {
-			this.log.set(i, copied(this.log.get(i), position(i)));
+			this.log.set(i, copyTo(this.log.get(i), position(i)));
 		}
-		this.live.values()
-			.forEach((entry) -> this.schedule.accept((long) this.random.nextInt(HEARTBEAT_MILLIS),
-					() -> writeAgain(entry, 3)));
-		this.newest.keySet()
+		this.lastWritten.values()
+			.forEach((entry) -> this.scheduler.accept((long) this.random.nextInt(HEARTBEAT_MILLIS),
+					() -> renew(entry, 3)));
+		this.entries.keySet()
 			.stream()
-			.filter((key) -> !this.live.containsKey(key))
-			.forEach((key) -> this.schedule.accept(SILENCE_MILLIS, () -> dropSilent(key)));
+			.filter((key) -> !this.lastWritten.containsKey(key))
+			.forEach((key) -> this.scheduler.accept(LEASE_MILLIS, () -> removeIfExpired(key)));
 	}
 
-	private InstanceRecord copied(InstanceRecord origin, long position) {
+	private InstanceRecord copyTo(InstanceRecord origin, long position) {
 		if (origin instanceof InstanceRecord.Listed entry) {
-			final InstanceRecord.Listed copy = new InstanceRecord.Listed(entry.key(), position, entry.bornMillis(),
+			final InstanceRecord.Listed copy = new InstanceRecord.Listed(entry.key(), position, entry.startedAtMillis(),
 					entry.instance());
-			this.newest.put(copy.key(), copy);
+			this.entries.put(copy.key(), copy);
 			return copy;
 		}
-		this.newest.remove(origin.key());
-		return new InstanceRecord.Dropped(origin.key(), position);
+		this.entries.remove(origin.key());
+		return new InstanceRecord.Tombstone(origin.key(), position);
 	}
 
 	// As a heartbeat does, which comes again and again while its instance lives
 	// unchanged.
-	private void writeAgain(InstanceRecord.Listed entry, int times) {
-		if (this.live.get(entry.key()) != entry) {
+	private void renew(InstanceRecord.Listed entry, int times) {
+		if (this.lastWritten.get(entry.key()) != entry) {
 			return;
 		}
-		final InstanceRecord.Listed again = new InstanceRecord.Listed(entry.key(), nextPosition(), entry.bornMillis(),
-				entry.instance());
+		final InstanceRecord.Listed again = new InstanceRecord.Listed(entry.key(), nextPosition(),
+				entry.startedAtMillis(), entry.instance());
 		append(again);
-		this.newest.put(again.key(), again);
+		this.entries.put(again.key(), again);
 		if (times > 1) {
-			this.schedule.accept((long) HEARTBEAT_MILLIS, () -> writeAgain(entry, times - 1));
+			this.scheduler.accept((long) HEARTBEAT_MILLIS, () -> renew(entry, times - 1));
 		}
 	}
 
-	private void dropSilent(String key) {
-		final InstanceRecord.Listed now = this.newest.get(key);
-		if (now != null && now.offset() < this.firstWritten) {
-			this.newest.remove(key);
-			append(new InstanceRecord.Dropped(key, nextPosition()));
+	private void removeIfExpired(String key) {
+		final InstanceRecord.Listed now = this.entries.get(key);
+		if (now != null && now.offset() < this.firstPositionOfEra) {
+			this.entries.remove(key);
+			append(new InstanceRecord.Tombstone(key, nextPosition()));
 		}
 	}
 
-	void drop(int number) {
+	void remove(int number) {
 		final String key = "i-" + number;
-		if (this.live.remove(key) != null) {
-			this.newest.remove(key);
-			append(new InstanceRecord.Dropped(key, nextPosition()));
+		if (this.lastWritten.remove(key) != null) {
+			this.entries.remove(key);
+			append(new InstanceRecord.Tombstone(key, nextPosition()));
 		}
 	}
 
@@ -184,15 +184,16 @@
 		this.writtenAtMillis.add(this.clockMillis.getAsLong());
 	}
 
-	ListingRead answer(ListingAction action) {
+	ListingRead read(ListingAction action) {
 		final long end = nextPosition();
-		if (action instanceof ListingAction.ReadChanges changes) {
-			final boolean gone = !isOfThisEra(changes.fromOffset()) || index(changes.fromOffset()) < this.firstKept;
-			return gone ? ListingRead.HISTORY_GONE : ListingRead.changes(new ListingChange(changes.fromOffset(), end,
+		if (action instanceof ListingAction.ReadDelta changes) {
+			final boolean gone = !isInCurrentEra(changes.fromOffset())
+					|| index(changes.fromOffset()) < this.firstRetainedIndex;
+			return gone ? ListingRead.HISTORY_GONE : ListingRead.delta(new ListingDelta(changes.fromOffset(), end,
 					this.log.subList((int) index(changes.fromOffset()), this.log.size())));
 		}
-		final ListingChange whole = new ListingChange(end, end, List.copyOf(this.newest.values()));
-		return ListingRead.whole(whole);
+		final ListingDelta whole = new ListingDelta(end, end, List.copyOf(this.entries.values()));
+		return ListingRead.snapshot(whole);
 	}
 
 	/**
@@ -200,8 +201,8 @@
 	 * @param nextOffset the first offset that is not known
 	 * @return its age; 0 where all is known
 	 */
-	long lateMillis(long nextOffset) {
-		if (!isOfThisEra(nextOffset)) {
+	long lagMillis(long nextOffset) {
+		if (!isInCurrentEra(nextOffset)) {
 			return this.clockMillis.getAsLong() - this.restoredAtMillis;
 		}
 		final int next = (int) index(nextOffset);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingNodeTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/listing/ListingSynchronizerTests.java
@@ -21,7 +21,7 @@
  * which a draining instance must be left, and the store is called no more often by a
  * large fleet than by a small one.
  */
-class ListingNodeTests {
+class ListingSynchronizerTests {
 
 	private static final int INSTANCES = 200;
 
@@ -30,40 +30,42 @@
 	/**
 	 * A draining instance must be left within two seconds; a tenth of one is left to act.
 	 */
-	private static final long BOUND_MILLIS = 2_000 - 100;
+	private static final long MAX_LAG_MILLIS = 2_000 - 100;
 
-	private static ListingWorld world(int daemons, long seed) {
-		return world(daemons, INSTANCES, CHANGES_PER_SECOND, seed);
+	private static ListingSimulation simulation(int daemons, long seed) {
+		return simulation(daemons, INSTANCES, CHANGES_PER_SECOND, seed);
 	}
 
-	private static ListingWorld world(int daemons, int instances, int changesPerSecond, long seed) {
-		final ListingWorld world = new ListingWorld(daemons, instances, seed);
+	private static ListingSimulation simulation(int daemons, int instances, int changesPerSecond, long seed) {
+		final ListingSimulation world = new ListingSimulation(daemons, instances, seed);
 		world.changeInstances(changesPerSecond, instances);
 		world.run(3_000);
-		world.takeCalls();
+		world.takeStoreCalls();
 		return world;
 	}
 
-	private static void holds(ListingWorld world, long millis, long boundMillis) {
+	private static void runAndCheck(ListingSimulation world, long millis, long boundMillis) {
 		for (long passed = 0; passed < millis; passed += 100) {
 			world.run(100);
-			assertThat(world.mostLateMillis()).as("the latest daemon").isLessThanOrEqualTo(boundMillis);
+			assertThat(world.maxLagMillis()).as("the latest daemon").isLessThanOrEqualTo(boundMillis);
 			if (passed % 500 == 0) {
-				assertNoneIsWrong(world);
+				assertNoWrongLists(world);
 			}
 		}
 	}
 
-	private static void assertNoneIsWrong(ListingWorld world) {
-		assertThat(world.wrong()).as(() -> world.wrong().stream().map(world::difference).toList().toString()).isEmpty();
+	private static void assertNoWrongLists(ListingSimulation world) {
+		assertThat(world.daemonsWithWrongList())
+			.as(() -> world.daemonsWithWrongList().stream().map(world::describeDifference).toList().toString())
+			.isEmpty();
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 6, 95, 300 })
-	void aFleetOfAnySizeReadsTheStoreAsOftenAsTwoDaemons(int daemons) {
-		final ListingWorld world = world(daemons, daemons);
-		holds(world, 10_000, 1_000);
-		assertThat(world.takeCalls()).as("calls in ten seconds").isLessThanOrEqualTo(100);
+	void theRateOfStoreCallsDoesNotGrowWithTheFleet(int daemons) {
+		final ListingSimulation world = simulation(daemons, daemons);
+		runAndCheck(world, 10_000, 1_000);
+		assertThat(world.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(100);
 	}
 
 	/**
@@ -73,13 +75,13 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5 })
-	void readersThatDieAreReplacedInTime(long seed) {
-		final ListingWorld world = world(95, seed);
+	void killedReadersAreReplacedInTime(long seed) {
+		final ListingSimulation world = simulation(95, seed);
 		world.readers().forEach(world::kill);
-		holds(world, 8_000, BOUND_MILLIS);
-		assertThat(world.takeCalls()).as("calls in eight seconds").isLessThanOrEqualTo(8 * 25);
-		holds(world, 10_000, 1_000);
-		assertThat(world.takeCalls()).isLessThanOrEqualTo(100);
+		runAndCheck(world, 8_000, MAX_LAG_MILLIS);
+		assertThat(world.takeStoreCalls()).as("calls in eight seconds").isLessThanOrEqualTo(8 * 25);
+		runAndCheck(world, 10_000, 1_000);
+		assertThat(world.takeStoreCalls()).isLessThanOrEqualTo(100);
 	}
 
 	/**
@@ -88,14 +90,14 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 11, 12, 13, 14, 15 })
-	void aReaderThatStoodStillTakesNobodyBack(long seed) {
-		final ListingWorld world = world(95, seed);
+	void aPausedReaderCausesNoRegression(long seed) {
+		final ListingSimulation world = simulation(95, seed);
 		final List<Integer> readers = world.readers();
 		readers.forEach((reader) -> world.pause(reader, 4_000));
-		holds(world, 3_900, BOUND_MILLIS);
+		runAndCheck(world, 3_900, MAX_LAG_MILLIS);
 		// The readers themselves read anew when they go on.
 		world.run(500);
-		holds(world, 4_000, BOUND_MILLIS);
+		runAndCheck(world, 4_000, MAX_LAG_MILLIS);
 	}
 
 	/**
@@ -105,14 +107,14 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 21, 22, 23, 24, 25 })
-	void daemonsThatTheStoreTurnsAwayHearFromTheOthers(long seed) {
-		final ListingWorld world = world(95, seed);
+	void daemonsRefusedByTheStoreAreUpdatedByPeers(long seed) {
+		final ListingSimulation world = simulation(95, seed);
 		world.refuse(0.35);
 		world.refuseReaders();
-		holds(world, 9_000, BOUND_MILLIS);
+		runAndCheck(world, 9_000, MAX_LAG_MILLIS);
 		world.refuse(0);
 		world.run(1_500);
-		holds(world, 4_000, BOUND_MILLIS);
+		runAndCheck(world, 4_000, MAX_LAG_MILLIS);
 	}
 
 	/**
@@ -121,16 +123,16 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 6, 95, 300 })
-	void daemonsCutOffFromEachOtherReadForThemselvesWithinTheStoresLimits(int daemons) {
-		final ListingWorld world = world(daemons, daemons);
-		world.cutAllPeers(true);
-		holds(world, 10_000, BOUND_MILLIS + daemons * 20L);
-		assertThat(world.takeCalls()).as("calls in ten seconds").isLessThanOrEqualTo(1_500);
-		world.cutAllPeers(false);
+	void partitionedDaemonsReadForThemselvesWithinTheStoresRateLimit(int daemons) {
+		final ListingSimulation world = simulation(daemons, daemons);
+		world.setAllPartitioned(true);
+		runAndCheck(world, 10_000, MAX_LAG_MILLIS + daemons * 20L);
+		assertThat(world.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(1_500);
+		world.setAllPartitioned(false);
 		world.run(5_000);
-		world.takeCalls();
-		holds(world, 10_000, 1_000);
-		assertThat(world.takeCalls()).isLessThanOrEqualTo(100);
+		world.takeStoreCalls();
+		runAndCheck(world, 10_000, 1_000);
+		assertThat(world.takeStoreCalls()).isLessThanOrEqualTo(100);
 	}
 
 	/**
@@ -140,11 +142,11 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 20, 95, 300 })
-	void daemonsThatAreAllSlowDoNotAllRead(int daemons) {
-		final ListingWorld world = world(daemons, daemons);
+	void slowDaemonsDoNotOverloadTheStore(int daemons) {
+		final ListingSimulation world = simulation(daemons, daemons);
 		world.frameDelayMillis(900);
 		world.run(10_000);
-		assertThat(world.takeCalls()).as("calls in ten seconds").isLessThanOrEqualTo(10 * 100);
+		assertThat(world.takeStoreCalls()).as("calls in ten seconds").isLessThanOrEqualTo(10 * 100);
 	}
 
 	/**
@@ -153,15 +155,15 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 31, 32, 33 })
-	void anOutageOfTheStoreIsOverSoonAfterItsReturn(long seed) {
-		final ListingWorld world = world(95, seed);
-		world.storeDown(true);
+	void listsCatchUpSoonAfterAStoreOutage(long seed) {
+		final ListingSimulation world = simulation(95, seed);
+		world.storeUnavailable(true);
 		world.run(5_000);
-		assertNoneIsWrong(world);
-		world.forgetHistory();
-		world.storeDown(false);
+		assertNoWrongLists(world);
+		world.truncateHistory();
+		world.storeUnavailable(false);
 		world.run(2_000);
-		holds(world, 5_000, BOUND_MILLIS);
+		runAndCheck(world, 5_000, MAX_LAG_MILLIS);
 	}
 
 	/**
@@ -170,21 +172,21 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "1, 61", "2, 62", "6, 63", "6, 64", "95, 65", "95, 66", "95, 210", "300, 67" })
-	void aStoreThatComesBackFromACopyTakesNobodyBack(int daemons, long seed) {
-		assertNobodyGoesBack(daemons, seed);
+	void aStoreRestoredFromABackupCausesNoRegression(int daemons, long seed) {
+		assertNoRegressionAfterRestores(daemons, seed);
 	}
 
-	private static void assertNobodyGoesBack(int daemons, long seed) {
-		final ListingWorld world = world(daemons, seed);
+	private static void assertNoRegressionAfterRestores(int daemons, long seed) {
+		final ListingSimulation world = simulation(daemons, seed);
 		for (int turn = 0; turn < 3; turn++) {
-			world.storeDown(true);
+			world.storeUnavailable(true);
 			world.run(1_000 + 700 * turn);
 			world.restore(2_000 + 3_000 * turn);
-			world.storeDown(false);
+			world.storeUnavailable(false);
 			world.run(8_000);
-			assertThat(world.stepsBack).isEmpty();
-			assertThat(world.mostLateMillis()).isLessThanOrEqualTo(BOUND_MILLIS);
-			assertNoneIsWrong(world);
+			assertThat(world.regressions).isEmpty();
+			assertThat(world.maxLagMillis()).isLessThanOrEqualTo(MAX_LAG_MILLIS);
+			assertNoWrongLists(world);
 		}
 	}
 
@@ -194,8 +196,8 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 71, 72, 73, 74, 75, 76, 77, 78, 103, 104, 110, 116, 121, 122, 128, 131, 139, 141, 145 })
-	void troubleOfManyKindsBesideCopiesLeavesNoListWrong(long seed) {
-		assertTroubleBesideCopiesLeavesNoListWrong(seed);
+	void mixedFaultsDuringRestoresLeaveNoListWrong(long seed) {
+		assertMixedFaultsDuringRestoresLeaveNoListWrong(seed);
 	}
 
 	/**
@@ -204,8 +206,8 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 1176, 1199, 700_642, 701_957 })
-	void moreTroubleBesideCopiesLeavesNoListWrong(long seed) {
-		assertTroubleBesideCopiesLeavesNoListWrong(seed);
+	void mixedFaultsDuringRestoresInQuickSuccessionLeaveNoListWrong(long seed) {
+		assertMixedFaultsDuringRestoresLeaveNoListWrong(seed);
 	}
 
 	/**
@@ -213,37 +215,37 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 800_000, 800_001, 800_003, 800_008, 800_011 })
-	void troubleBesideCopiesLeavesNoLongListWrong(long seed) {
-		assertTroubleBesideCopiesLeavesNoListWrong(world(20, 2_600, 300, seed), seed);
+	void mixedFaultsDuringRestoresLeaveNoMultiPageListWrong(long seed) {
+		assertMixedFaultsDuringRestoresLeaveNoListWrong(simulation(20, 2_600, 300, seed), seed);
 	}
 
-	private static void assertTroubleBesideCopiesLeavesNoListWrong(long seed) {
-		assertTroubleBesideCopiesLeavesNoListWrong(world(20, seed), seed);
+	private static void assertMixedFaultsDuringRestoresLeaveNoListWrong(long seed) {
+		assertMixedFaultsDuringRestoresLeaveNoListWrong(simulation(20, seed), seed);
 	}
 
-	private static void assertTroubleBesideCopiesLeavesNoListWrong(ListingWorld world, long seed) {
-		world.framesLost(0.1);
+	private static void assertMixedFaultsDuringRestoresLeaveNoListWrong(ListingSimulation world, long seed) {
+		world.frameLossRatio(0.1);
 		world.frameDelayMillis(300);
-		world.answersLost(0.1);
+		world.storeFailureRatio(0.1);
 		final Random random = new Random(seed);
 		for (int step = 0; step < 30; step++) {
 			final int index = random.nextInt(20);
 			switch (random.nextInt(6)) {
 				case 0 -> world.pause(index, random.nextInt(3_000));
-				case 1 -> world.cutPeers(index, random.nextBoolean());
+				case 1 -> world.setPartitioned(index, random.nextBoolean());
 				case 2 -> world.refuse(random.nextDouble() * 0.5);
 				case 3 -> world.restart(index);
 				default -> world.restore(random.nextInt(8_000));
 			}
 			world.run(400);
 		}
-		world.framesLost(0);
+		world.frameLossRatio(0);
 		world.frameDelayMillis(2);
-		world.answersLost(0);
+		world.storeFailureRatio(0);
 		world.refuse(0);
-		IntStream.range(0, 20).forEach((index) -> world.cutPeers(index, false));
+		IntStream.range(0, 20).forEach((index) -> world.setPartitioned(index, false));
 		world.run(9_000);
-		holds(world, 3_000, BOUND_MILLIS);
+		runAndCheck(world, 3_000, MAX_LAG_MILLIS);
 	}
 
 	/**
@@ -253,11 +255,11 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(longs = { 41, 42, 43, 44, 45, 46, 47, 48 })
-	void troubleOfManyKindsMakesNoListWrong(long seed) {
-		final ListingWorld world = world(40, seed);
-		world.framesLost(0.1);
+	void mixedFaultsMakeNoListWrong(long seed) {
+		final ListingSimulation world = simulation(40, seed);
+		world.frameLossRatio(0.1);
 		world.frameDelayMillis(600);
-		world.answersLost(0.2);
+		world.storeFailureRatio(0.2);
 		final Random random = new Random(seed);
 		for (int step = 0; step < 40; step++) {
 			final int index = random.nextInt(40);
@@ -265,20 +267,20 @@
 				case 0 -> world.kill(index);
 				case 1 -> world.restart(index);
 				case 2 -> world.pause(index, random.nextInt(3_000));
-				case 3 -> world.cutPeers(index, random.nextBoolean());
-				case 4 -> world.forgetHistory();
+				case 3 -> world.setPartitioned(index, random.nextBoolean());
+				case 4 -> world.truncateHistory();
 				default -> world.refuse(random.nextDouble() * 0.5);
 			}
 			world.run(300);
-			assertNoneIsWrong(world);
+			assertNoWrongLists(world);
 		}
-		world.framesLost(0);
+		world.frameLossRatio(0);
 		world.frameDelayMillis(2);
-		world.answersLost(0);
+		world.storeFailureRatio(0);
 		world.refuse(0);
-		IntStream.range(0, 40).forEach((index) -> world.cutPeers(index, false));
+		IntStream.range(0, 40).forEach((index) -> world.setPartitioned(index, false));
 		world.run(7_000);
-		holds(world, 3_000, BOUND_MILLIS);
+		runAndCheck(world, 3_000, MAX_LAG_MILLIS);
 	}
 
 	/**
@@ -286,16 +288,16 @@
 	 * caller until the store lets it in again, though all others know the list.
 	 */
 	@Test
-	void aDaemonThatStartsAndIsTurnedAwayHearsTheWholeListFromAnother() {
-		final ListingWorld world = world(12, 51);
+	void aStartingDaemonRefusedByTheStoreGetsASnapshotFromAPeer() {
+		final ListingSimulation world = simulation(12, 51);
 		world.kill(3);
 		world.run(500);
 		world.refuse(0);
-		world.refuseOnly(3);
+		world.refuseOneMore(3);
 		world.restart(3);
 		world.run(2_500);
 		assertThat(world.published(3)).isNotEmpty();
-		holds(world, 2_000, BOUND_MILLIS);
+		runAndCheck(world, 2_000, MAX_LAG_MILLIS);
 	}
 
 	/**
@@ -303,25 +305,25 @@
 	 * doubt use on, though the doubt has ended.
 	 */
 	@Test
-	void whoeverAsksIsToldAtOnceThatADoubtHasEnded() {
-		final ListingNode node = new ListingNode("daemon-0", ListingWorld.MOST_AGE_NANOS, 0, 1);
+	void aPendingRequestIsAnsweredAsSoonAsARemovalIsResolved() {
+		final ListingSynchronizer node = new ListingSynchronizer("daemon-0", ListingSimulation.MAX_AGE_NANOS, 0, 1);
 		final InstanceRecord entry = new InstanceRecord.Listed("i-1", 110, 0,
 				new ServingInstance("i-1", "pool", "10.0.0.1:80", "zone-a", "", false, 4, Set.of(), Optional.empty()));
-		node.onRead(0, ListingRead.whole(new ListingChange(120, 120, List.of(entry))), false);
-		node.onRead(0,
-				ListingRead.changes(new ListingChange(120, 130, List.of(new InstanceRecord.Dropped("i-1", 125)))),
+		node.onRead(0, ListingRead.snapshot(new ListingDelta(120, 120, List.of(entry))), false);
+		node.onRead(0, ListingRead.delta(new ListingDelta(120, 130, List.of(new InstanceRecord.Tombstone("i-1", 125)))),
 				true);
-		assertThat(node.onQuestion(0, new ListingQuestion("daemon-1", 7, 130))).isEmpty();
-		assertThat(answers(node.onTick(50 * ListingWorld.MILLI, List::of, false, true))).isEmpty();
-		final List<ListingAnswer> told = answers(node.onTick(100 * ListingWorld.MILLI, List::of, false, false));
+		assertThat(node.onRequest(0, new ListingRequest("daemon-1", 7, 130))).isEmpty();
+		assertThat(responses(node.onTick(50 * ListingSimulation.MILLI, List::of, false, true))).isEmpty();
+		final List<ListingResponse> told = responses(
+				node.onTick(100 * ListingSimulation.MILLI, List::of, false, false));
 		assertThat(told).hasSize(1);
-		assertThat(told.get(0).change().orElseThrow().doubtedKeys()).isEmpty();
+		assertThat(told.get(0).delta().orElseThrow().unconfirmedKeys()).isEmpty();
 	}
 
-	private static List<ListingAnswer> answers(List<ListingAction> actions) {
+	private static List<ListingResponse> responses(List<ListingAction> actions) {
 		return actions.stream()
-			.filter(ListingAction.Answer.class::isInstance)
-			.map((action) -> ((ListingAction.Answer) action).answer())
+			.filter(ListingAction.SendResponse.class::isInstance)
+			.map((action) -> ((ListingAction.SendResponse) action).response())
 			.toList();
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/peer/PeerTableTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/peer/PeerTableTests.java
@@ -12,9 +12,9 @@
 
 class PeerTableTests {
 
-	private static final long SECOND = 1_000_000_000L;
+	private static final long SECOND_NANOS = 1_000_000_000L;
 
-	private static final long BEAT_NANOS = SECOND / 2;
+	private static final long HEARTBEAT_NANOS = SECOND_NANOS / 2;
 
 	private static final int FAN_OUT = 2;
 
@@ -26,8 +26,8 @@
 				"zone-" + daemon % 16, incarnation, sequence, configVersion, 1_000, 5_000, true, false, 0.5, 100);
 	}
 
-	private void beat(List<PeerTable> tables, long beat, long configVersion, int silent) {
-		final long nowNanos = beat * BEAT_NANOS;
+	private void exchangeHeartbeats(List<PeerTable> tables, long beat, long configVersion, int silent) {
+		final long nowNanos = beat * HEARTBEAT_NANOS;
 		for (int sender = 0; sender < tables.size(); sender++) {
 			if (sender == silent) {
 				continue;
@@ -36,8 +36,8 @@
 			for (int copy = 0; copy < FAN_OUT; copy++) {
 				final PeerTable receiver = tables.get(this.random.nextInt(tables.size()));
 				receiver.merge(status(sender, 1, beat, configVersion), nowNanos);
-				sample.whole().forEach((status) -> receiver.merge(status, nowNanos));
-				sample.news().forEach((news) -> receiver.merge(news, nowNanos));
+				sample.statuses().forEach((status) -> receiver.merge(status, nowNanos));
+				sample.updates().forEach((news) -> receiver.merge(news, nowNanos));
 			}
 		}
 		tables.forEach((table) -> table.live(nowNanos));
@@ -46,14 +46,14 @@
 	private static List<PeerTable> tables(int daemons) {
 		final List<PeerTable> tables = new ArrayList<>();
 		for (int daemon = 0; daemon < daemons; daemon++) {
-			tables.add(new PeerTable("daemon-" + daemon, 8 * BEAT_NANOS));
+			tables.add(new PeerTable("daemon-" + daemon, 8 * HEARTBEAT_NANOS));
 		}
 		return tables;
 	}
 
-	private static long knownInForce(List<PeerTable> tables, long beat, long version) {
+	private static long countWithConfigVersion(List<PeerTable> tables, long beat, long version) {
 		return tables.stream()
-			.flatMap((table) -> table.live(beat * BEAT_NANOS).stream())
+			.flatMap((table) -> table.live(beat * HEARTBEAT_NANOS).stream())
 			.filter((status) -> status.configVersion() == version)
 			.count();
 	}
@@ -63,33 +63,33 @@
 	// and
 	// live daemons would vanish from the endpoints that callers are given.
 	@Test
-	void ninetySixDaemonsHearOfEachOtherAndLoseNone() {
+	void ninetySixDaemonsDiscoverEachOtherAndLoseNone() {
 		final int daemons = 96;
 		final long pairs = (long) daemons * (daemons - 1);
 		final List<PeerTable> tables = tables(daemons);
 		long beat = 1;
-		while (knownInForce(tables, beat, 1) < pairs) {
-			beat(tables, ++beat, 1, -1);
+		while (countWithConfigVersion(tables, beat, 1) < pairs) {
+			exchangeHeartbeats(tables, ++beat, 1, -1);
 		}
 		assertThat(beat).as("beats until all know all").isLessThan(150);
 		for (int i = 0; i < 200; i++) {
-			beat(tables, ++beat, 1, -1);
-			assertThat(knownInForce(tables, beat, 1)).isEqualTo(pairs);
+			exchangeHeartbeats(tables, ++beat, 1, -1);
+			assertThat(countWithConfigVersion(tables, beat, 1)).isEqualTo(pairs);
 		}
 		final long changedAt = beat;
-		while (knownInForce(tables, beat, 2) < pairs) {
-			beat(tables, ++beat, 2, -1);
+		while (countWithConfigVersion(tables, beat, 2) < pairs) {
+			exchangeHeartbeats(tables, ++beat, 2, -1);
 		}
 		assertThat(beat - changedAt).as("beats until all know that all changed").isLessThan(20);
 	}
 
 	@Test
-	void eightDaemonsKnowWithinThreeSecondsThatAllChanged() {
+	void aConfigurationChangeReachesAllOfEightDaemonsWithinThreeSeconds() {
 		final List<PeerTable> tables = tables(8);
-		LongStream.rangeClosed(1, 20).forEach((beat) -> beat(tables, beat, 1, -1));
+		LongStream.rangeClosed(1, 20).forEach((beat) -> exchangeHeartbeats(tables, beat, 1, -1));
 		long beat = 20;
-		while (knownInForce(tables, beat, 2) < 56) {
-			beat(tables, ++beat, 2, -1);
+		while (countWithConfigVersion(tables, beat, 2) < 56) {
+			exchangeHeartbeats(tables, ++beat, 2, -1);
 		}
 		assertThat(beat - 20).isLessThanOrEqualTo(6);
 	}
@@ -98,12 +98,12 @@
 	// keep
 	// it alive, or callers would be sent to its address for ever.
 	@Test
-	void theEchoesOfADeadDaemonDoNotKeepItAlive() {
+	void circulatingGossipDoesNotKeepADeadDaemonLive() {
 		final List<PeerTable> tables = tables(8);
-		LongStream.rangeClosed(1, 20).forEach((beat) -> beat(tables, beat, 1, -1));
-		LongStream.rangeClosed(21, 40).forEach((beat) -> beat(tables, beat, 1, 3));
+		LongStream.rangeClosed(1, 20).forEach((beat) -> exchangeHeartbeats(tables, beat, 1, -1));
+		LongStream.rangeClosed(21, 40).forEach((beat) -> exchangeHeartbeats(tables, beat, 1, 3));
 		for (int daemon = 0; daemon < 8; daemon++) {
-			assertThat(tables.get(daemon).live(40 * BEAT_NANOS)).extracting(PeerStatus::daemonId)
+			assertThat(tables.get(daemon).live(40 * HEARTBEAT_NANOS)).extracting(PeerStatus::daemonId)
 				.doesNotContain((daemon != 3) ? "daemon-3" : "");
 		}
 	}
@@ -112,12 +112,12 @@
 	// must
 	// neither undo the new address nor count as a sign of life.
 	@Test
-	void newsOfAnEarlierStartIsDropped() {
-		final PeerTable table = new PeerTable("self", 8 * BEAT_NANOS);
+	void updatesOfAnotherIncarnationAreIgnored() {
+		final PeerTable table = new PeerTable("self", 8 * HEARTBEAT_NANOS);
 		table.merge(status(1, 7, 3, 1), 0);
-		assertThat(table.merge(new PeerNews("daemon-1", 6, 99, 9, false, true), SECOND)).isFalse();
-		assertThat(table.merge(new PeerNews("daemon-1", 8, 1, 9, false, true), SECOND)).isFalse();
-		assertThat(table.live(SECOND)).containsExactly(status(1, 7, 3, 1));
+		assertThat(table.merge(new PeerUpdate("daemon-1", 6, 99, 9, false, true), SECOND_NANOS)).isFalse();
+		assertThat(table.merge(new PeerUpdate("daemon-1", 8, 1, 9, false, true), SECOND_NANOS)).isFalse();
+		assertThat(table.live(SECOND_NANOS)).containsExactly(status(1, 7, 3, 1));
 	}
 
 	/**
@@ -125,16 +125,16 @@
 	 * still live. The list of all is made anew only where it says something else.
 	 */
 	@Test
-	void aLaterWordThatSaysTheSameIsNoChange() {
-		final PeerTable table = new PeerTable("self", 8 * BEAT_NANOS);
+	void aLaterStatusWithTheSameContentIsNoChange() {
+		final PeerTable table = new PeerTable("self", 8 * HEARTBEAT_NANOS);
 		table.merge(status(1, 7, 3, 1), 0);
 		assertThat(table.takeChanged()).isTrue();
-		table.merge(status(1, 7, 4, 1), SECOND);
-		table.merge(new PeerNews("daemon-1", 7, 5, 1, true, false), SECOND);
+		table.merge(status(1, 7, 4, 1), SECOND_NANOS);
+		table.merge(new PeerUpdate("daemon-1", 7, 5, 1, true, false), SECOND_NANOS);
 		assertThat(table.takeChanged()).isFalse();
-		table.merge(new PeerNews("daemon-1", 7, 6, 1, true, true), SECOND);
+		table.merge(new PeerUpdate("daemon-1", 7, 6, 1, true, true), SECOND_NANOS);
 		assertThat(table.takeChanged()).isTrue();
-		table.merge(status(1, 8, 1, 1), SECOND);
+		table.merge(status(1, 8, 1, 1), SECOND_NANOS);
 		assertThat(table.takeChanged()).isTrue();
 	}
 
@@ -143,23 +143,23 @@
 	 * count as live at once, or its callers are sent elsewhere.
 	 */
 	@Test
-	void aDaemonThatWasLostAndComesBackIsAChange() {
-		final PeerTable table = new PeerTable("self", 8 * BEAT_NANOS);
+	void aLostDaemonThatReturnsIsAChange() {
+		final PeerTable table = new PeerTable("self", 8 * HEARTBEAT_NANOS);
 		table.merge(status(1, 7, 3, 1), 0);
 		table.takeChanged();
-		table.merge(status(1, 7, 4, 1), 60 * SECOND);
+		table.merge(status(1, 7, 4, 1), 60 * SECOND_NANOS);
 		assertThat(table.takeChanged()).isTrue();
 	}
 
 	@Test
-	void aStrangersInventedDaemonsDoNotFillTheMemory() {
-		final PeerTable table = new PeerTable("self", 8 * BEAT_NANOS);
+	void inventedDaemonsDoNotExhaustMemory() {
+		final PeerTable table = new PeerTable("self", 8 * HEARTBEAT_NANOS);
 		for (int i = 0; i < 10_000; i++) {
 			table.merge(status(i, 1, 1, 1), 0);
 		}
 		assertThat(table.live(0)).hasSize(4_096);
-		assertThat(table.sample(0).whole().size() + table.sample(0).news().size())
-			.isLessThanOrEqualTo(PeerTable.MAX_WHOLE + PeerTable.MAX_NEWS);
+		assertThat(table.sample(0).statuses().size() + table.sample(0).updates().size())
+			.isLessThanOrEqualTo(PeerTable.MAX_STATUSES + PeerTable.MAX_UPDATES);
 	}
 
 }
--- a/pistachioline-core/src/test/java/org/pistachioline/core/world/VirtualTime.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/world/VirtualTime.java
@@ -27,7 +27,7 @@
 	/**
 	 * Runs something once.
 	 * @param nanos how much later
-	 * @param what what is run
+	 * @param action what is run
 	 */
 	public void after(long nanos, Runnable what) {
 		this.events.add(new Event(this.nowNanos + nanos, this.sequence++, what));
@@ -36,7 +36,7 @@
 	/**
 	 * Runs something again and again.
 	 * @param nanos the time between two runs
-	 * @param what what is run
+	 * @param action what is run
 	 */
 	public void every(long nanos, Runnable what) {
 		after(nanos, () -> {
@@ -54,17 +54,17 @@
 		while (!this.events.isEmpty() && this.events.peek().atNanos() <= untilNanos) {
 			final Event next = this.events.poll();
 			this.nowNanos = next.atNanos();
-			next.what().run();
+			next.action().run();
 		}
 		this.nowNanos = untilNanos;
 	}
 
-	private record Event(long atNanos, long order, Runnable what) implements Comparable<Event> {
+	private record Event(long atNanos, long sequence, Runnable action) implements Comparable<Event> {
 
 		@Override
 		public int compareTo(Event other) {
 			final int byTime = Long.compare(this.atNanos, other.atNanos);
-			return (byTime != 0) ? byTime : Long.compare(this.order, other.order);
+			return (byTime != 0) ? byTime : Long.compare(this.sequence, other.sequence);
 		}
 
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -191,7 +191,7 @@
 	private void noteDark(Set<String> dark) {
 		for (final String domain : dark) {
 			if (!this.plan.get().unreachableDomains().contains(domain)) {
-				Events.log(EventId.DOMAIN_DARK, "fabric_domain", domain);
+				Events.log(EventId.DOMAIN_UNRESPONSIVE, "fabric_domain", domain);
 			}
 		}
 	}
@@ -236,7 +236,7 @@
 
 	private static void note(RecordBody body) {
 		if (body instanceof PlannerClaim claim) {
-			Events.log(EventId.PLANNER_TAKEN, "fabric_domain", claim.fabricDomain());
+			Events.log(EventId.PLANNER_CLAIMED, "fabric_domain", claim.fabricDomain());
 		}
 		else if (body instanceof GroupFormation formation) {
 			Events.log(EventId.GROUP_FORMED, "group", formation.groupId(), "model", formation.model());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
@@ -10,7 +10,7 @@
 import org.apache.pekko.http.scaladsl.settings.ServerSettings;
 
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.daemon.traffic.ErrorAnswers;
+import org.pistachioline.daemon.traffic.ErrorResponses;
 
 /**
  * Answers what is no HTTP request, or one over the limits of its head, with our errors.
@@ -43,7 +43,7 @@
 		final int code = status.intValue();
 		final boolean tooLarge = code == PAYLOAD_TOO_LARGE || code == URI_TOO_LONG || code == HEAD_TOO_LARGE;
 		final ErrorKind kind = tooLarge ? ErrorKind.REQUEST_TOO_LARGE : ErrorKind.MALFORMED_REQUEST;
-		final HttpResponse answer = ErrorAnswers.of("unparsed", kind, kind.runState(), 0);
+		final HttpResponse answer = ErrorResponses.of("unparsed", kind, kind.runState(), 0);
 		return (org.apache.pekko.http.scaladsl.model.HttpResponse) answer;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingCodec.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 
 import org.pistachioline.core.listing.InstanceRecord;
-import org.pistachioline.core.listing.ListingAnswer;
-import org.pistachioline.core.listing.ListingChange;
-import org.pistachioline.core.listing.ListingQuestion;
+import org.pistachioline.core.listing.ListingDelta;
+import org.pistachioline.core.listing.ListingRequest;
+import org.pistachioline.core.listing.ListingResponse;
 import org.pistachioline.core.replica.GroupId;
 import org.pistachioline.core.replica.MemberState;
 import org.pistachioline.core.replica.Membership;
@@ -34,35 +34,37 @@
 	private ListingCodec() {
 	}
 
-	static PeerFrame encode(ListingQuestion question) {
+	static PeerFrame encode(ListingRequest question) {
 		return PeerFrame.newBuilder()
 			.setListingQuestion(org.pistachioline.protocol.peer.ListingQuestion.newBuilder()
-				.setAskerId(question.askerId())
-				.setToken(question.token())
+				.setAskerId(question.requesterId())
+				.setToken(question.correlationId())
 				.setFromOffset(question.fromOffset())
-				.setRestOffset(question.restOffset()))
+				.setRestOffset(question.continuationOffset()))
 			.build();
 	}
 
-	static ListingQuestion decode(org.pistachioline.protocol.peer.ListingQuestion question) {
-		return new ListingQuestion(question.getAskerId(), question.getToken(), question.getFromOffset(),
+	static ListingRequest decode(org.pistachioline.protocol.peer.ListingQuestion question) {
+		return new ListingRequest(question.getAskerId(), question.getToken(), question.getFromOffset(),
 				question.getRestOffset());
 	}
 
-	static PeerFrame encode(ListingAnswer answer) {
+	static PeerFrame encode(ListingResponse answer) {
 		final org.pistachioline.protocol.peer.ListingAnswer.Builder built = org.pistachioline.protocol.peer.ListingAnswer
 			.newBuilder()
-			.setAnswererId(answer.answererId())
-			.setToken(answer.token())
+			.setAnswererId(answer.responderId())
+			.setToken(answer.correlationId())
 			.setHeldMillis(TimeUnit.NANOSECONDS.toMillis(answer.heldNanos()))
 			.setAgeMillis(TimeUnit.NANOSECONDS.toMillis(answer.ageNanos()))
-			.setComplete(answer.change().isPresent() && answer.restOffset() == 0)
-			.setRestOffset(answer.restOffset())
-			.setLifeId(answer.lifeId());
-		answer.change().ifPresent((change) -> {
-			built.setFromOffset(change.fromOffset()).setNextOffset(change.nextOffset()).setGapEnd(change.gapEnd());
+			.setComplete(answer.delta().isPresent() && answer.continuationOffset() == 0)
+			.setRestOffset(answer.continuationOffset())
+			.setLifeId(answer.incarnationId());
+		answer.delta().ifPresent((change) -> {
+			built.setFromOffset(change.fromOffset())
+				.setNextOffset(change.nextOffset())
+				.setGapEnd(change.gapEndOffset());
 			change.records().forEach((each) -> add(built, each));
-			built.addAllDoubtedKeys(change.doubtedKeys());
+			built.addAllDoubtedKeys(change.unconfirmedKeys());
 		});
 		return PeerFrame.newBuilder().setListingAnswer(built).build();
 	}
@@ -71,7 +73,7 @@
 		if (found instanceof InstanceRecord.Listed entry) {
 			answer.addListed(encode(entry));
 		}
-		else if (found instanceof InstanceRecord.Dropped gone) {
+		else if (found instanceof InstanceRecord.Tombstone gone) {
 			answer.addDropped(DroppedInstance.newBuilder().setKey(gone.key()).setOffset(gone.offset()));
 		}
 	}
@@ -81,7 +83,7 @@
 		final ListedInstance.Builder built = ListedInstance.newBuilder()
 			.setKey(entry.key())
 			.setOffset(entry.offset())
-			.setBornMillis(entry.bornMillis())
+			.setBornMillis(entry.startedAtMillis())
 			.setInstanceId(instance.id())
 			.setService(instance.service())
 			.setAddress(instance.address())
@@ -99,20 +101,21 @@
 		return built.build();
 	}
 
-	static ListingAnswer decode(org.pistachioline.protocol.peer.ListingAnswer answer) {
-		return new ListingAnswer(answer.getAnswererId(), answer.getToken(),
+	static ListingResponse decode(org.pistachioline.protocol.peer.ListingAnswer answer) {
+		return new ListingResponse(answer.getAnswererId(), answer.getToken(),
 				TimeUnit.MILLISECONDS.toNanos(answer.getHeldMillis()),
 				TimeUnit.MILLISECONDS.toNanos(answer.getAgeMillis()),
-				(answer.getComplete() || answer.getRestOffset() > 0) ? Optional.of(change(answer)) : Optional.empty(),
+				(answer.getComplete() || answer.getRestOffset() > 0) ? Optional.of(decodeDelta(answer))
+						: Optional.empty(),
 				answer.getRestOffset(), answer.getLifeId());
 	}
 
-	private static ListingChange change(org.pistachioline.protocol.peer.ListingAnswer answer) {
+	private static ListingDelta decodeDelta(org.pistachioline.protocol.peer.ListingAnswer answer) {
 		final List<InstanceRecord> records = new ArrayList<>();
 		answer.getListedList().forEach((entry) -> records.add(decode(entry)));
 		answer.getDroppedList()
-			.forEach((gone) -> records.add(new InstanceRecord.Dropped(gone.getKey(), gone.getOffset())));
-		return new ListingChange(answer.getFromOffset(), answer.getNextOffset(), answer.getGapEnd(), records,
+			.forEach((gone) -> records.add(new InstanceRecord.Tombstone(gone.getKey(), gone.getOffset())));
+		return new ListingDelta(answer.getFromOffset(), answer.getNextOffset(), answer.getGapEnd(), records,
 				new HashSet<>(answer.getDoubtedKeysList()));
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -13,8 +13,8 @@
 
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.listing.ListingAction;
-import org.pistachioline.core.listing.ListingNode;
 import org.pistachioline.core.listing.ListingRead;
+import org.pistachioline.core.listing.ListingSynchronizer;
 import org.pistachioline.core.replica.ServingInstance;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.duty.Duty;
@@ -32,25 +32,25 @@
 	/** Each daemon that asks has one question on its way. */
 	private static final int RING_CAPACITY = 1_024;
 
-	private static final Duration TICK = Duration.ofMillis(50);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
 	private final InstanceSource source;
 
-	private final BooleanSupplier plans;
+	private final BooleanSupplier isPlanner;
 
 	private final Supplier<Set<String>> liveIds;
 
 	private final BiConsumer<String, PeerFrame> sender;
 
-	private final Consumer<List<ServingInstance>> receiver;
+	private final Consumer<List<ServingInstance>> listener;
 
-	private final long mostAgeNanos;
+	private final long maxAgeNanos;
 
-	private final ListingNode node;
+	private final ListingSynchronizer synchronizer;
 
 	private final Duty<ListingMessage> duty;
 
-	private boolean old;
+	private boolean stale;
 
 	private volatile boolean readsForOthers;
 
@@ -72,14 +72,14 @@
 			BooleanSupplier plans, Supplier<Set<String>> liveIds, BiConsumer<String, PeerFrame> sender,
 			Consumer<List<ServingInstance>> receiver) {
 		this.source = source;
-		this.plans = plans;
+		this.isPlanner = plans;
 		this.liveIds = liveIds;
 		this.sender = sender;
-		this.receiver = receiver;
-		this.mostAgeNanos = TimeUnit.MILLISECONDS.toNanos(mostAgeMillis);
+		this.listener = receiver;
+		this.maxAgeNanos = TimeUnit.MILLISECONDS.toNanos(mostAgeMillis);
 		final long nowNanos = System.nanoTime();
-		this.node = new ListingNode(selfId, this.mostAgeNanos, nowNanos, nowNanos ^ selfId.hashCode());
-		this.duty = new Duty<>(system, "listing", RING_CAPACITY, TICK, this);
+		this.synchronizer = new ListingSynchronizer(selfId, this.maxAgeNanos, nowNanos, nowNanos ^ selfId.hashCode());
+		this.duty = new Duty<>(system, "listing", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	@Override
@@ -104,69 +104,70 @@
 	 */
 	public void onFrame(PeerFrame frame) {
 		if (frame.hasListingQuestion()) {
-			this.duty.offer(new ListingMessage.Questioned(ListingCodec.decode(frame.getListingQuestion())));
+			this.duty.offer(new ListingMessage.RequestReceived(ListingCodec.decode(frame.getListingQuestion())));
 		}
 		else if (frame.hasListingAnswer()) {
-			this.duty.offer(new ListingMessage.Answered(ListingCodec.decode(frame.getListingAnswer())));
+			this.duty.offer(new ListingMessage.ResponseReceived(ListingCodec.decode(frame.getListingAnswer())));
 		}
 	}
 
 	@Override
 	public void onMessage(ListingMessage message) {
 		final long nowNanos = System.nanoTime();
-		if (message instanceof ListingMessage.Questioned questioned) {
-			carryOut(this.node.onQuestion(nowNanos, questioned.question()));
+		if (message instanceof ListingMessage.RequestReceived questioned) {
+			execute(this.synchronizer.onRequest(nowNanos, questioned.request()));
 		}
-		else if (message instanceof ListingMessage.Answered answered) {
-			carryOut(this.node.onAnswer(nowNanos, answered.answer()));
+		else if (message instanceof ListingMessage.ResponseReceived answered) {
+			execute(this.synchronizer.onResponse(nowNanos, answered.response()));
 		}
-		else if (message instanceof ListingMessage.Read read) {
-			carryOut(this.node.onRead(nowNanos, read.read(), this.source.unsettled()));
+		else if (message instanceof ListingMessage.ReadCompleted read) {
+			execute(this.synchronizer.onRead(nowNanos, read.read(), this.source.isExpiryUnreliable()));
 		}
 	}
 
 	@Override
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
-		carryOut(this.node.onTick(nowNanos, this.liveIds, this.plans.getAsBoolean(), this.source.unsettled()));
-		this.readsForOthers = this.node.readsForOthers();
-		noteAge(this.node.ageNanos(nowNanos));
+		execute(this.synchronizer.onTick(nowNanos, this.liveIds, this.isPlanner.getAsBoolean(),
+				this.source.isExpiryUnreliable()));
+		this.readsForOthers = this.synchronizer.readsForOthers();
+		updateAge(this.synchronizer.ageNanos(nowNanos));
 	}
 
-	private void noteAge(long ageNanos) {
+	private void updateAge(long ageNanos) {
 		this.ageMillis = TimeUnit.NANOSECONDS.toMillis(ageNanos);
-		if (ageNanos == ListingNode.NEVER_NANOS) {
+		if (ageNanos == ListingSynchronizer.UNKNOWN_AGE_NANOS) {
 			return;
 		}
-		final boolean now = ageNanos > this.mostAgeNanos;
-		if (now != this.old) {
-			this.old = now;
-			Events.log(now ? EventId.LISTING_OLD : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
+		final boolean now = ageNanos > this.maxAgeNanos;
+		if (now != this.stale) {
+			this.stale = now;
+			Events.log(now ? EventId.LISTING_STALE : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
 		}
 	}
 
-	private void carryOut(List<ListingAction> actions) {
+	private void execute(List<ListingAction> actions) {
 		for (final ListingAction action : actions) {
-			if (action instanceof ListingAction.Ask ask) {
-				this.sender.accept(ask.daemonId(), ListingCodec.encode(ask.question()));
+			if (action instanceof ListingAction.SendRequest ask) {
+				this.sender.accept(ask.daemonId(), ListingCodec.encode(ask.request()));
 			}
-			else if (action instanceof ListingAction.Answer answer) {
-				this.sender.accept(answer.daemonId(), ListingCodec.encode(answer.answer()));
+			else if (action instanceof ListingAction.SendResponse answer) {
+				this.sender.accept(answer.daemonId(), ListingCodec.encode(answer.response()));
 			}
 			else if (action instanceof ListingAction.Publish publish) {
-				this.receiver.accept(publish.instances());
+				this.listener.accept(publish.instances());
 			}
-			else if (action instanceof ListingAction.ReadWhole) {
-				this.source.whole().thenAccept(this::onRead);
+			else if (action instanceof ListingAction.ReadSnapshot) {
+				this.source.readSnapshot().thenAccept(this::onRead);
 			}
-			else if (action instanceof ListingAction.ReadChanges read) {
-				this.source.changes(read.fromOffset()).thenAccept(this::onRead);
+			else if (action instanceof ListingAction.ReadDelta read) {
+				this.source.readDelta(read.fromOffset()).thenAccept(this::onRead);
 			}
 		}
 	}
 
 	private void onRead(ListingRead read) {
-		this.duty.put(new ListingMessage.Read(read));
+		this.duty.put(new ListingMessage.ReadCompleted(read));
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingMessage.java
@@ -1,8 +1,8 @@
 package org.pistachioline.daemon.listing;
 
-import org.pistachioline.core.listing.ListingAnswer;
-import org.pistachioline.core.listing.ListingQuestion;
 import org.pistachioline.core.listing.ListingRead;
+import org.pistachioline.core.listing.ListingRequest;
+import org.pistachioline.core.listing.ListingResponse;
 
 /**
  * What the listing duty is told.
@@ -12,18 +12,18 @@
 	/**
 	 * Another daemon asks.
 	 *
-	 * @param question the question
+	 * @param request the question
 	 */
-	record Questioned(ListingQuestion question) implements ListingMessage {
+	record RequestReceived(ListingRequest request) implements ListingMessage {
 
 	}
 
 	/**
 	 * Another daemon answers.
 	 *
-	 * @param answer the answer
+	 * @param response the answer
 	 */
-	record Answered(ListingAnswer answer) implements ListingMessage {
+	record ResponseReceived(ListingResponse response) implements ListingMessage {
 
 	}
 
@@ -32,7 +32,7 @@
 	 *
 	 * @param read what came of the read
 	 */
-	record Read(ListingRead read) implements ListingMessage {
+	record ReadCompleted(ListingRead read) implements ListingMessage {
 
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 import org.pistachioline.core.peer.GossipSample;
-import org.pistachioline.core.peer.PeerNews;
 import org.pistachioline.core.peer.PeerStatus;
+import org.pistachioline.core.peer.PeerUpdate;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.DaemonNews;
 import org.pistachioline.protocol.peer.DaemonStatus;
@@ -22,7 +22,7 @@
 	/** Bounds the part of a beat that grows with the workspaces that have demand. */
 	static final int MAX_WORKSPACES = 64;
 
-	private static final double LEAST_DEMAND = 0.01;
+	private static final double MIN_REQUESTS_PER_SECOND = 0.01;
 
 	private PeerCodec() {
 	}
@@ -42,11 +42,11 @@
 			.setSender(encode(self))
 			.addAllTargetLimits(limits)
 			.addAllCrashSuspects(suspects);
-		sample.whole().forEach((peer) -> heartbeat.addKnown(encode(peer)));
-		sample.news().forEach((news) -> heartbeat.addNews(encode(news)));
+		sample.statuses().forEach((peer) -> heartbeat.addKnown(encode(peer)));
+		sample.updates().forEach((news) -> heartbeat.addNews(encode(news)));
 		// Workspaces without demand are left out: an absent one counts as none.
 		demand.forEach((workspace, requestsPerSecond) -> {
-			if (requestsPerSecond >= LEAST_DEMAND && heartbeat.getWorkspaceUseCount() < MAX_WORKSPACES) {
+			if (requestsPerSecond >= MIN_REQUESTS_PER_SECOND && heartbeat.getWorkspaceUseCount() < MAX_WORKSPACES) {
 				heartbeat.addWorkspaceUse(
 						WorkspaceUse.newBuilder().setWorkspace(workspace).setRequestsPerSecond(requestsPerSecond));
 			}
@@ -80,7 +80,7 @@
 				status.getLeaving(), status.getLoadRatio(), status.getLogAgeMillis());
 	}
 
-	static DaemonNews encode(PeerNews news) {
+	static DaemonNews encode(PeerUpdate news) {
 		return DaemonNews.newBuilder()
 			.setDaemonId(news.daemonId())
 			.setIncarnation(news.incarnation())
@@ -91,8 +91,8 @@
 			.build();
 	}
 
-	static PeerNews decode(DaemonNews news) {
-		return new PeerNews(news.getDaemonId(), news.getIncarnation(), news.getSequence(), news.getConfigVersion(),
+	static PeerUpdate decode(DaemonNews news) {
+		return new PeerUpdate(news.getDaemonId(), news.getIncarnation(), news.getSequence(), news.getConfigVersion(),
 				news.getReady(), news.getLeaving());
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
@@ -293,7 +293,7 @@
 	}
 
 	private static void logSummary(ServiceSpec service, PoolSummary sums) {
-		Events.log(EventId.POOL_SUMMED_UP, "service", service.name(), "listed", sums.listed(), "draining",
+		Events.log(EventId.POOL_SUMMARY, "service", service.name(), "listed", sums.listed(), "draining",
 				sums.draining(), "serving", sums.serving(), "forming", sums.forming(), "waiting", sums.waiting(),
 				"free_warm", sums.freeWarm(), "free_empty", sums.freeEmpty(), "loading", sums.loading());
 	}
@@ -306,7 +306,7 @@
 
 	private void sendOrder(ReplicaOrder order, long term) {
 		this.orderSender.send(order, term).thenAccept((outcome) -> {
-			Events.log(EventId.ORDER_GIVEN, "order", order.verb(), "instance", order.instance().id(), "subject",
+			Events.log(EventId.ORDER_COMPLETED, "order", order.verb(), "instance", order.instance().id(), "subject",
 					order.subject(), "term", term, "outcome", outcome, "listed_in",
 					reportedMembership(order.instance()));
 			this.duty.offer(new ReplicaMessage.OrderCompleted(order, outcome));
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
@@ -88,7 +88,7 @@
 		}
 		answered.forEach((id, alive) -> {
 			if (!alive) {
-				Events.log(EventId.INSTANCE_SILENT, "instance", id, "asked", answered.size());
+				Events.log(EventId.INSTANCE_UNRESPONSIVE, "instance", id, "asked", answered.size());
 				this.unresponsiveUntilNanos.put(id, nowNanos + UNRESPONSIVE_NANOS);
 			}
 		});
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/listing/ListingCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/listing/ListingCodecTests.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 import org.pistachioline.core.listing.InstanceRecord;
-import org.pistachioline.core.listing.ListingAnswer;
-import org.pistachioline.core.listing.ListingChange;
-import org.pistachioline.core.listing.ListingQuestion;
+import org.pistachioline.core.listing.ListingDelta;
+import org.pistachioline.core.listing.ListingRequest;
+import org.pistachioline.core.listing.ListingResponse;
 import org.pistachioline.core.replica.GroupId;
 import org.pistachioline.core.replica.MemberState;
 import org.pistachioline.core.replica.Membership;
@@ -22,23 +22,23 @@
 class ListingCodecTests {
 
 	@Test
-	void aQuestionComesAsItWasAsked() {
-		final ListingQuestion question = new ListingQuestion("daemon-1", 7, 1_234);
+	void aRequestSurvivesEncodingAndDecoding() {
+		final ListingRequest question = new ListingRequest("daemon-1", 7, 1_234);
 		assertThat(ListingCodec.decode(ListingCodec.encode(question).getListingQuestion())).isEqualTo(question);
 	}
 
 	@ParameterizedTest
 	@EnumSource(MemberState.class)
-	void anAnswerComesAsItWasGiven(MemberState state) {
+	void aResponseSurvivesEncodingAndDecoding(MemberState state) {
 		final ServingInstance grouped = new ServingInstance("i-1~z", "pool", "10.0.0.1:80", "zone-a", "domain-1", false,
 				12, Set.of("large", "small"), Optional.of(new Membership(new GroupId("large.1z", 5L << 20), 3, state)));
 		final ServingInstance plain = new ServingInstance("i-2", "desk", "10.0.0.2:80", "zone-b", "", true, 6, Set.of(),
 				Optional.empty());
-		final ListingAnswer answer = new ListingAnswer("daemon-2", 7, 3_000_000, 250_000_000,
-				Optional.of(new ListingChange(100, 110, 105,
+		final ListingResponse answer = new ListingResponse("daemon-2", 7, 3_000_000, 250_000_000,
+				Optional.of(new ListingDelta(100, 110, 105,
 						List.of(new InstanceRecord.Listed("i-1", 101, 1_700_000_000_000L, grouped),
 								new InstanceRecord.Listed("i-2", 102, 0, plain),
-								new InstanceRecord.Dropped("i-3", 103)))));
+								new InstanceRecord.Tombstone("i-3", 103)))));
 		assertThat(ListingCodec.decode(ListingCodec.encode(answer).getListingAnswer())).isEqualTo(answer);
 	}
 
@@ -47,26 +47,26 @@
 	 * was told takes for gone.
 	 */
 	@Test
-	void whoIsInDoubtIsToldBesideTheDrop() {
-		final ListingAnswer answer = new ListingAnswer("daemon-2", 7, 0, 0, Optional
-			.of(new ListingChange(100, 110, 0, List.of(new InstanceRecord.Dropped("i-3", 103)), Set.of("i-3"))));
+	void unconfirmedRemovalsAreEncodedNextToTombstones() {
+		final ListingResponse answer = new ListingResponse("daemon-2", 7, 0, 0, Optional
+			.of(new ListingDelta(100, 110, 0, List.of(new InstanceRecord.Tombstone("i-3", 103)), Set.of("i-3"))));
 		assertThat(ListingCodec.decode(ListingCodec.encode(answer).getListingAnswer())).isEqualTo(answer);
 	}
 
 	@Test
-	void anAnswerThatLeavesARestSaysWhereItBeginsAndWhoeverAsksForItDoes() {
-		final ListingAnswer answer = new ListingAnswer("daemon-2", 7, 0, 0,
-				Optional.of(new ListingChange(100, 110, 105, List.of(new InstanceRecord.Dropped("i-3", 103)))), 104,
+	void continuationOffsetsSurviveEncodingAndDecoding() {
+		final ListingResponse answer = new ListingResponse("daemon-2", 7, 0, 0,
+				Optional.of(new ListingDelta(100, 110, 105, List.of(new InstanceRecord.Tombstone("i-3", 103)))), 104,
 				-7);
 		assertThat(ListingCodec.encode(answer).getListingAnswer().getComplete()).isFalse();
 		assertThat(ListingCodec.decode(ListingCodec.encode(answer).getListingAnswer())).isEqualTo(answer);
-		final ListingQuestion question = new ListingQuestion("daemon-1", 8, 100, 104);
+		final ListingRequest question = new ListingRequest("daemon-1", 8, 100, 104);
 		assertThat(ListingCodec.decode(ListingCodec.encode(question).getListingQuestion())).isEqualTo(question);
 	}
 
 	@Test
-	void anAnswerThatCannotTellSaysSo() {
-		final ListingAnswer answer = new ListingAnswer("daemon-2", 7, 0, 0, Optional.empty());
+	void aResponseWithoutADeltaSurvivesEncodingAndDecoding() {
+		final ListingResponse answer = new ListingResponse("daemon-2", 7, 0, 0, Optional.empty());
 		assertThat(ListingCodec.decode(ListingCodec.encode(answer).getListingAnswer())).isEqualTo(answer);
 	}
 
