--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/FreeInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/FreeInstances.java
@@ -20,7 +20,7 @@
 
 	FreeInstances(PlannerInput input) {
 		for (final Instance instance : input.instances()) {
-			final boolean usable = !instance.leaving() && !input.fleet().owners().containsKey(instance.id())
+			final boolean usable = !instance.leaving() && !input.fleet().groupIdsByInstance().containsKey(instance.id())
 					&& !input.unresponsiveIds().contains(instance.id());
 			if (usable) {
 				this.byPoolAndDomain.computeIfAbsent(instance.pool(), (key) -> new TreeMap<>())
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
@@ -89,7 +89,8 @@
 	private static void explainFreeInstances(PlannerInput input, PlanDraft draft) {
 		for (final Instance instance : input.instances()) {
 			final boolean free = input.ownEpoch(instance.fabricDomain()).isPresent()
-					&& !input.fleet().owners().containsKey(instance.id()) && !draft.isAssigned(instance.id());
+					&& !input.fleet().groupIdsByInstance().containsKey(instance.id())
+					&& !draft.isAssigned(instance.id());
 			if (free) {
 				draft.explainFree(instance.id(), reasonWhyFree(input, draft, instance));
 			}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
@@ -73,7 +73,7 @@
 			}
 		}
 		for (final Instance instance : input.instances()) {
-			final boolean free = !input.fleet().owners().containsKey(instance.id());
+			final boolean free = !input.fleet().groupIdsByInstance().containsKey(instance.id());
 			if (free && maySendOrders(input, instance.fabricDomain(), instance.pool())) {
 				orderUnload(input, instance, commands);
 			}
@@ -118,7 +118,7 @@
 				this.acceptedClaims.put(domain, new AcceptedClaim(planner.epoch(), input.nowNanos()));
 			}
 		});
-		final Set<String> knownIds = new HashSet<>(input.fleet().owners().keySet());
+		final Set<String> knownIds = new HashSet<>(input.fleet().groupIdsByInstance().keySet());
 		input.instances().forEach((instance) -> knownIds.add(instance.id()));
 		this.lastSentAtNanos.keySet().retainAll(knownIds);
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/claims/ClaimsReducerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/claims/ClaimsReducerTests.java
@@ -16,7 +16,7 @@
 import org.pistachioline.core.record.KeyRelease;
 import org.pistachioline.core.record.LogRecord;
 import org.pistachioline.core.record.RecordBody;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.RejectReason;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -31,9 +31,9 @@
 
 	private long offset;
 
-	private Applied<ClaimsState> append(String writer, long sequence, RecordBody body) {
+	private ApplyResult<ClaimsState> append(String writer, long sequence, RecordBody body) {
 		this.offset++;
-		final Applied<ClaimsState> applied = this.reducer.apply(this.state, this.offset,
+		final ApplyResult<ClaimsState> applied = this.reducer.apply(this.state, this.offset,
 				new LogRecord(writer, sequence, 1, body));
 		this.state = applied.state();
 		return applied;
@@ -51,7 +51,7 @@
 	void aClaimThatIsAppendedTwiceIsAppliedOnce() {
 		append("a", 1, claim("k", 0));
 		append("a", 2, new KeyRelease("w", "k", 1));
-		final Applied<ClaimsState> duplicate = append("a", 1, claim("k", 0));
+		final ApplyResult<ClaimsState> duplicate = append("a", 1, claim("k", 0));
 		assertThat(duplicate.rejection()).contains(RejectReason.REPEATED);
 		assertThat(this.state.find("w", "k")).isEmpty();
 	}
@@ -64,7 +64,7 @@
 		append("a", 1, claim("k", 0));
 		append("a", 2, new KeyRelease("w", "k", 1));
 		append("b", 1, claim("k", 0));
-		final Applied<ClaimsState> lateRelease = append("a", 3, new KeyRelease("w", "k", 1));
+		final ApplyResult<ClaimsState> lateRelease = append("a", 3, new KeyRelease("w", "k", 1));
 		assertThat(lateRelease.rejection()).contains(RejectReason.UNKNOWN_CLAIM);
 		assertThat(append("c", 1, claim("k", 0)).rejection()).contains(RejectReason.KEY_TAKEN);
 	}
@@ -128,7 +128,7 @@
 			final LogRecord record = repeat ? sent.get(random.nextInt(sent.size()))
 					: randomRecord(random, sequences, firstReplica);
 			sent.add(record);
-			final Applied<ClaimsState> applied = this.reducer.apply(firstReplica, at, record);
+			final ApplyResult<ClaimsState> applied = this.reducer.apply(firstReplica, at, record);
 			updateHolders(holders, at, record, applied);
 			firstReplica = applied.state();
 			secondReplica = this.reducer.apply(secondReplica, at, record).state();
@@ -150,7 +150,7 @@
 	}
 
 	private static void updateHolders(Map<String, Long> holders, long at, LogRecord record,
-			Applied<ClaimsState> applied) {
+			ApplyResult<ClaimsState> applied) {
 		if (!applied.isAccepted()) {
 			return;
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/planner/OrderDeciderTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/planner/OrderDeciderTests.java
@@ -26,7 +26,7 @@
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.record.PlannerClaim;
 import org.pistachioline.core.record.RecordBody;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.FleetReducer;
 import org.pistachioline.core.state.FleetState;
 
@@ -59,7 +59,7 @@
 	}
 
 	private void append(String writer, RecordBody body) {
-		final Applied<FleetState> applied = this.reducer.apply(this.state, this.offset,
+		final ApplyResult<FleetState> applied = this.reducer.apply(this.state, this.offset,
 				new LogRecord(writer, this.offset + 1, 1, body));
 		assertThat(applied.isAccepted()).isTrue();
 		this.state = applied.state();
@@ -98,7 +98,7 @@
 	private List<EngineCommand> delayedOrdersOfReplacedPlanner() {
 		this.instances
 			.forEach((instance) -> this.engines.put(instance.id(), new FakeEngine(instance.id(), this.checksFencing)));
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		decide(this.previous, this.state, 0, 0);
 		final List<EngineCommand> delayed = decide(this.previous, this.state, 10 * SECOND_NANOS, 10 * SECOND_NANOS);
@@ -139,7 +139,7 @@
 	// its stale view, although it still considers itself the planner.
 	@Test
 	void aResumedPlannerWithAStaleViewSendsNoOrders() {
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		final FleetState before = this.state;
 		decide(this.previous, before, 0, 0);
@@ -154,7 +154,7 @@
 	// order could arrive after it.
 	@Test
 	void aNewPlannerWaitsForEarlierOrdersOnlyToEnginesThatIgnoreFencingTokens() {
-		append("new#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("new#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("new#1", formation("first", 0));
 		assertThat(decide(this.successor, this.state, 0, 0)).isEmpty();
 		assertThat(this.successor.domainsInHandOver(SECOND_NANOS)).containsExactly("rack");
@@ -170,7 +170,7 @@
 	void anInstanceOfADissolvedGroupIsOrderedToUnload() {
 		this.checksFencing = true;
 		this.engines.put("i0", new FakeEngine("i0", true));
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		deliver(decide(this.previous, this.state, 0, 0).subList(0, 1));
 		append("old#1", new GroupDissolution("first", 1, 0, "test"));
@@ -181,7 +181,7 @@
 	@Test
 	void anOrderIsNotResentWithinTheResendInterval() {
 		this.checksFencing = true;
-		append("old#1", new PlannerClaim("rack", PlannerClaim.NONE));
+		append("old#1", new PlannerClaim("rack", PlannerClaim.NO_EPOCH));
 		append("old#1", formation("first", 0));
 		final List<Integer> orderCounts = new ArrayList<>();
 		for (int tick = 0; tick < 8; tick++) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
@@ -190,7 +190,7 @@
 		}
 		for (final Instance instance : this.instances) {
 			if (isMine(state, instance.fabricDomain()) && isEngine(instance)
-					&& !state.owners().containsKey(instance.id())) {
+					&& !state.groupIdsByInstance().containsKey(instance.id())) {
 				planned.add(new Member(instance.id(), instance.fabricDomain(), instance.address(),
 						instance.availabilityZone(), instance.accelerators()));
 			}
@@ -324,7 +324,7 @@
 		}
 		for (final Instance instance : known.instances()) {
 			if (isMine(state, instance.fabricDomain()) && isEngine(instance)
-					&& !state.owners().containsKey(instance.id())) {
+					&& !state.groupIdsByInstance().containsKey(instance.id())) {
 				candidates.add(instance.id());
 			}
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -174,7 +174,7 @@
 		for (final String domain : engineDomains(known)) {
 			final PlannerEpoch current = state.planners().get(domain);
 			if (this.election.shouldClaim(domain, current, live, nowNanos)) {
-				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
+				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NO_EPOCH));
 			}
 		}
 		if (this.proposals > 0) {
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/ReplayDaemon.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/ReplayDaemon.java
@@ -176,7 +176,7 @@
 	}
 
 	private Set<String> known() {
-		final Set<String> known = new TreeSet<>(this.state.owners().keySet());
+		final Set<String> known = new TreeSet<>(this.state.groupIdsByInstance().keySet());
 		this.world.listed().forEach((instance) -> known.add(instance.id()));
 		return known;
 	}
@@ -189,7 +189,7 @@
 		for (final String domain : domains) {
 			final PlannerEpoch current = this.state.planners().get(domain);
 			if (this.election.shouldClaim(domain, current, this.world.liveDaemons(), nowNanos)) {
-				records.add(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
+				records.add(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NO_EPOCH));
 			}
 		}
 		if (records.isEmpty()) {
--- a/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/FleetReplayTests.java
+++ b/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/FleetReplayTests.java
@@ -79,7 +79,7 @@
 		Fleets.event(fleet, dead, InstanceEvent.Kind.GONE);
 		fleet.run(MINUTE / 2);
 		assertThat(complete(fleet)).hasSize(1);
-		assertThat(fleet.state().owners()).doesNotContainKey(dead);
+		assertThat(fleet.state().groupIdsByInstance()).doesNotContainKey(dead);
 	}
 
 	// An engine restarts and is back within seconds. Giving its group up would cost a
