--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
@@ -23,7 +23,7 @@
 import org.pistachioline.core.presence.PresenceStep;
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.state.GroupState;
-import org.pistachioline.daemon.fleet.PresenceLinks;
+import org.pistachioline.daemon.fleet.PresenceTransport;
 import org.pistachioline.daemon.peer.PeerCodec;
 
 /**
@@ -203,10 +203,10 @@
 		mine.nanos += System.nanoTime() - begunAtNanos;
 		mine.probes += step.probes().size();
 		for (final PresenceRequest question : step.requests()) {
-			mine.frame(PresenceLinks.frameOf(id, question).getSerializedSize());
+			mine.frame(PresenceTransport.frameOf(id, question).getSerializedSize());
 			final List<GroupDigest> answer = nodes.get(question.daemonId()).respond(question.epochs(), nowNanos);
 			counts.get(question.daemonId())
-				.frame(PresenceLinks.frameOf(question.daemonId(), question.correlationId(), answer)
+				.frame(PresenceTransport.frameOf(question.daemonId(), question.correlationId(), answer)
 					.getSerializedSize());
 			node.onResponse(question.daemonId(), question.correlationId(), answer);
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointProvider.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointProvider.java
@@ -73,7 +73,7 @@
 			return;
 		}
 		final Optional<StreamSnapshot> snapshot = this.source.get();
-		this.coverage = snapshot.map(StreamSnapshot::cover).orElse(CheckpointCoverage.NONE);
+		this.coverage = snapshot.map(StreamSnapshot::coverage).orElse(CheckpointCoverage.NONE);
 		this.parts = snapshot.map((current) -> CheckpointParts.cut(current.throughOffset(), current.stateBytes()))
 			.orElse(List.of());
 		this.encodedAtNanos = nowNanos;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
@@ -110,7 +110,7 @@
 		this.fetches.remove(stream);
 		final StreamView<?> view = exchanged.stream().view();
 		final boolean behind = view.complete() && !view.logReachable() && maxReportedOffset > view.nextOffset();
-		if (view.wantsCheckpoint() || behind) {
+		if (view.needsCheckpoint() || behind) {
 			startFetch(exchanged, others, Math.max(highestReportedOffset, view.nextOffset()), nowNanos);
 		}
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
@@ -59,7 +59,7 @@
 		assertThat(progress).isEqualTo(CheckpointFetch.Progress.COMPLETE);
 		assertThat(rounds).isEqualTo(3);
 		assertThat(fetch.snapshot().orElseThrow().throughOffset()).isEqualTo(THROUGH_OFFSET);
-		assertThat(fetch.snapshot().orElseThrow().cover()).isEqualTo(COVERAGE);
+		assertThat(fetch.snapshot().orElseThrow().coverage()).isEqualTo(COVERAGE);
 		assertThat(Arrays.equals(fetch.snapshot().orElseThrow().stateBytes(), this.stateBytes)).isTrue();
 	}
 
