--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
@@ -23,7 +23,7 @@
 import org.pistachioline.core.presence.PresenceStep;
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.state.GroupState;
-import org.pistachioline.daemon.fleet.PresenceLinks;
+import org.pistachioline.daemon.fleet.PresenceTransport;
 import org.pistachioline.daemon.peer.PeerCodec;
 
 /**
@@ -202,10 +202,10 @@
 		mine.nanos += System.nanoTime() - begunAtNanos;
 		mine.probes += step.probes().size();
 		for (final PresenceQuestion question : step.questions()) {
-			mine.frame(PresenceLinks.frameOf(id, question).getSerializedSize());
+			mine.frame(PresenceTransport.frameOf(id, question).getSerializedSize());
 			final List<GroupDigest> answer = nodes.get(question.daemonId()).answer(question.epochs(), nowNanos);
 			counts.get(question.daemonId())
-				.frame(PresenceLinks.frameOf(question.daemonId(), question.token(), answer).getSerializedSize());
+				.frame(PresenceTransport.frameOf(question.daemonId(), question.token(), answer).getSerializedSize());
 			node.onAnswer(question.daemonId(), question.token(), answer);
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -52,7 +52,7 @@
 import org.pistachioline.daemon.fleet.CacheEventDuty;
 import org.pistachioline.daemon.fleet.FleetDuty;
 import org.pistachioline.daemon.fleet.PlannerDuty;
-import org.pistachioline.daemon.fleet.PresenceLinks;
+import org.pistachioline.daemon.fleet.PresenceTransport;
 import org.pistachioline.daemon.http.AdminHandler;
 import org.pistachioline.daemon.http.AdminServer;
 import org.pistachioline.daemon.http.CallerHandler;
@@ -84,7 +84,7 @@
 
 	private final Settings settings;
 
-	private final ActorSystem<Void> system = ActorSystems.create("pistachioline", ParsingErrors.SETTING);
+	private final ActorSystem<Void> system = ActorSystems.create("pistachioline", ParsingErrors.PEKKO_SETTINGS);
 
 	private final long incarnation = System.currentTimeMillis();
 
@@ -154,7 +154,7 @@
 				this.config::view, this.peers::others);
 		this.instances = new FleetDuty(this.system, this.config, this.fleet,
 				new HttpInstanceList(http, settings.text(Setting.INSTANCES_ADDRESS)), engines,
-				new PresenceLinks(selfId, this.peers), writer,
+				new PresenceTransport(selfId, this.peers), writer,
 				new PresenceLimits(TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_INTERVAL_MILLIS)),
 						TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_PRESENCE_BOUND_MILLIS))));
 		this.planner = new PlannerDuty(this.system, this.config, this.fleet, this.instances, engines, this.appender,
@@ -323,8 +323,8 @@
 		if (this.callers.localAddress().isEmpty()) {
 			return Optional.of("callers are not served yet");
 		}
-		final Optional<String> unknown = StreamReadiness.trouble(this.config.stream(), this.config.view())
-			.or(() -> StreamReadiness.trouble(this.fleet.stream(), this.fleet.view()));
+		final Optional<String> unknown = StreamReadiness.notReadyReason(this.config.stream(), this.config.view())
+			.or(() -> StreamReadiness.notReadyReason(this.fleet.stream(), this.fleet.view()));
 		if (unknown.isPresent()) {
 			return unknown;
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
@@ -60,7 +60,7 @@
 		sections.put("config", config(configAgeMillis));
 		sections.put("appends",
 				Map.of("sent", this.appender.counts().appends(), "refused", this.appender.counts().refused(),
-						"ambiguous", this.appender.counts().ambiguous(), "held", this.appender.counts().held()));
+						"ambiguous", this.appender.counts().ambiguous(), "held", this.appender.counts().throttled()));
 		sections.put("fleet", fleet());
 		final Plan plan = this.planner.plan();
 		sections.put("plan", Map.of("groups", plan.groupReasons(), "free_instances", plan.freeReasons(), "dark_domains",
@@ -78,13 +78,13 @@
 		final StreamView<ConfigState> view = this.config.view();
 		return Map.of("version", view.state().version(), "accepted_offset", view.state().acceptedOffset(),
 				"next_offset", view.nextOffset(), "log_reachable", view.logReachable(), "condition", view.condition(),
-				"age_millis", configAgeMillis, "checkpoint_through", view.cover().throughOffset());
+				"age_millis", configAgeMillis, "checkpoint_through", view.coverage().throughOffset());
 	}
 
 	private Map<String, Object> fleet() {
 		final StreamView<FleetState> view = this.fleet.view();
 		return Map.of("next_offset", view.nextOffset(), "condition", view.condition(), "checkpoint_through",
-				view.cover().throughOffset(), "planners", view.state().planners(), "groups",
+				view.coverage().throughOffset(), "planners", view.state().planners(), "groups",
 				view.state().groups().values().stream().map(this::group).toList());
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -67,7 +67,7 @@
 		this.metrics.gauge("pistachioline.log.appends.ambiguous", "Appends that lost their answer",
 				appender.counts()::ambiguous);
 		this.metrics.gauge("pistachioline.log.appends.held", "Times that an append waited for this daemon's share",
-				appender.counts()::held);
+				appender.counts()::throttled);
 		this.metrics.gauge("pistachioline.log.entries.skipped", "Broken entries that were skipped",
 				() -> config.view().skippedEntries() + fleet.view().skippedEntries());
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendCounts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendCounts.java
@@ -13,7 +13,7 @@
 
 	private final AtomicLong ambiguous = new AtomicLong();
 
-	private final AtomicLong held = new AtomicLong();
+	private final AtomicLong throttled = new AtomicLong();
 
 	void onAppend() {
 		this.appends.incrementAndGet();
@@ -27,8 +27,8 @@
 		this.ambiguous.incrementAndGet();
 	}
 
-	void onHeld() {
-		this.held.incrementAndGet();
+	void onThrottled() {
+		this.throttled.incrementAndGet();
 	}
 
 	/**
@@ -59,8 +59,8 @@
 	 * Returns how often an append waited for this daemon's share.
 	 * @return the number of times
 	 */
-	public long held() {
-		return this.held.get();
+	public long throttled() {
+		return this.throttled.get();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendDuty.java
@@ -40,9 +40,9 @@
 
 	private static final int RING_CAPACITY = 4096;
 
-	private static final double BURST = 8;
+	private static final double BURST_APPENDS = 8;
 
-	private static final Duration TICK = Duration.ofMillis(50);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
 	private final String writer;
 
@@ -50,7 +50,7 @@
 
 	private final AppendBudget budget;
 
-	private final IntSupplier daemons;
+	private final IntSupplier daemonCount;
 
 	private final Duty<Command> duty;
 
@@ -72,9 +72,9 @@
 			IntSupplier daemons) {
 		this.writer = writer;
 		this.log = log;
-		this.budget = new AppendBudget(appendsPerSecond, BURST, System.nanoTime());
-		this.daemons = daemons;
-		this.duty = new Duty<>(system, "append", RING_CAPACITY, TICK, this);
+		this.budget = new AppendBudget(appendsPerSecond, BURST_APPENDS, System.nanoTime());
+		this.daemonCount = daemons;
+		this.duty = new Duty<>(system, "append", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	/**
@@ -159,8 +159,8 @@
 		else if (command instanceof Command.Restored restored) {
 			outbox(restored.stream()).onRestored(restored.sequence());
 		}
-		else if (command instanceof Command.Answered answered) {
-			onAnswer(answered.stream(), answered.failure());
+		else if (command instanceof Command.AppendCompleted answered) {
+			onAppendCompleted(answered.stream(), answered.failure());
 		}
 		else if (command instanceof Command.Close) {
 			this.outboxes.values().forEach(Outbox::stop);
@@ -183,31 +183,31 @@
 
 	private void send(String stream, Outbox outbox) {
 		final long nowNanos = System.nanoTime();
-		if (!outbox.wantsAppend(nowNanos)) {
+		if (!outbox.isAppendDue(nowNanos)) {
 			return;
 		}
-		if (!this.budget.tryAcquire(this.daemons.getAsInt(), nowNanos)) {
-			this.counts.onHeld();
+		if (!this.budget.tryAcquire(this.daemonCount.getAsInt(), nowNanos)) {
+			this.counts.onThrottled();
 			return;
 		}
 		this.counts.onAppend();
 		this.log.append(stream, outbox.beginAppend())
-			.whenComplete((offset, failure) -> this.duty.put(new Command.Answered(stream, failure)));
+			.whenComplete((offset, failure) -> this.duty.put(new Command.AppendCompleted(stream, failure)));
 	}
 
-	private void onAnswer(String stream, Throwable failure) {
-		final Optional<AppendFailure> kind = Optional.ofNullable(failure).map(AppendDuty::kindOf);
-		kind.ifPresent((found) -> note(stream, found));
-		outbox(stream).onAnswer(kind, System.nanoTime(), ThreadLocalRandom.current().nextDouble());
+	private void onAppendCompleted(String stream, Throwable failure) {
+		final Optional<AppendFailure> kind = Optional.ofNullable(failure).map(AppendDuty::failureOf);
+		kind.ifPresent((found) -> recordFailure(stream, found));
+		outbox(stream).onAppendCompleted(kind, System.nanoTime(), ThreadLocalRandom.current().nextDouble());
 		send(stream, outbox(stream));
 	}
 
-	private static AppendFailure kindOf(Throwable failure) {
+	private static AppendFailure failureOf(Throwable failure) {
 		final Throwable cause = (failure instanceof CompletionException) ? failure.getCause() : failure;
 		return (cause instanceof AppendException append) ? append.failure() : AppendFailure.AMBIGUOUS;
 	}
 
-	private void note(String stream, AppendFailure failure) {
+	private void recordFailure(String stream, AppendFailure failure) {
 		switch (failure) {
 			case REFUSED -> this.counts.onRefused();
 			case TOO_LARGE -> Events.log(EventId.APPEND_TOO_LARGE, "stream", stream);
@@ -258,7 +258,7 @@
 		 * @param stream the stream
 		 * @param failure why it failed; null where it succeeded
 		 */
-		record Answered(String stream, Throwable failure) implements Command {
+		record AppendCompleted(String stream, Throwable failure) implements Command {
 		}
 
 		/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/CheckpointDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/CheckpointDuty.java
@@ -25,11 +25,11 @@
  * Appends checkpoints of the streams ahead of their retention, where this daemon is the
  * one to do so.
  */
-public final class CheckpointDuty implements Lifecycle, DutyHandler<CheckpointDuty.Done> {
+public final class CheckpointDuty implements Lifecycle, DutyHandler<CheckpointDuty.WriteCompleted> {
 
 	private static final int RING_CAPACITY = 64;
 
-	private static final Duration TICK = Duration.ofSeconds(1);
+	private static final Duration TICK_INTERVAL = Duration.ofSeconds(1);
 
 	private final List<StreamDuty<?>> streams;
 
@@ -41,9 +41,9 @@
 
 	private final CheckpointPolicy policy;
 
-	private final Duty<Done> duty;
+	private final Duty<WriteCompleted> duty;
 
-	private final Set<String> writing = new HashSet<>();
+	private final Set<String> streamsBeingWritten = new HashSet<>();
 
 	/**
 	 * Creates the duty.
@@ -61,7 +61,7 @@
 		this.selfId = selfId;
 		this.daemonIds = daemonIds;
 		this.policy = policy;
-		this.duty = new Duty<>(system, "checkpoints", RING_CAPACITY, TICK, this);
+		this.duty = new Duty<>(system, "checkpoints", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	@Override
@@ -83,9 +83,9 @@
 	public void onTick() {
 		for (final StreamDuty<?> stream : this.streams) {
 			final StreamView<?> view = stream.view();
-			if (view.complete() && view.caughtUp() && view.logReachable() && !this.writing.contains(stream.stream())
-					&& this.policy.isDue(view.cover(), view.nextOffset(), rank(stream.stream()),
-							System.currentTimeMillis())) {
+			if (view.complete() && view.caughtUp() && view.logReachable()
+					&& !this.streamsBeingWritten.contains(stream.stream()) && this.policy.isDue(view.coverage(),
+							view.nextOffset(), rank(stream.stream()), System.currentTimeMillis())) {
 				write(stream);
 			}
 		}
@@ -98,20 +98,20 @@
 
 	private void write(StreamDuty<?> stream) {
 		stream.snapshot().ifPresent((snapshot) -> {
-			this.writing.add(stream.stream());
+			this.streamsBeingWritten.add(stream.stream());
 			final byte[] stateBytes = snapshot.stateBytes();
 			final List<CheckpointPart> parts = CheckpointParts.cut(snapshot.throughOffset(), stateBytes);
 			final List<CompletableFuture<RecordVerdict>> verdicts = new ArrayList<>();
 			parts.forEach((part) -> verdicts.add(this.appender.append(stream.stream(), part)));
 			CompletableFuture.allOf(verdicts.toArray(CompletableFuture[]::new))
-				.whenComplete((all, failure) -> this.duty.put(new Done(stream.stream(), snapshot.throughOffset(),
-						parts.size(), stateBytes.length, failure == null)));
+				.whenComplete((all, failure) -> this.duty.put(new WriteCompleted(stream.stream(),
+						snapshot.throughOffset(), parts.size(), stateBytes.length, failure == null)));
 		});
 	}
 
 	@Override
-	public void onMessage(Done done) {
-		this.writing.remove(done.stream());
+	public void onMessage(WriteCompleted done) {
+		this.streamsBeingWritten.remove(done.stream());
 		if (done.written()) {
 			Events.log(EventId.CHECKPOINT_WRITTEN, "stream", done.stream(), "through_offset", done.throughOffset(),
 					"parts", done.parts(), "bytes", done.stateBytes());
@@ -127,7 +127,7 @@
 	 * @param stateBytes how large it is
 	 * @param written whether all parts were appended
 	 */
-	record Done(String stream, long throughOffset, int parts, int stateBytes, boolean written) {
+	record WriteCompleted(String stream, long throughOffset, int parts, int stateBytes, boolean written) {
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/Outbox.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/Outbox.java
@@ -34,20 +34,20 @@
 public final class Outbox {
 
 	/** The most records in one append. */
-	static final int MAX_BATCH = 256;
+	static final int MAX_BATCH_RECORDS = 256;
 
 	/** The most bytes in one append, half of the log's limit. */
 	static final int MAX_BATCH_BYTES = StreamFollower.MAX_ENTRY_BYTES / 2;
 
 	/** The most records that wait to be appended or folded. */
-	static final int MAX_PENDING = 4096;
+	static final int MAX_PENDING_RECORDS = 4096;
 
 	/** The most bytes that wait to be appended. */
 	static final int MAX_UNSENT_BYTES = 32 * 1024 * 1024;
 
-	private static final long FIRST_BACKOFF_MILLIS = 50;
+	private static final long INITIAL_BACKOFF_MILLIS = 50;
 
-	private static final long LONGEST_BACKOFF_MILLIS = 2_000;
+	private static final long MAX_BACKOFF_MILLIS = 2_000;
 
 	private final String writer;
 
@@ -55,19 +55,19 @@
 
 	private final NavigableMap<Long, CompletableFuture<RecordVerdict>> pending = new TreeMap<>();
 
-	private final Backoff backoff = new Backoff(FIRST_BACKOFF_MILLIS, LONGEST_BACKOFF_MILLIS);
+	private final Backoff backoff = new Backoff(INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS);
 
 	private long nextSequence = 1;
 
 	private long unsentBytes;
 
-	private boolean inFlight;
+	private boolean appendInFlight;
 
-	private int batchLimit = MAX_BATCH;
+	private int maxBatchRecords = MAX_BATCH_RECORDS;
 
-	private long lastInFlight;
+	private long lastInFlightSequence;
 
-	private int inFlightCount;
+	private int inFlightRecords;
 
 	private long retryAtNanos;
 
@@ -87,7 +87,7 @@
 	 * @param verdict to be completed
 	 */
 	public void add(RecordBody body, CompletableFuture<RecordVerdict> verdict) {
-		if (this.pending.size() >= MAX_PENDING || this.unsentBytes >= MAX_UNSENT_BYTES) {
+		if (this.pending.size() >= MAX_PENDING_RECORDS || this.unsentBytes >= MAX_UNSENT_BYTES) {
 			verdict.completeExceptionally(new PistachiolineException(ErrorKind.OVERLOADED));
 			return;
 		}
@@ -110,8 +110,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it is
 	 */
-	public boolean wantsAppend(long nowNanos) {
-		return !this.inFlight && !this.unsent.isEmpty() && nowNanos - this.retryAtNanos >= 0;
+	public boolean isAppendDue(long nowNanos) {
+		return !this.appendInFlight && !this.unsent.isEmpty() && nowNanos - this.retryAtNanos >= 0;
 	}
 
 	/**
@@ -123,17 +123,17 @@
 		int records = 0;
 		// A batch in this form is the same bytes as its records encoded one by one.
 		for (final Unsent next : this.unsent) {
-			final boolean full = records >= this.batchLimit
+			final boolean full = records >= this.maxBatchRecords
 					|| entry.size() + next.recordBytes().length > MAX_BATCH_BYTES;
 			if (full && records > 0) {
 				break;
 			}
 			entry.writeBytes(next.recordBytes());
-			this.lastInFlight = next.sequence();
+			this.lastInFlightSequence = next.sequence();
 			records++;
 		}
-		this.inFlight = true;
-		this.inFlightCount = records;
+		this.appendInFlight = true;
+		this.inFlightRecords = records;
 		return entry.toByteArray();
 	}
 
@@ -143,35 +143,35 @@
 	 * @param nowNanos the monotonic time
 	 * @param jitterRatio a random number from 0 to 1
 	 */
-	public void onAnswer(Optional<AppendFailure> failure, long nowNanos, double jitterRatio) {
-		this.inFlight = false;
+	public void onAppendCompleted(Optional<AppendFailure> failure, long nowNanos, double jitterRatio) {
+		this.appendInFlight = false;
 		if (failure.isEmpty()) {
-			forgetThrough(this.lastInFlight);
+			removeUnsentThrough(this.lastInFlightSequence);
 			this.backoff.reset();
-			this.batchLimit = MAX_BATCH;
+			this.maxBatchRecords = MAX_BATCH_RECORDS;
 			return;
 		}
 		if (failure.get() == AppendFailure.TOO_LARGE) {
-			shrink();
+			onTooLarge();
 			return;
 		}
 		this.retryAtNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(this.backoff.nextDelayMillis(jitterRatio));
 	}
 
 	// Without this an entry that the log never takes would block all behind it.
-	private void shrink() {
-		if (this.inFlightCount > 1) {
-			this.batchLimit = this.inFlightCount / 2;
+	private void onTooLarge() {
+		if (this.inFlightRecords > 1) {
+			this.maxBatchRecords = this.inFlightRecords / 2;
 			return;
 		}
-		final CompletableFuture<RecordVerdict> verdict = this.pending.remove(this.lastInFlight);
-		forgetThrough(this.lastInFlight);
+		final CompletableFuture<RecordVerdict> verdict = this.pending.remove(this.lastInFlightSequence);
+		removeUnsentThrough(this.lastInFlightSequence);
 		if (verdict != null) {
 			verdict.completeExceptionally(new PistachiolineException(ErrorKind.REQUEST_TOO_LARGE));
 		}
 	}
 
-	private void forgetThrough(long sequence) {
+	private void removeUnsentThrough(long sequence) {
 		while (!this.unsent.isEmpty() && this.unsent.peekFirst().sequence() <= sequence) {
 			this.unsentBytes -= this.unsent.removeFirst().recordBytes().length;
 		}
@@ -187,7 +187,7 @@
 			return;
 		}
 		// What was folded has landed, whatever became of the append's answer.
-		forgetThrough(sequence);
+		removeUnsentThrough(sequence);
 		final CompletableFuture<RecordVerdict> future = this.pending.remove(sequence);
 		failThrough(sequence, ErrorKind.INTERNAL);
 		if (future != null) {
@@ -201,7 +201,7 @@
 	 * @param sequence the writer's mark
 	 */
 	public void onRestored(long sequence) {
-		forgetThrough(sequence);
+		removeUnsentThrough(sequence);
 		failThrough(sequence, ErrorKind.INTERNAL);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamDuty.java
@@ -39,16 +39,16 @@
 
 	private static final long LONG_POLL_MILLIS = 2_000;
 
-	private static final long FIRST_BACKOFF_MILLIS = 50;
+	private static final long INITIAL_BACKOFF_MILLIS = 50;
 
-	private static final long LONGEST_BACKOFF_MILLIS = 2_000;
+	private static final long MAX_BACKOFF_MILLIS = 2_000;
 
 	// A daemon that never read the log must not pass for one that just did: each new
 	// start
 	// during an outage would begin the staleness bound afresh.
-	private static final long NEVER_NANOS = Duration.ofDays(36_500).toNanos();
+	private static final long NEVER_READ_AGE_NANOS = Duration.ofDays(36_500).toNanos();
 
-	private static final Duration TICK = Duration.ofMillis(200);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(200);
 
 	private final String stream;
 
@@ -60,7 +60,7 @@
 
 	private final Duty<Command> duty;
 
-	private final Backoff backoff = new Backoff(FIRST_BACKOFF_MILLIS, LONGEST_BACKOFF_MILLIS);
+	private final Backoff backoff = new Backoff(INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS);
 
 	private final List<FoldListener> listeners = new CopyOnWriteArrayList<>();
 
@@ -70,9 +70,9 @@
 
 	private final AtomicReference<StreamView<S>> view;
 
-	private boolean reading;
+	private boolean readInProgress;
 
-	private boolean failed;
+	private boolean readFailing;
 
 	private long retryAtNanos = System.nanoTime();
 
@@ -80,7 +80,7 @@
 
 	private volatile boolean following = true;
 
-	private boolean behind;
+	private boolean mustCatchUp;
 
 	/**
 	 * Creates a follower.
@@ -96,8 +96,8 @@
 		this.log = log;
 		this.codec = codec;
 		this.follower = new StreamFollower<>(reducer, codec, new Listener());
-		this.duty = new Duty<>(system, "stream-" + stream, RING_CAPACITY, TICK, this);
-		this.view = new AtomicReference<>(viewOf(System.nanoTime() - NEVER_NANOS, false, false));
+		this.duty = new Duty<>(system, "stream-" + stream, RING_CAPACITY, TICK_INTERVAL, this);
+		this.view = new AtomicReference<>(viewOf(System.nanoTime() - NEVER_READ_AGE_NANOS, false, false));
 	}
 
 	/**
@@ -149,7 +149,7 @@
 		if (!now.complete()) {
 			return Optional.empty();
 		}
-		return Optional.of(new StreamSnapshot(now.nextOffset() - 1, this.codec.encode(now.state()), now.cover()));
+		return Optional.of(new StreamSnapshot(now.nextOffset() - 1, this.codec.encode(now.state()), now.coverage()));
 	}
 
 	/**
@@ -165,7 +165,7 @@
 	 * it counts as caught up only once it has reached the end anew.
 	 * @param follow whether to follow
 	 */
-	public void follow(boolean follow) {
+	public void setFollowing(boolean follow) {
 		this.following = follow;
 	}
 
@@ -187,30 +187,30 @@
 
 	@Override
 	public void onTick() {
-		if (!this.reading && System.nanoTime() - this.retryAtNanos >= 0) {
-			readOn();
+		if (!this.readInProgress && System.nanoTime() - this.retryAtNanos >= 0) {
+			readNext();
 		}
 	}
 
-	private void readOn() {
+	private void readNext() {
 		if (this.stopped || this.follower.condition() == StreamCondition.HALTED) {
 			return;
 		}
 		if (!this.following) {
-			rest();
+			pause();
 			return;
 		}
-		this.reading = true;
+		this.readInProgress = true;
 		final long askedAtNanos = System.nanoTime();
 		// The first read does not wait, so that a start on an empty stream is quick.
-		final boolean atEnd = this.view.get().caughtUp() || this.view.get().wantsCheckpoint();
+		final boolean atEnd = this.view.get().caughtUp() || this.view.get().needsCheckpoint();
 		this.log.read(this.stream, this.follower.readOffset(), atEnd ? LONG_POLL_MILLIS : 0)
-			.whenComplete((page, failure) -> this.duty.put(new Command.Read(page, failure, askedAtNanos)));
+			.whenComplete((page, failure) -> this.duty.put(new Command.ReadCompleted(page, failure, askedAtNanos)));
 	}
 
-	private void rest() {
-		if (!this.behind) {
-			this.behind = true;
+	private void pause() {
+		if (!this.mustCatchUp) {
+			this.mustCatchUp = true;
 			final StreamView<S> before = this.view.get();
 			publish(before, viewOf(before.readAtNanos(), before.logReachable(), false));
 		}
@@ -218,16 +218,16 @@
 
 	@Override
 	public void onMessage(Command command) {
-		if (command instanceof Command.Read read) {
-			onRead(read);
+		if (command instanceof Command.ReadCompleted read) {
+			onReadCompleted(read);
 		}
 		else if (command instanceof Command.Restore restore) {
 			onRestore(restore.snapshot());
 		}
 	}
 
-	private void onRead(Command.Read read) {
-		this.reading = false;
+	private void onReadCompleted(Command.ReadCompleted read) {
+		this.readInProgress = false;
 		if (read.failure() != null) {
 			onFailure(read.failure());
 			return;
@@ -235,16 +235,17 @@
 		final StreamView<S> before = this.view.get();
 		final boolean readOn = this.follower.onPage(read.page());
 		final boolean atEnd = this.follower.readOffset() >= read.page().endOffset();
-		this.behind = this.behind && !atEnd;
+		this.mustCatchUp = this.mustCatchUp && !atEnd;
 		final boolean inLimbo = this.follower.condition() == StreamCondition.LIMBO;
-		publish(before, viewOf((atEnd && readOn) ? read.askedAtNanos() : before.readAtNanos(), true, inLimbo && atEnd));
+		publish(before,
+				viewOf((atEnd && readOn) ? read.requestedAtNanos() : before.readAtNanos(), true, inLimbo && atEnd));
 		if (readOn) {
 			this.backoff.reset();
-			this.failed = false;
-			readOn();
+			this.readFailing = false;
+			readNext();
 		}
 		else {
-			waitLonger();
+			backOff();
 		}
 	}
 
@@ -261,21 +262,21 @@
 
 	private void onFailure(Throwable failure) {
 		final StreamView<S> before = this.view.get();
-		if (!this.failed) {
+		if (!this.readFailing) {
 			Events.log(EventId.LOG_UNAVAILABLE, failure, "stream", this.stream);
 		}
-		this.failed = true;
+		this.readFailing = true;
 		this.view.set(viewOf(before.readAtNanos(), false, !before.complete()));
-		waitLonger();
+		backOff();
 	}
 
-	private void waitLonger() {
+	private void backOff() {
 		final long waitMillis = this.backoff.nextDelayMillis(ThreadLocalRandom.current().nextDouble());
 		this.retryAtNanos = System.nanoTime() + Duration.ofMillis(waitMillis).toNanos();
 	}
 
 	private void onRestore(StreamSnapshot snapshot) {
-		if (this.follower.restore(snapshot.throughOffset(), snapshot.stateBytes(), snapshot.cover())) {
+		if (this.follower.restore(snapshot.throughOffset(), snapshot.stateBytes(), snapshot.coverage())) {
 			final StreamView<S> before = this.view.get();
 			publish(before, viewOf(before.readAtNanos(), before.logReachable(), false));
 		}
@@ -283,7 +284,7 @@
 
 	private StreamView<S> viewOf(long readAtNanos, boolean logReachable, boolean wantsCheckpoint) {
 		return new StreamView<>(this.follower.state(), this.follower.nextOffset(), this.follower.condition(),
-				this.follower.caughtUp() && !this.behind, readAtNanos, logReachable, wantsCheckpoint,
+				this.follower.caughtUp() && !this.mustCatchUp, readAtNanos, logReachable, wantsCheckpoint,
 				this.follower.cover(), this.follower.foldedRecords(), this.follower.rejectedRecords(),
 				this.follower.skippedEntries());
 	}
@@ -320,9 +321,9 @@
 		 *
 		 * @param page the page; null where the read failed
 		 * @param failure why it failed
-		 * @param askedAtNanos the monotonic time from before the read
+		 * @param requestedAtNanos the monotonic time from before the read
 		 */
-		record Read(LogPage page, Throwable failure, long askedAtNanos) implements Command {
+		record ReadCompleted(LogPage page, Throwable failure, long requestedAtNanos) implements Command {
 		}
 
 		/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamReadiness.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamReadiness.java
@@ -16,10 +16,10 @@
 	 * @param view the newest view of it
 	 * @return the reason; empty where the state can be served from
 	 */
-	public static Optional<String> trouble(String stream, StreamView<?> view) {
+	public static Optional<String> notReadyReason(String stream, StreamView<?> view) {
 		final String start = "stream '" + stream + "': ";
 		return switch (view.condition()) {
-			case UNREAD -> Optional.of(start + (view.wantsCheckpoint()
+			case UNREAD -> Optional.of(start + (view.needsCheckpoint()
 					? "the log cannot be read and no daemon has given a checkpoint" : "it has not been read yet"));
 			case LIMBO -> Optional.of(start + "records expired unread, and neither the log nor a daemon has given a "
 					+ "checkpoint that covers them");
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamSnapshot.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamSnapshot.java
@@ -11,7 +11,7 @@
 
 	private final byte[] stateBytes;
 
-	private final CheckpointCoverage cover;
+	private final CheckpointCoverage coverage;
 
 	/**
 	 * Creates a snapshot.
@@ -22,7 +22,7 @@
 	public StreamSnapshot(long throughOffset, byte[] stateBytes, CheckpointCoverage cover) {
 		this.throughOffset = throughOffset;
 		this.stateBytes = stateBytes.clone();
-		this.cover = cover;
+		this.coverage = cover;
 	}
 
 	/**
@@ -45,8 +45,8 @@
 	 * Returns what the newest checkpoint on the stream covers.
 	 * @return the cover
 	 */
-	public CheckpointCoverage cover() {
-		return this.cover;
+	public CheckpointCoverage coverage() {
+		return this.coverage;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamView.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamView.java
@@ -13,14 +13,14 @@
  * @param caughtUp whether the stream's end was reached once since the state is whole
  * @param readAtNanos when the log's end was last known, from before the read
  * @param logReachable whether the last read succeeded
- * @param wantsCheckpoint whether only a checkpoint can bring this further
- * @param cover what the newest checkpoint on the stream covers
+ * @param needsCheckpoint whether only a checkpoint can bring this further
+ * @param coverage what the newest checkpoint on the stream covers
  * @param foldedRecords how many records were folded
  * @param rejectedRecords how many of them changed nothing
  * @param skippedEntries how many broken entries were skipped
  */
 public record StreamView<S>(S state, long nextOffset, StreamCondition condition, boolean caughtUp, long readAtNanos,
-		boolean logReachable, boolean wantsCheckpoint, CheckpointCoverage cover, long foldedRecords,
+		boolean logReachable, boolean needsCheckpoint, CheckpointCoverage coverage, long foldedRecords,
 		long rejectedRecords, long skippedEntries) {
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimForwarder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimForwarder.java
@@ -47,20 +47,20 @@
 
 	private static final int RING_CAPACITY = 4096;
 
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
-	private static final long AGAIN_NANOS = Duration.ofMillis(250).toNanos();
+	private static final long RESEND_NANOS = Duration.ofMillis(250).toNanos();
 
 	private static final long TIMEOUT_NANOS = Duration.ofSeconds(3).toNanos();
 
 	/** How long a late grant is still given back. */
-	private static final long FORGET_NANOS = Duration.ofMinutes(1).toNanos();
+	private static final long LATE_GRANT_RETENTION_NANOS = Duration.ofMinutes(1).toNanos();
 
 	/** Bounds what waits here while no follower can be reached. */
-	private static final int MOST_WAITING = 4096;
+	private static final int MAX_PENDING = 4096;
 
 	/** More questions than can come again within a minute at the letter's peak. */
-	private static final int MOST_REMEMBERED = 8192;
+	private static final int MAX_CACHED_RESULTS = 8192;
 
 	private final ClaimService local;
 
@@ -74,15 +74,15 @@
 
 	private final Duty<Message> duty;
 
-	private final Map<Long, AskedClaim> asked = new LinkedHashMap<>();
+	private final Map<Long, PendingClaim> pendingClaims = new LinkedHashMap<>();
 
-	private final Map<Long, SentNote> noted = new LinkedHashMap<>();
+	private final Map<Long, PendingUpdate> pendingUpdates = new LinkedHashMap<>();
 
-	private final Map<String, CompletableFuture<ClaimResult>> remembered = new LinkedHashMap<>();
+	private final Map<String, CompletableFuture<ClaimResult>> resultsByRequest = new LinkedHashMap<>();
 
-	private final Set<String> notesInProgress = new HashSet<>();
+	private final Set<String> updatesInProgress = new HashSet<>();
 
-	private final Map<String, List<String>> followers = new HashMap<>();
+	private final Map<String, List<String>> followersByStream = new HashMap<>();
 
 	private long nextId = 1;
 
@@ -102,13 +102,13 @@
 		this.writer = writer;
 		this.daemonIds = daemonIds;
 		this.sender = sender;
-		this.duty = new Duty<>(system, "claims", RING_CAPACITY, TICK, this);
+		this.duty = new Duty<>(system, "claims", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	@Override
 	public void start() {
 		// Before the first message, or a claim at the start would not know whom to ask.
-		renewFollowers();
+		refreshFollowers();
 		this.duty.start();
 	}
 
@@ -127,13 +127,13 @@
 	 * @param frame the frame
 	 */
 	public void onFrame(PeerFrame frame) {
-		this.duty.offer(new Message.Received(frame));
+		this.duty.offer(new Message.FrameReceived(frame));
 	}
 
 	@Override
 	public CompletableFuture<ClaimResult> claim(RequestInfo info) {
 		final CompletableFuture<ClaimResult> result = new CompletableFuture<>();
-		if (!this.duty.offer(new Message.Ask(info, result))) {
+		if (!this.duty.offer(new Message.ClaimRequested(info, result))) {
 			result.complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 		}
 		return result;
@@ -142,7 +142,7 @@
 	@Override
 	public CompletableFuture<Void> release(RequestInfo info, long claimOffset) {
 		final CompletableFuture<Void> done = new CompletableFuture<>();
-		this.duty.put(new Message.Note(info, releaseOf(info, claimOffset), null, done));
+		this.duty.put(new Message.Update(info, releaseOf(info, claimOffset), null, done));
 		return done;
 	}
 
@@ -152,64 +152,64 @@
 		final CompletableFuture<Void> done = new CompletableFuture<>();
 		final KeyOutcome outcome = ClaimService.storable(new KeyOutcome(info.workspace(), info.claim().keyHash(),
 				claimOffset, status, contentType, body, unknown));
-		this.duty.put(new Message.Note(info, null, outcome, done));
+		this.duty.put(new Message.Update(info, null, outcome, done));
 		return done;
 	}
 
 	@Override
 	public void onMessage(Message message) {
-		if (message instanceof Message.Ask ask) {
-			ask(ask);
+		if (message instanceof Message.ClaimRequested ask) {
+			requestClaim(ask);
 		}
-		else if (message instanceof Message.Note note) {
-			note(note);
+		else if (message instanceof Message.Update note) {
+			submitUpdate(note);
 		}
-		else if (message instanceof Message.Received received) {
-			receive(received.frame());
+		else if (message instanceof Message.FrameReceived received) {
+			handleFrame(received.frame());
 		}
-		else if (message instanceof Message.Written written) {
-			this.notesInProgress.remove(written.note());
-			this.sender.accept(written.senderId(), ClaimFrames.receipt(written.noteId()));
+		else if (message instanceof Message.UpdateWritten written) {
+			this.updatesInProgress.remove(written.updateKey());
+			this.sender.accept(written.senderId(), ClaimFrames.acknowledgement(written.noteId()));
 		}
 	}
 
-	private void ask(Message.Ask ask) {
-		if (followsHere(ask.info())) {
+	private void requestClaim(Message.ClaimRequested ask) {
+		if (isFollowedHere(ask.info())) {
 			this.local.claim(ask.info()).thenAccept(ask.result()::complete);
 			return;
 		}
-		if (this.asked.size() >= MOST_WAITING) {
+		if (this.pendingClaims.size() >= MAX_PENDING) {
 			ask.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 			return;
 		}
-		final AskedClaim waiting = new AskedClaim(this.nextId, ask, System.nanoTime());
+		final PendingClaim waiting = new PendingClaim(this.nextId, ask, System.nanoTime());
 		this.nextId++;
-		this.asked.put(waiting.id, waiting);
+		this.pendingClaims.put(waiting.id, waiting);
 		send(waiting);
 	}
 
-	private void send(AskedClaim waiting) {
+	private void send(PendingClaim waiting) {
 		waiting.sentAtNanos = System.nanoTime();
-		follower(waiting.ask.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
-				ClaimFrames.question(waiting.id, this.selfId, this.writer, waiting.ask.info())));
+		follower(waiting.request.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
+				ClaimFrames.claimRequest(waiting.id, this.selfId, this.writer, waiting.request.info())));
 	}
 
-	private void note(Message.Note note) {
-		if (followsHere(note.info())) {
-			writeHere(note).thenAccept(note.done()::complete);
+	private void submitUpdate(Message.Update note) {
+		if (isFollowedHere(note.info())) {
+			writeLocally(note).thenAccept(note.done()::complete);
 			return;
 		}
-		if (this.noted.size() >= MOST_WAITING) {
+		if (this.pendingUpdates.size() >= MAX_PENDING) {
 			// The oldest is given up: its key reads as unknown, and nothing runs again.
-			this.noted.remove(this.noted.keySet().iterator().next());
+			this.pendingUpdates.remove(this.pendingUpdates.keySet().iterator().next());
 		}
-		final SentNote waiting = new SentNote(this.nextId, note);
+		final PendingUpdate waiting = new PendingUpdate(this.nextId, note);
 		this.nextId++;
-		this.noted.put(waiting.id, waiting);
+		this.pendingUpdates.put(waiting.id, waiting);
 		send(waiting);
 	}
 
-	private CompletableFuture<Void> writeHere(Message.Note note) {
+	private CompletableFuture<Void> writeLocally(Message.Update note) {
 		if (note.release() != null) {
 			return this.local.release(note.info(), note.release().claimOffset());
 		}
@@ -218,118 +218,118 @@
 				outcome.body(), outcome.unknown());
 	}
 
-	private void send(SentNote waiting) {
+	private void send(PendingUpdate waiting) {
 		waiting.sentAtNanos = System.nanoTime();
-		follower(waiting.note.info()).ifPresent(
-				(daemonId) -> this.sender.accept(daemonId, ClaimFrames.note(waiting.id, this.selfId, waiting.note)));
+		follower(waiting.update.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
+				ClaimFrames.update(waiting.id, this.selfId, waiting.update)));
 	}
 
-	private void receive(PeerFrame frame) {
+	private void handleFrame(PeerFrame frame) {
 		if (frame.hasClaimQuestion()) {
-			onQuestion(frame.getClaimQuestion());
+			onClaimRequest(frame.getClaimQuestion());
 		}
 		else if (frame.hasClaimAnswer()) {
-			onAnswer(frame.getClaimAnswer());
+			onClaimResponse(frame.getClaimAnswer());
 		}
 		else if (frame.hasClaimNote()) {
-			onNote(frame.getClaimNote());
+			onUpdate(frame.getClaimNote());
 		}
 		else if (frame.hasClaimReceipt()) {
-			final SentNote done = this.noted.remove(frame.getClaimReceipt().getNoteId());
+			final PendingUpdate done = this.pendingUpdates.remove(frame.getClaimReceipt().getNoteId());
 			if (done != null) {
-				done.note.done().complete(null);
+				done.update.done().complete(null);
 			}
 		}
 	}
 
-	private void onQuestion(ClaimQuestion question) {
+	private void onClaimRequest(ClaimQuestion question) {
 		final RequestInfo info = ClaimFrames.infoOf(question);
 		final String asker = question.getAskerWriter() + '/' + question.getAskId();
-		final CompletableFuture<ClaimResult> known = this.remembered.get(asker);
+		final CompletableFuture<ClaimResult> known = this.resultsByRequest.get(asker);
 		if (known != null) {
 			if (known.isDone()) {
-				this.sender.accept(question.getAskerId(), ClaimFrames.answer(question.getAskId(), known.join()));
+				this.sender.accept(question.getAskerId(), ClaimFrames.claimResponse(question.getAskId(), known.join()));
 			}
 			return;
 		}
 		// The asker may know more daemons than this one, or fewer. What is not followed
 		// is
 		// not answered; the asker asks again, and its view or ours will have changed.
-		if (!followsHere(info) || !this.local.partitionOf(info).view().caughtUp()) {
+		if (!isFollowedHere(info) || !this.local.partitionOf(info).view().caughtUp()) {
 			return;
 		}
 		final CompletableFuture<ClaimResult> result = this.local.claim(info);
-		this.remembered.put(asker, result);
-		if (this.remembered.size() > MOST_REMEMBERED) {
-			this.remembered.remove(this.remembered.keySet().iterator().next());
+		this.resultsByRequest.put(asker, result);
+		if (this.resultsByRequest.size() > MAX_CACHED_RESULTS) {
+			this.resultsByRequest.remove(this.resultsByRequest.keySet().iterator().next());
 		}
-		result.thenAccept(
-				(answer) -> this.sender.accept(question.getAskerId(), ClaimFrames.answer(question.getAskId(), answer)));
+		result.thenAccept((answer) -> this.sender.accept(question.getAskerId(),
+				ClaimFrames.claimResponse(question.getAskId(), answer)));
 	}
 
-	private void onAnswer(ClaimAnswer answer) {
-		final AskedClaim waiting = this.asked.remove(answer.getAskId());
+	private void onClaimResponse(ClaimAnswer answer) {
+		final PendingClaim waiting = this.pendingClaims.remove(answer.getAskId());
 		if (waiting == null) {
 			return;
 		}
 		final ClaimResult result = ClaimFrames.resultOf(answer);
-		final boolean inTime = waiting.ask.result().complete(result);
+		final boolean inTime = waiting.request.result().complete(result);
 		// The caller was told "not run" already, so the claim must never be used.
 		if (!inTime && result.verdict() == ClaimVerdict.GRANTED) {
-			note(new Message.Note(waiting.ask.info(), releaseOf(waiting.ask.info(), result.claimOffset()), null,
-					new CompletableFuture<>()));
+			submitUpdate(new Message.Update(waiting.request.info(),
+					releaseOf(waiting.request.info(), result.claimOffset()), null, new CompletableFuture<>()));
 		}
 	}
 
-	private void onNote(ClaimNote frame) {
-		final Message.Note note = ClaimFrames.noteOf(frame);
+	private void onUpdate(ClaimNote frame) {
+		final Message.Update note = ClaimFrames.updateOf(frame);
 		final String sender = frame.getSenderId() + '/' + frame.getNoteId();
-		if (followsHere(note.info()) && this.notesInProgress.add(sender)) {
-			writeHere(note)
-				.thenRun(() -> this.duty.put(new Message.Written(frame.getSenderId(), frame.getNoteId(), sender)));
+		if (isFollowedHere(note.info()) && this.updatesInProgress.add(sender)) {
+			writeLocally(note).thenRun(
+					() -> this.duty.put(new Message.UpdateWritten(frame.getSenderId(), frame.getNoteId(), sender)));
 		}
 	}
 
 	@Override
 	public void onTick() {
-		renewFollowers();
+		refreshFollowers();
 		final long nowNanos = System.nanoTime();
-		final Iterator<AskedClaim> asks = this.asked.values().iterator();
+		final Iterator<PendingClaim> asks = this.pendingClaims.values().iterator();
 		while (asks.hasNext()) {
-			final AskedClaim waiting = asks.next();
-			if (nowNanos - waiting.askedAtNanos > FORGET_NANOS) {
+			final PendingClaim waiting = asks.next();
+			if (nowNanos - waiting.receivedAtNanos > LATE_GRANT_RETENTION_NANOS) {
 				asks.remove();
 			}
-			else if (nowNanos - waiting.askedAtNanos > TIMEOUT_NANOS) {
-				waiting.ask.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
+			else if (nowNanos - waiting.receivedAtNanos > TIMEOUT_NANOS) {
+				waiting.request.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 			}
-			else if (nowNanos - waiting.sentAtNanos > AGAIN_NANOS) {
+			else if (nowNanos - waiting.sentAtNanos > RESEND_NANOS) {
 				send(waiting);
 			}
 		}
-		this.noted.values()
+		this.pendingUpdates.values()
 			.stream()
-			.filter((waiting) -> nowNanos - waiting.sentAtNanos > AGAIN_NANOS)
+			.filter((waiting) -> nowNanos - waiting.sentAtNanos > RESEND_NANOS)
 			.toList()
 			.forEach(this::send);
 	}
 
-	private void renewFollowers() {
+	private void refreshFollowers() {
 		final Set<String> ids = this.daemonIds.get();
 		for (final StreamDuty<ClaimsState> partition : this.local.partitions()) {
 			final List<String> now = StreamAssignment.followers(partition.stream(), ids);
-			this.followers.put(partition.stream(), now);
-			partition.follow(now.contains(this.selfId));
+			this.followersByStream.put(partition.stream(), now);
+			partition.setFollowing(now.contains(this.selfId));
 		}
 	}
 
-	private boolean followsHere(RequestInfo info) {
-		final List<String> now = this.followers.get(this.local.partitionOf(info).stream());
+	private boolean isFollowedHere(RequestInfo info) {
+		final List<String> now = this.followersByStream.get(this.local.partitionOf(info).stream());
 		return now.contains(this.selfId);
 	}
 
 	private Optional<String> follower(RequestInfo info) {
-		return this.followers.get(this.local.partitionOf(info).stream()).stream().findFirst();
+		return this.followersByStream.get(this.local.partitionOf(info).stream()).stream().findFirst();
 	}
 
 	private static KeyRelease releaseOf(RequestInfo info, long claimOffset) {
@@ -347,7 +347,7 @@
 		 * @param info the request
 		 * @param result to be completed
 		 */
-		record Ask(RequestInfo info, CompletableFuture<ClaimResult> result) implements Message {
+		record ClaimRequested(RequestInfo info, CompletableFuture<ClaimResult> result) implements Message {
 		}
 
 		/**
@@ -358,7 +358,7 @@
 		 * @param outcome the outcome; null for a release
 		 * @param done to be completed
 		 */
-		record Note(RequestInfo info, KeyRelease release, KeyOutcome outcome,
+		record Update(RequestInfo info, KeyRelease release, KeyOutcome outcome,
 				CompletableFuture<Void> done) implements Message {
 		}
 
@@ -367,9 +367,9 @@
 		 *
 		 * @param senderId the daemon
 		 * @param noteId its number there
-		 * @param note both together
+		 * @param updateKey both together
 		 */
-		record Written(String senderId, long noteId, String note) implements Message {
+		record UpdateWritten(String senderId, long noteId, String updateKey) implements Message {
 		}
 
 		/**
@@ -377,7 +377,7 @@
 		 *
 		 * @param frame the frame
 		 */
-		record Received(PeerFrame frame) implements Message {
+		record FrameReceived(PeerFrame frame) implements Message {
 		}
 
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimFrames.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimFrames.java
@@ -23,7 +23,7 @@
 	private ClaimFrames() {
 	}
 
-	static PeerFrame question(long askId, String askerId, String askerWriter, RequestInfo info) {
+	static PeerFrame claimRequest(long askId, String askerId, String askerWriter, RequestInfo info) {
 		return PeerFrame.newBuilder()
 			.setClaimQuestion(ClaimQuestion.newBuilder()
 				.setAskId(askId)
@@ -42,7 +42,7 @@
 				question.getRequestDigest(), question.getLifetimeMillis(), question.getRunBoundMillis()));
 	}
 
-	static PeerFrame answer(long askId, ClaimResult result) {
+	static PeerFrame claimResponse(long askId, ClaimResult result) {
 		final ClaimAnswer.Builder answer = ClaimAnswer.newBuilder()
 			.setAskId(askId)
 			.setVerdict(result.verdict().name())
@@ -68,7 +68,7 @@
 				answer.hasOutcome() ? Optional.of(RecordCodec.decode(answer.getOutcome())) : Optional.empty());
 	}
 
-	static PeerFrame note(long noteId, String senderId, ClaimForwarder.Message.Note note) {
+	static PeerFrame update(long noteId, String senderId, ClaimForwarder.Message.Update note) {
 		final ClaimNote.Builder frame = ClaimNote.newBuilder().setNoteId(noteId).setSenderId(senderId);
 		if (note.release() != null) {
 			frame.setRelease(RecordCodec.encode(note.release()));
@@ -79,21 +79,21 @@
 		return PeerFrame.newBuilder().setClaimNote(frame).build();
 	}
 
-	static ClaimForwarder.Message.Note noteOf(ClaimNote frame) {
+	static ClaimForwarder.Message.Update updateOf(ClaimNote frame) {
 		final CompletableFuture<Void> done = new CompletableFuture<>();
 		if (frame.hasRelease()) {
 			final KeyRelease release = RecordCodec.decode(frame.getRelease());
-			return new ClaimForwarder.Message.Note(infoOf(release.workspace(), release.key()), release, null, done);
+			return new ClaimForwarder.Message.Update(infoOf(release.workspace(), release.key()), release, null, done);
 		}
 		final KeyOutcome outcome = RecordCodec.decode(frame.getOutcome());
-		return new ClaimForwarder.Message.Note(infoOf(outcome.workspace(), outcome.key()), null, outcome, done);
+		return new ClaimForwarder.Message.Update(infoOf(outcome.workspace(), outcome.key()), null, outcome, done);
 	}
 
 	private static RequestInfo infoOf(String workspace, String keyHash) {
 		return RequestInfo.forClaim(workspace, new ClaimRequirement(keyHash, "", 0));
 	}
 
-	static PeerFrame receipt(long noteId) {
+	static PeerFrame acknowledgement(long noteId) {
 		return PeerFrame.newBuilder().setClaimReceipt(ClaimReceipt.newBuilder().setNoteId(noteId)).build();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimService.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimService.java
@@ -42,9 +42,9 @@
 
 	private static final long CLAIM_TIMEOUT_MILLIS = 3_000;
 
-	private static final long APPEND_AGAIN_MILLIS = 500;
+	private static final long APPEND_RETRY_MILLIS = 500;
 
-	private static final int LARGEST_STORED_BODY = 4 * 1024;
+	private static final int MAX_STORED_BODY_CHARS = 4 * 1024;
 
 	private final AppendDuty appender;
 
@@ -100,12 +100,12 @@
 	 * Returns when all partitions have been read to their end for the first time.
 	 * @return completes then
 	 */
-	public CompletableFuture<Void> following() {
+	public CompletableFuture<Void> whenCaughtUp() {
 		return CompletableFuture
-			.allOf(this.partitions.stream().map(ClaimService::followed).toArray(CompletableFuture[]::new));
+			.allOf(this.partitions.stream().map(ClaimService::whenPartitionCaughtUp).toArray(CompletableFuture[]::new));
 	}
 
-	private static CompletableFuture<Void> followed(StreamDuty<ClaimsState> partition) {
+	private static CompletableFuture<Void> whenPartitionCaughtUp(StreamDuty<ClaimsState> partition) {
 		final CompletableFuture<Void> followed = new CompletableFuture<>();
 		final Runnable check = () -> {
 			if (partition.view().caughtUp()) {
@@ -123,7 +123,7 @@
 		final StreamView<ClaimsState> view = partition.view();
 		final Optional<ClaimEntry> known = find(info);
 		if (known.isPresent()) {
-			return CompletableFuture.completedFuture(resultOn(known.get(), info));
+			return CompletableFuture.completedFuture(resultForEntry(known.get(), info));
 		}
 		if (!view.complete() || !view.caughtUp()) {
 			// Not found is no answer while records are missing: the key may have run.
@@ -155,12 +155,12 @@
 		if (folded.isAccepted()) {
 			return ClaimResult.granted(folded.offset());
 		}
-		return find(info).map((entry) -> resultOn(entry, info))
+		return find(info).map((entry) -> resultForEntry(entry, info))
 			.orElseGet(() -> ClaimResult.of(verdictWithoutEntry(folded.rejection().orElseThrow())));
 	}
 
-	private static ClaimResult resultOn(ClaimEntry entry, RequestInfo info) {
-		final ClaimVerdict verdict = verdictOn(entry, info);
+	private static ClaimResult resultForEntry(ClaimEntry entry, RequestInfo info) {
+		final ClaimVerdict verdict = verdictForEntry(entry, info);
 		return (verdict == ClaimVerdict.SETTLED) ? ClaimResult.settled(entry.outcome().orElseThrow())
 				: ClaimResult.of(verdict);
 	}
@@ -177,7 +177,7 @@
 		};
 	}
 
-	private static ClaimVerdict verdictOn(ClaimEntry entry, RequestInfo info) {
+	private static ClaimVerdict verdictForEntry(ClaimEntry entry, RequestInfo info) {
 		if (!entry.claim().requestDigest().equals(info.claim().requestDigest())) {
 			return ClaimVerdict.REUSED;
 		}
@@ -213,7 +213,7 @@
 	 * @return what is stored of it
 	 */
 	static KeyOutcome storable(KeyOutcome outcome) {
-		return (outcome.body().length() <= LARGEST_STORED_BODY) ? outcome : new KeyOutcome(outcome.workspace(),
+		return (outcome.body().length() <= MAX_STORED_BODY_CHARS) ? outcome : new KeyOutcome(outcome.workspace(),
 				outcome.key(), outcome.claimOffset(), outcome.status(), outcome.contentType(), "", true);
 	}
 
@@ -229,7 +229,7 @@
 				done.complete(null);
 			}
 			else if (!this.stopped) {
-				CompletableFuture.delayedExecutor(APPEND_AGAIN_MILLIS, TimeUnit.MILLISECONDS)
+				CompletableFuture.delayedExecutor(APPEND_RETRY_MILLIS, TimeUnit.MILLISECONDS)
 					.execute(() -> appendUntilFolded(stream, body, done));
 			}
 		});
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/SentNote.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/PendingUpdate.java
@@ -3,17 +3,17 @@
 /**
  * A release or an outcome that another daemon was sent and has not receipted.
  */
-final class SentNote {
+final class PendingUpdate {
 
 	final long id;
 
-	final ClaimForwarder.Message.Note note;
+	final ClaimForwarder.Message.Update update;
 
 	long sentAtNanos;
 
-	SentNote(long id, ClaimForwarder.Message.Note note) {
+	PendingUpdate(long id, ClaimForwarder.Message.Update note) {
 		this.id = id;
-		this.note = note;
+		this.update = note;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/CacheEventDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/CacheEventDuty.java
@@ -31,25 +31,25 @@
  * with the fleet. A target that is met for the first time is asked for its place in its
  * events only, since a thousand old ones would arrive at once.
  */
-public final class CacheEventDuty implements Lifecycle, DutyHandler<CacheEventDuty.Page> {
+public final class CacheEventDuty implements Lifecycle, DutyHandler<CacheEventDuty.ReadCompleted> {
 
 	private static final int RING_CAPACITY = 64;
 
-	private static final Duration TICK = Duration.ofMillis(250);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
 	private final EngineCache engines;
 
 	private final Supplier<FleetView> fleet;
 
-	private final Consumer<CacheEvents> receiver;
+	private final Consumer<CacheEvents> listener;
 
-	private final Duty<Page> duty;
+	private final Duty<ReadCompleted> duty;
 
 	private final Map<String, Long> nextSequences = new HashMap<>();
 
-	private final Deque<TargetView> round = new ArrayDeque<>();
+	private final Deque<TargetView> remainingTargets = new ArrayDeque<>();
 
-	private boolean reading;
+	private boolean readInProgress;
 
 	/**
 	 * Creates the duty.
@@ -62,8 +62,8 @@
 			Consumer<CacheEvents> receiver) {
 		this.engines = engines;
 		this.fleet = fleet;
-		this.receiver = receiver;
-		this.duty = new Duty<>(system, "cache-events", RING_CAPACITY, TICK, this);
+		this.listener = receiver;
+		this.duty = new Duty<>(system, "cache-events", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	@Override
@@ -83,41 +83,41 @@
 
 	@Override
 	public void onTick() {
-		if (this.reading) {
+		if (this.readInProgress) {
 			return;
 		}
-		if (this.round.isEmpty()) {
-			newRound();
+		if (this.remainingTargets.isEmpty()) {
+			startRound();
 		}
-		final TargetView target = this.round.poll();
+		final TargetView target = this.remainingTargets.poll();
 		if (target == null) {
 			return;
 		}
-		this.reading = true;
+		this.readInProgress = true;
 		final long fromSequence = this.nextSequences.getOrDefault(target.targetId(), EngineCache.NONE);
 		this.engines.changes(target.address(), fromSequence)
-			.whenComplete((page, failure) -> this.duty.put(new Page(target.targetId(), fromSequence, page)));
+			.whenComplete((page, failure) -> this.duty.put(new ReadCompleted(target.targetId(), fromSequence, page)));
 	}
 
-	private void newRound() {
+	private void startRound() {
 		this.fleet.get()
 			.targets()
 			.stream()
 			.filter((target) -> target.kind() == TargetKind.MODEL && target.serving())
-			.forEach(this.round::add);
-		final Set<String> known = this.round.stream().map(TargetView::targetId).collect(Collectors.toSet());
+			.forEach(this.remainingTargets::add);
+		final Set<String> known = this.remainingTargets.stream().map(TargetView::targetId).collect(Collectors.toSet());
 		this.nextSequences.keySet().retainAll(known);
 	}
 
 	@Override
-	public void onMessage(Page page) {
-		this.reading = false;
+	public void onMessage(ReadCompleted page) {
+		this.readInProgress = false;
 		if (page.changes() == null) {
 			return;
 		}
 		this.nextSequences.put(page.targetId(), page.changes().nextSequence());
 		if (page.fromSequence() != EngineCache.NONE) {
-			this.receiver.accept(page.changes().summarize(page.targetId(), page.fromSequence()));
+			this.listener.accept(page.changes().summarize(page.targetId(), page.fromSequence()));
 		}
 	}
 
@@ -128,7 +128,7 @@
 	 * @param fromSequence the first sequence that was asked for
 	 * @param changes the changes; null where the read failed
 	 */
-	record Page(String targetId, long fromSequence, CacheEventPage changes) {
+	record ReadCompleted(String targetId, long fromSequence, CacheEventPage changes) {
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
@@ -48,7 +48,7 @@
 
 	private static final int RING_CAPACITY = 8192;
 
-	private static final Duration TICK = Duration.ofMillis(100);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
 	private static final long LIST_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
@@ -60,11 +60,11 @@
 
 	private final EngineControl engines;
 
-	private final PresenceLinks links;
+	private final PresenceTransport links;
 
 	private final String writer;
 
-	private final long boundNanos;
+	private final long presenceBoundNanos;
 
 	private final PresenceNode presence;
 
@@ -76,15 +76,15 @@
 
 	private final Map<String, PresenceProof> heldByInstance = new ConcurrentHashMap<>();
 
-	private final Map<String, Long> askedSinceNanos = new ConcurrentHashMap<>();
+	private final Map<String, Long> probedSinceNanos = new ConcurrentHashMap<>();
 
-	private final Set<String> serving = new HashSet<>();
+	private final Set<String> servingGroupIds = new HashSet<>();
 
 	private List<Instance> instances = List.of();
 
 	private boolean listed;
 
-	private boolean listing;
+	private boolean listInProgress;
 
 	private long listedAtNanos;
 
@@ -100,7 +100,7 @@
 	 * @param limits the times of probing
 	 */
 	public FleetDuty(ActorSystem<?> system, StreamDuty<ConfigState> config, StreamDuty<FleetState> fleet,
-			InstanceList instanceList, EngineControl engines, PresenceLinks links, String writer,
+			InstanceList instanceList, EngineControl engines, PresenceTransport links, String writer,
 			PresenceLimits limits) {
 		this.config = config;
 		this.fleet = fleet;
@@ -108,9 +108,9 @@
 		this.engines = engines;
 		this.links = links;
 		this.writer = writer;
-		this.boundNanos = limits.boundNanos();
+		this.presenceBoundNanos = limits.boundNanos();
 		this.presence = new PresenceNode(links.selfId(), limits);
-		this.duty = new Duty<>(system, "fleet", RING_CAPACITY, TICK, this);
+		this.duty = new Duty<>(system, "fleet", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	/**
@@ -133,10 +133,10 @@
 	public void start() {
 		this.duty.start();
 		// A change on the log must show at once: a dissolved group takes no more work.
-		this.fleet.onChange(() -> this.duty.offer(new Message.Changed()));
-		this.config.onChange(() -> this.duty.offer(new Message.Changed()));
+		this.fleet.onChange(() -> this.duty.offer(new Message.StateChanged()));
+		this.config.onChange(() -> this.duty.offer(new Message.StateChanged()));
 		// A frame for which there is no room is dropped: the question is asked again.
-		this.links.onFrame((frame) -> this.duty.offer(new Message.Told(frame)));
+		this.links.onFrame((frame) -> this.duty.offer(new Message.PeerFrameReceived(frame)));
 	}
 
 	@Override
@@ -152,9 +152,10 @@
 	@Override
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
-		if (!this.listing && (!this.listed || nowNanos - this.listedAtNanos >= LIST_INTERVAL_NANOS)) {
-			this.listing = true;
-			this.instanceList.read().whenComplete((read, failure) -> this.duty.put(new Message.Listed(read, failure)));
+		if (!this.listInProgress && (!this.listed || nowNanos - this.listedAtNanos >= LIST_INTERVAL_NANOS)) {
+			this.listInProgress = true;
+			this.instanceList.read()
+				.whenComplete((read, failure) -> this.duty.put(new Message.ListCompleted(read, failure)));
 		}
 		probe(nowNanos);
 		publish(nowNanos);
@@ -162,34 +163,34 @@
 
 	private void probe(long nowNanos) {
 		this.presence.update(this.fleet.view().state().groups(), this.links.zonesByDaemon(), nowNanos);
-		final PresenceStep step = this.presence.step(planned(nowNanos), nowNanos);
+		final PresenceStep step = this.presence.step(membersToProbe(nowNanos), nowNanos);
 		this.heldByInstance.keySet().retainAll(this.presence.own().instances());
-		this.askedSinceNanos.keySet().retainAll(this.presence.asked());
+		this.probedSinceNanos.keySet().retainAll(this.presence.asked());
 		for (final Member member : step.probes()) {
-			this.askedSinceNanos.putIfAbsent(member.instanceId(), nowNanos);
+			this.probedSinceNanos.putIfAbsent(member.instanceId(), nowNanos);
 			this.engines.held(member.address()).whenComplete((held, failure) -> {
 				if (failure == null) {
-					this.duty.offer(new Message.Answered(member.instanceId(), held, nowNanos));
+					this.duty.offer(new Message.HeldStateReceived(member.instanceId(), held, nowNanos));
 				}
 			});
 		}
-		step.questions().forEach(this.links::ask);
+		step.questions().forEach(this.links::send);
 	}
 
 	// The planner reads back itself what nobody proves: its free instances and the
 	// members
 	// of groups that load or lack one.
-	private List<Member> planned(long nowNanos) {
+	private List<Member> membersToProbe(long nowNanos) {
 		final FleetState state = this.fleet.view().state();
 		final Set<Long> proven = this.presence.serving(nowNanos);
 		final List<Member> planned = new ArrayList<>();
 		for (final GroupState group : state.groups().values()) {
-			if (isMine(state, group.fabricDomain()) && !proven.contains(group.epoch())) {
+			if (isPlannedHere(state, group.fabricDomain()) && !proven.contains(group.epoch())) {
 				planned.addAll(group.members());
 			}
 		}
 		for (final Instance instance : this.instances) {
-			if (isMine(state, instance.fabricDomain()) && isEngine(instance)
+			if (isPlannedHere(state, instance.fabricDomain()) && isEngine(instance)
 					&& !state.owners().containsKey(instance.id())) {
 				planned.add(new Member(instance.id(), instance.fabricDomain(), instance.address(),
 						instance.availabilityZone(), instance.accelerators()));
@@ -210,22 +211,22 @@
 
 	@Override
 	public void onMessage(Message message) {
-		if (message instanceof Message.Listed list) {
-			this.listing = false;
+		if (message instanceof Message.ListCompleted list) {
+			this.listInProgress = false;
 			this.listedAtNanos = System.nanoTime();
 			if (list.failure() == null) {
 				this.instances = List.copyOf(list.instances());
 				this.listed = true;
 			}
 		}
-		else if (message instanceof Message.Answered answer) {
-			this.heldByInstance.put(answer.instanceId(), new PresenceProof(answer.held(), answer.askedAtNanos()));
-			this.presence.onHeld(answer.instanceId(), answer.held(), answer.askedAtNanos());
+		else if (message instanceof Message.HeldStateReceived answer) {
+			this.heldByInstance.put(answer.instanceId(), new PresenceProof(answer.held(), answer.probedAtNanos()));
+			this.presence.onHeld(answer.instanceId(), answer.held(), answer.probedAtNanos());
 		}
-		else if (message instanceof Message.Told told) {
-			this.links.take(told.frame(), this.presence, System.nanoTime());
+		else if (message instanceof Message.PeerFrameReceived told) {
+			this.links.handle(told.frame(), this.presence, System.nanoTime());
 		}
-		else if (message instanceof Message.Changed) {
+		else if (message instanceof Message.StateChanged) {
 			publish(System.nanoTime());
 		}
 	}
@@ -238,11 +239,11 @@
 		this.presence.update(state.groups(), this.links.zonesByDaemon(), nowNanos);
 		final Map<Long, GroupProof> proofs = this.presence.proofs(nowNanos);
 		final List<TargetView> targets = TargetViews.derive(this.instances, this.config.view().state().manifest(),
-				state, proofs, this.boundNanos, nowNanos);
+				state, proofs, this.presenceBoundNanos, nowNanos);
 		final FleetView next = new FleetView(this.instances, missingRanks(state, proofs, nowNanos), targets, proofs,
 				true);
 		this.view.set(next);
-		logServing(state, next);
+		logServingChanges(state, next);
 		this.listeners.forEach((listener) -> listener.accept(next));
 	}
 
@@ -250,10 +251,10 @@
 		final Map<String, List<Integer>> missing = new HashMap<>();
 		for (final GroupState group : state.groups().values()) {
 			final GroupProof proof = proofs.get(group.epoch());
-			if (proof != null && proof.serves(this.boundNanos, nowNanos)) {
+			if (proof != null && proof.serves(this.presenceBoundNanos, nowNanos)) {
 				continue;
 			}
-			if (isMine(state, group.fabricDomain())) {
+			if (isPlannedHere(state, group.fabricDomain())) {
 				missing.put(group.groupId(), this.presence.own().missingRanks(group, nowNanos));
 			}
 			else if (proof != null) {
@@ -263,22 +264,22 @@
 		return missing;
 	}
 
-	private void logServing(FleetState state, FleetView next) {
+	private void logServingChanges(FleetState state, FleetView next) {
 		for (final GroupState group : state.groups().values()) {
 			if (!next.proofs().containsKey(group.epoch())) {
-				this.serving.remove(group.groupId());
+				this.servingGroupIds.remove(group.groupId());
 				continue;
 			}
 			final boolean serves = !next.missingRanks().containsKey(group.groupId());
-			if (serves && this.serving.add(group.groupId())) {
+			if (serves && this.servingGroupIds.add(group.groupId())) {
 				Events.log(EventId.GROUP_SERVING, "group", group.groupId(), "epoch", group.epoch());
 			}
-			else if (!serves && this.serving.remove(group.groupId())) {
+			else if (!serves && this.servingGroupIds.remove(group.groupId())) {
 				Events.log(EventId.GROUP_NOT_SERVING, "group", group.groupId(), "epoch", group.epoch(), "missing_ranks",
 						next.missingRanks().get(group.groupId()));
 			}
 		}
-		this.serving.retainAll(state.groups().keySet());
+		this.servingGroupIds.retainAll(state.groups().keySet());
 	}
 
 	/**
@@ -294,10 +295,10 @@
 	 * @param nowNanos the monotonic time
 	 * @return their epochs
 	 */
-	Set<Long> proven(long nowNanos) {
+	Set<Long> provenEpochs(long nowNanos) {
 		final Set<Long> proven = new HashSet<>();
 		this.view.get().proofs().forEach((epoch, proof) -> {
-			if (proof.serves(this.boundNanos, nowNanos)) {
+			if (proof.serves(this.presenceBoundNanos, nowNanos)) {
 				proven.add(epoch);
 			}
 		});
@@ -311,34 +312,34 @@
 	 * @param nowNanos the monotonic time
 	 * @return the instances' ids
 	 */
-	Set<String> silent(long nowNanos) {
+	Set<String> unresponsiveInstances(long nowNanos) {
 		final FleetView known = this.view.get();
 		final FleetState state = this.fleet.view().state();
 		final Set<String> candidates = new HashSet<>();
 		for (final GroupState group : state.groups().values()) {
 			final GroupProof proof = known.proofs().get(group.epoch());
-			final boolean proven = proof != null && proof.serves(this.boundNanos, nowNanos);
-			if (isMine(state, group.fabricDomain()) && !proven) {
+			final boolean proven = proof != null && proof.serves(this.presenceBoundNanos, nowNanos);
+			if (isPlannedHere(state, group.fabricDomain()) && !proven) {
 				group.members().forEach((member) -> candidates.add(member.instanceId()));
 			}
 		}
 		for (final Instance instance : known.instances()) {
-			if (isMine(state, instance.fabricDomain()) && isEngine(instance)
+			if (isPlannedHere(state, instance.fabricDomain()) && isEngine(instance)
 					&& !state.owners().containsKey(instance.id())) {
 				candidates.add(instance.id());
 			}
 		}
 		candidates.removeIf((id) -> {
 			final PresenceProof proof = this.heldByInstance.get(id);
-			final long askedNanos = nowNanos - this.askedSinceNanos.getOrDefault(id, nowNanos);
+			final long askedNanos = nowNanos - this.probedSinceNanos.getOrDefault(id, nowNanos);
 			// One that was not asked for so long has had no chance to answer.
-			return askedNanos <= this.boundNanos
-					|| (proof != null && nowNanos - proof.askedAtNanos() <= this.boundNanos);
+			return askedNanos <= this.presenceBoundNanos
+					|| (proof != null && nowNanos - proof.askedAtNanos() <= this.presenceBoundNanos);
 		});
 		return candidates;
 	}
 
-	private boolean isMine(FleetState state, String domain) {
+	private boolean isPlannedHere(FleetState state, String domain) {
 		final PlannerEpoch planner = state.planners().get(domain);
 		return planner != null && planner.writer().equals(this.writer);
 	}
@@ -354,7 +355,7 @@
 		 * @param instances the instances
 		 * @param failure why it failed
 		 */
-		record Listed(List<Instance> instances, Throwable failure) implements Message {
+		record ListCompleted(List<Instance> instances, Throwable failure) implements Message {
 		}
 
 		/**
@@ -362,9 +363,9 @@
 		 *
 		 * @param instanceId the instance
 		 * @param held what it holds
-		 * @param askedAtNanos when it was asked
+		 * @param probedAtNanos when it was asked
 		 */
-		record Answered(String instanceId, HeldState held, long askedAtNanos) implements Message {
+		record HeldStateReceived(String instanceId, HeldState held, long probedAtNanos) implements Message {
 		}
 
 		/**
@@ -372,13 +373,13 @@
 		 *
 		 * @param frame its frame
 		 */
-		record Told(PeerFrame frame) implements Message {
+		record PeerFrameReceived(PeerFrame frame) implements Message {
 		}
 
 		/**
 		 * The agreed state changed.
 		 */
-		record Changed() implements Message {
+		record StateChanged() implements Message {
 		}
 
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -54,13 +54,13 @@
 
 	private static final int RING_CAPACITY = 1024;
 
-	private static final Duration TICK = Duration.ofMillis(250);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
 	private final StreamDuty<ConfigState> config;
 
 	private final StreamDuty<FleetState> fleet;
 
-	private final FleetDuty instances;
+	private final FleetDuty fleetDuty;
 
 	private final EngineControl engines;
 
@@ -80,9 +80,9 @@
 
 	private final Duty<Message> duty;
 
-	private final Set<String> ordering = new HashSet<>();
+	private final Set<String> pendingOrders = new HashSet<>();
 
-	private int proposals;
+	private int pendingProposals;
 
 	/**
 	 * Creates the duty.
@@ -101,14 +101,14 @@
 			Supplier<Set<String>> liveDaemons) {
 		this.config = config;
 		this.fleet = fleet;
-		this.instances = instances;
+		this.fleetDuty = instances;
 		this.engines = engines;
 		this.appender = appender;
 		this.planner = planner;
 		this.election = new PlannerElection(selfId, appender.writer());
 		this.orders = new OrderDecider(appender.writer(), OrderLimits.DEFAULT);
 		this.liveDaemons = liveDaemons;
-		this.duty = new Duty<>(system, "planner", RING_CAPACITY, TICK, this);
+		this.duty = new Duty<>(system, "planner", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	/**
@@ -122,7 +122,7 @@
 	@Override
 	public void start() {
 		this.duty.start();
-		this.fleet.onChange(() -> this.duty.offer(new Message.Changed()));
+		this.fleet.onChange(() -> this.duty.offer(new Message.StateChanged()));
 	}
 
 	@Override
@@ -142,11 +142,11 @@
 
 	@Override
 	public void onMessage(Message message) {
-		if (message instanceof Message.Proposed) {
-			this.proposals--;
+		if (message instanceof Message.ProposalCompleted) {
+			this.pendingProposals--;
 		}
-		else if (message instanceof Message.Ordered ordered) {
-			this.ordering.remove(ordered.instanceId());
+		else if (message instanceof Message.OrderCompleted ordered) {
+			this.pendingOrders.remove(ordered.instanceId());
 		}
 		else {
 			step();
@@ -155,7 +155,7 @@
 
 	private void step() {
 		final StreamView<FleetState> fleetView = this.fleet.view();
-		final FleetView known = this.instances.view();
+		final FleetView known = this.fleetDuty.view();
 		final long nowNanos = System.nanoTime();
 		// A planner whose view is old may have been replaced without knowing it.
 		final boolean fresh = fleetView.caughtUp() && this.config.view().caughtUp() && known.listed()
@@ -163,10 +163,10 @@
 		if (!fresh) {
 			return;
 		}
-		if (this.proposals == 0) {
+		if (this.pendingProposals == 0) {
 			propose(nowNanos, fleetView.state(), known);
 		}
-		order(nowNanos, fleetView, known);
+		sendOrders(nowNanos, fleetView, known);
 	}
 
 	private void propose(long nowNanos, FleetState state, FleetView known) {
@@ -177,18 +177,19 @@
 				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
 			}
 		}
-		if (this.proposals > 0) {
+		if (this.pendingProposals > 0) {
 			return;
 		}
 		final Plan next = this.planner.plan(new PlannerInput(nowNanos, this.appender.writer(),
 				this.config.view().state().manifest(), this.config.view().state().version(), state, known.instances(),
-				known.missingRanks(), loads(state, known), this.instances.silent(nowNanos)), this.memory);
-		noteDark(next.darkDomains());
+				known.missingRanks(), loads(state, known), this.fleetDuty.unresponsiveInstances(nowNanos)),
+				this.memory);
+		logDarkDomains(next.darkDomains());
 		this.plan.set(next);
 		next.records().forEach(this::append);
 	}
 
-	private void noteDark(Set<String> dark) {
+	private void logDarkDomains(Set<String> dark) {
 		for (final String domain : dark) {
 			if (!this.plan.get().darkDomains().contains(domain)) {
 				Events.log(EventId.DOMAIN_DARK, "fabric_domain", domain);
@@ -225,16 +226,16 @@
 	}
 
 	private void append(RecordBody body) {
-		this.proposals++;
+		this.pendingProposals++;
 		this.appender.append(this.fleet.stream(), body).whenComplete((verdict, failure) -> {
 			if (failure == null && verdict.isAccepted()) {
-				note(body);
+				logAccepted(body);
 			}
-			this.duty.put(new Message.Proposed(verdict));
+			this.duty.put(new Message.ProposalCompleted(verdict));
 		});
 	}
 
-	private static void note(RecordBody body) {
+	private static void logAccepted(RecordBody body) {
 		if (body instanceof PlannerClaim claim) {
 			Events.log(EventId.PLANNER_TAKEN, "fabric_domain", claim.fabricDomain());
 		}
@@ -249,9 +250,9 @@
 		}
 	}
 
-	private void order(long nowNanos, StreamView<FleetState> view, FleetView known) {
+	private void sendOrders(long nowNanos, StreamView<FleetState> view, FleetView known) {
 		final OrderInput input = new OrderInput(nowNanos, view.readAtNanos(), this.config.view().state().manifest(),
-				view.state(), known.instances(), this.instances.proven(nowNanos), this.instances.held());
+				view.state(), known.instances(), this.fleetDuty.provenEpochs(nowNanos), this.fleetDuty.held());
 		for (final EngineCommand command : this.orders.decide(input)) {
 			// Asked again, as this thread may have paused since the decision.
 			if (this.orders.isFresh(view.readAtNanos(), System.nanoTime())) {
@@ -261,7 +262,7 @@
 	}
 
 	private void send(EngineCommand command) {
-		if (!this.ordering.add(command.instanceId())) {
+		if (!this.pendingOrders.add(command.instanceId())) {
 			return;
 		}
 		this.engines.order(command.address(), command.order()).whenComplete((taken, failure) -> {
@@ -269,7 +270,7 @@
 				Events.log(EventId.ORDER_FAILED, "instance", command.instanceId(), "group", command.order().groupId(),
 						"fencing_number", command.order().fencingNumber());
 			}
-			this.duty.put(new Message.Ordered(command.instanceId()));
+			this.duty.put(new Message.OrderCompleted(command.instanceId()));
 		});
 	}
 
@@ -281,7 +282,7 @@
 		/**
 		 * The agreed state changed.
 		 */
-		record Changed() implements Message {
+		record StateChanged() implements Message {
 		}
 
 		/**
@@ -289,7 +290,7 @@
 		 *
 		 * @param verdict the verdict; null where it was not appended
 		 */
-		record Proposed(RecordVerdict verdict) implements Message {
+		record ProposalCompleted(RecordVerdict verdict) implements Message {
 		}
 
 		/**
@@ -297,7 +298,7 @@
 		 *
 		 * @param instanceId the instance
 		 */
-		record Ordered(String instanceId) implements Message {
+		record OrderCompleted(String instanceId) implements Message {
 		}
 
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceLinks.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
@@ -16,7 +16,7 @@
 /**
  * Carries questions about presence and their answers between daemons.
  */
-public final class PresenceLinks {
+public final class PresenceTransport {
 
 	private final String selfId;
 
@@ -27,7 +27,7 @@
 	 * @param selfId this daemon's name
 	 * @param peers the links between daemons
 	 */
-	public PresenceLinks(String selfId, PeerDuty peers) {
+	public PresenceTransport(String selfId, PeerDuty peers) {
 		this.selfId = selfId;
 		this.peers = peers;
 	}
@@ -50,7 +50,7 @@
 		this.peers.onPresenceFrame(receiver);
 	}
 
-	void ask(PresenceQuestion question) {
+	void send(PresenceQuestion question) {
 		this.peers.send(question.daemonId(), frameOf(this.selfId, question));
 	}
 
@@ -82,14 +82,14 @@
 		return PeerFrame.newBuilder().setPresenceAnswer(answer).build();
 	}
 
-	void take(PeerFrame frame, PresenceNode presence, long nowNanos) {
+	void handle(PeerFrame frame, PresenceNode presence, long nowNanos) {
 		if (frame.hasPresenceQuestion()) {
 			answer(frame.getPresenceQuestion(), presence, nowNanos);
 		}
 		else if (frame.hasPresenceAnswer()) {
 			final PresenceAnswer answer = frame.getPresenceAnswer();
 			presence.onAnswer(answer.getAnswererId(), answer.getToken(),
-					answer.getGroupsList().stream().map(PresenceLinks::decode).toList());
+					answer.getGroupsList().stream().map(PresenceTransport::decode).toList());
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/AdminHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/AdminHandler.java
@@ -43,7 +43,7 @@
 			case "/debug/trace" -> this.daemon.trace()
 				.map((lines) -> WebAnswer.text(OK, lines))
 				.orElseGet(() -> json(NOT_FOUND, Map.of("status", "not found", "reason", "trace.record is off")));
-			case "/debug/dump" -> json(OK, DumpPage.of(request).cut(this.daemon.dump()));
+			case "/debug/dump" -> json(OK, DumpPage.of(request).select(this.daemon.dump()));
 			default -> json(NOT_FOUND, Map.of("status", "not found"));
 		};
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
@@ -62,7 +62,7 @@
 
 	private final CallerLimits limits;
 
-	private final AtomicLong nextEndpointsAnswer = new AtomicLong(System.nanoTime());
+	private final AtomicLong nextEndpointsSequence = new AtomicLong(System.nanoTime());
 
 	private final AtomicLong nextRequestId = new AtomicLong(1);
 
@@ -95,11 +95,11 @@
 		final long requestId = this.nextRequestId.getAndIncrement();
 		final String requestIdText = this.requestIdPrefix + requestId;
 		try {
-			return route(request, requestId).exceptionally((failure) -> failed(requestIdText, failure));
+			return route(request, requestId).exceptionally((failure) -> failureResponse(requestIdText, failure));
 		}
 		catch (RuntimeException ex) {
 			request.discardEntityBytes(this.http.system());
-			return CompletableFuture.completedFuture(failed(requestIdText, ex));
+			return CompletableFuture.completedFuture(failureResponse(requestIdText, ex));
 		}
 	}
 
@@ -127,12 +127,12 @@
 				.orElseThrow(() -> new PistachiolineException(ErrorKind.MALFORMED_REQUEST));
 			require(this.daemon.manifest().model(completion.model()).isPresent(), ErrorKind.UNKNOWN_MODEL);
 			require(workspace.models().contains(completion.model()), ErrorKind.FORBIDDEN);
-			return this.exchanges.complete(info(workspace, completion, requestId), this.requestIdPrefix + requestId,
-					bytes, completion.stream());
+			return this.exchanges.complete(requestInfo(workspace, completion, requestId),
+					this.requestIdPrefix + requestId, bytes, completion.stream());
 		});
 	}
 
-	private RequestInfo info(WorkspaceSpec workspace, CompletionRequest completion, long requestId) {
+	private RequestInfo requestInfo(WorkspaceSpec workspace, CompletionRequest completion, long requestId) {
 		final Manifest manifest = this.daemon.manifest();
 		final long nowNanos = System.nanoTime();
 		final int promptTokens = Math.max(1, completion.prompt().length() / BYTES_PER_TOKEN);
@@ -194,7 +194,7 @@
 	private HttpResponse endpoints(HttpRequest request) {
 		final String zone = request.getUri().query().get("availability_zone").orElse("");
 		final List<PeerStatus> chosen = EndpointSelector.choose(this.daemon.daemons(), zone,
-				this.nextEndpointsAnswer.getAndIncrement());
+				this.nextEndpointsSequence.getAndIncrement());
 		final List<Map<String, Object>> endpoints = chosen.stream()
 			.map((peer) -> Map.<String, Object>of("address", peer.callerAddress(), "availability_zone",
 					peer.availabilityZone()))
@@ -211,17 +211,17 @@
 			.thenApply((data) -> data.toArray());
 	}
 
-	private HttpResponse failed(String requestIdText, Throwable failure) {
+	private HttpResponse failureResponse(String requestIdText, Throwable failure) {
 		final Throwable cause = (failure instanceof CompletionException && failure.getCause() != null)
 				? failure.getCause() : failure;
-		final ErrorKind kind = kindOf(cause);
+		final ErrorKind kind = errorKindOf(cause);
 		if (kind == ErrorKind.INTERNAL) {
 			Events.log(EventId.REQUEST_FAULT, cause, "request", requestIdText);
 		}
 		return ErrorAnswers.of(requestIdText, kind, kind.runState(), kind.retryable() ? 1_000 : 0);
 	}
 
-	private static ErrorKind kindOf(Throwable cause) {
+	private static ErrorKind errorKindOf(Throwable cause) {
 		if (cause instanceof PistachiolineException known) {
 			return known.kind();
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CompletionRequest.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CompletionRequest.java
@@ -19,9 +19,9 @@
 
 	private static final int DEFAULT_MAX_TOKENS = 256;
 
-	private static final int MOST_MAX_TOKENS = 1_000_000;
+	private static final int MAX_OUTPUT_TOKENS = 1_000_000;
 
-	private static final int MOST_PRIORITY = 9;
+	private static final int MAX_PRIORITY = 9;
 
 	static Optional<CompletionRequest> parse(byte[] body) {
 		final JsonNode node;
@@ -42,7 +42,7 @@
 		}
 		final int tokens = maxTokens.asInt(DEFAULT_MAX_TOKENS);
 		final int priority = node.path("priority").asInt(0);
-		if (tokens < 1 || tokens > MOST_MAX_TOKENS || Math.abs(priority) > MOST_PRIORITY) {
+		if (tokens < 1 || tokens > MAX_OUTPUT_TOKENS || Math.abs(priority) > MAX_PRIORITY) {
 			return Optional.empty();
 		}
 		return Optional.of(new CompletionRequest(node.path("model").asText(), promptOf(messages), tokens,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/DumpPage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/DumpPage.java
@@ -23,9 +23,9 @@
  */
 record DumpPage(Optional<String> section, int from, int limit, String match) {
 
-	private static final int USUAL_LIMIT = 100;
+	private static final int DEFAULT_LIMIT = 100;
 
-	private static final int HIGHEST_LIMIT = 1_000;
+	private static final int MAX_LIMIT = 1_000;
 
 	/**
 	 * Reads what is wanted from a request's query.
@@ -34,7 +34,7 @@
 	 */
 	static DumpPage of(WebRequest request) {
 		return new DumpPage(request.parameter("section"), number(request, "from", 0),
-				Math.min(HIGHEST_LIMIT, number(request, "limit", USUAL_LIMIT)), request.parameter("match").orElse(""));
+				Math.min(MAX_LIMIT, number(request, "limit", DEFAULT_LIMIT)), request.parameter("match").orElse(""));
 	}
 
 	private static int number(WebRequest request, String name, int absent) {
@@ -46,7 +46,7 @@
 	 * @param dump the whole dump
 	 * @return the wanted part; a list that was cut has its whole length beside it
 	 */
-	Map<String, Object> cut(Map<String, Object> dump) {
+	Map<String, Object> select(Map<String, Object> dump) {
 		final Map<String, Object> wanted = new LinkedHashMap<>();
 		dump.forEach((name, value) -> {
 			if (this.section.isEmpty() || this.section.get().equals(name)) {
@@ -58,19 +58,19 @@
 
 	private void put(Map<String, Object> target, String name, Object value) {
 		if (value instanceof Collection<?> list) {
-			putCut(target, name, list.size(), cut(list));
+			putTruncated(target, name, list.size(), select(list));
 		}
 		else if (value instanceof Map<?, ?> map) {
 			final Map<String, Object> inner = new LinkedHashMap<>();
-			cut(map.keySet()).forEach((key) -> put(inner, String.valueOf(key), map.get(key)));
-			putCut(target, name, map.size(), inner);
+			select(map.keySet()).forEach((key) -> put(inner, String.valueOf(key), map.get(key)));
+			putTruncated(target, name, map.size(), inner);
 		}
 		else {
 			target.put(name, value);
 		}
 	}
 
-	private static void putCut(Map<String, Object> target, String name, int total, Object part) {
+	private static void putTruncated(Map<String, Object> target, String name, int total, Object part) {
 		target.put(name, part);
 		final int size = (part instanceof Map<?, ?> map) ? map.size() : ((Collection<?>) part).size();
 		if (size < total) {
@@ -78,7 +78,7 @@
 		}
 	}
 
-	private List<?> cut(Collection<?> list) {
+	private List<?> select(Collection<?> list) {
 		return list.stream()
 			.filter((entry) -> entry instanceof String || Json.write(entry).contains(this.match))
 			.skip(this.from)
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
@@ -17,7 +17,7 @@
  * <p>
  * Pekko HTTP answers these by itself and in plain text, so a caller who sent too long a
  * head could not tell whether it was run. Pekko finds this class by name in
- * {@link #SETTING}, as an object of Scala, hence the other field's name.
+ * {@link #PEKKO_SETTINGS}, as an object of Scala, hence the other field's name.
  */
 public final class ParsingErrors extends ParsingErrorHandler {
 
@@ -25,14 +25,14 @@
 	public static final ParsingErrors MODULE$ = new ParsingErrors();
 
 	/** Tells Pekko HTTP to use this class. */
-	public static final Map<String, Object> SETTING = Map.of("pekko.http.server.parsing.error-handler",
+	public static final Map<String, Object> PEKKO_SETTINGS = Map.of("pekko.http.server.parsing.error-handler",
 			ParsingErrors.class.getName());
 
 	private static final int PAYLOAD_TOO_LARGE = 413;
 
 	private static final int URI_TOO_LONG = 414;
 
-	private static final int HEAD_TOO_LARGE = 431;
+	private static final int HEADERS_TOO_LARGE = 431;
 
 	private ParsingErrors() {
 	}
@@ -41,7 +41,7 @@
 	public org.apache.pekko.http.scaladsl.model.HttpResponse handle(StatusCode status, ErrorInfo error,
 			LoggingAdapter log, ServerSettings settings) {
 		final int code = status.intValue();
-		final boolean tooLarge = code == PAYLOAD_TOO_LARGE || code == URI_TOO_LONG || code == HEAD_TOO_LARGE;
+		final boolean tooLarge = code == PAYLOAD_TOO_LARGE || code == URI_TOO_LONG || code == HEADERS_TOO_LARGE;
 		final ErrorKind kind = tooLarge ? ErrorKind.REQUEST_TOO_LARGE : ErrorKind.MALFORMED_REQUEST;
 		final HttpResponse answer = ErrorAnswers.of("unparsed", kind, kind.runState(), 0);
 		return (org.apache.pekko.http.scaladsl.model.HttpResponse) answer;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointOffer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointOffer.java
@@ -72,7 +72,7 @@
 			return;
 		}
 		final Optional<StreamSnapshot> now = this.source.get();
-		this.cover = now.map(StreamSnapshot::cover).orElse(CheckpointCoverage.NONE);
+		this.cover = now.map(StreamSnapshot::coverage).orElse(CheckpointCoverage.NONE);
 		this.parts = now.map((snapshot) -> CheckpointParts.cut(snapshot.throughOffset(), snapshot.stateBytes()))
 			.orElse(List.of());
 		this.encodedAtNanos = nowNanos;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
@@ -107,7 +107,7 @@
 		this.fetches.remove(stream);
 		final StreamView<?> view = exchanged.stream().view();
 		final boolean behind = view.complete() && !view.logReachable() && told > view.nextOffset();
-		if (view.wantsCheckpoint() || behind) {
+		if (view.needsCheckpoint() || behind) {
 			begin(exchanged, others, Math.max(floorOffset, view.nextOffset()), nowNanos);
 		}
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/AgreedStateTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/AgreedStateTests.java
@@ -59,10 +59,10 @@
 	@Property(seed = "20261205", tries = 150)
 	void configurationNeverRevertsAndAllDaemonsAgree(
 			@ForAll @Size(min = 40, max = 240) List<@IntRange(max = 1_000_000) Integer> steps) {
-		final Interleaving<ConfigState> run = new Interleaving<>(new ConfigReducer(), new ConfigSnapshotCodec(),
-				AgreedStateTests::configBody);
+		final InterleavingSimulation<ConfigState> run = new InterleavingSimulation<>(new ConfigReducer(),
+				new ConfigSnapshotCodec(), AgreedStateTests::configBody);
 		steps.forEach(run::step);
-		run.settle();
+		run.converge();
 		long version = 0;
 		for (final ConfigState state : run.history()) {
 			assertThat(state.version()).isBetween(version, version + 1);
@@ -75,10 +75,10 @@
 	@Property(seed = "20261206", tries = 150)
 	void noInstanceIsEverInTwoGroupsAndAllDaemonsAgree(
 			@ForAll @Size(min = 40, max = 240) List<@IntRange(max = 1_000_000) Integer> steps) {
-		final Interleaving<FleetState> run = new Interleaving<>(new FleetReducer(), new FleetSnapshotCodec(),
-				AgreedStateTests::fleetBody);
+		final InterleavingSimulation<FleetState> run = new InterleavingSimulation<>(new FleetReducer(),
+				new FleetSnapshotCodec(), AgreedStateTests::fleetBody);
 		steps.forEach(run::step);
-		run.settle();
+		run.converge();
 		for (final FleetState state : run.history()) {
 			final List<String> members = state.groups()
 				.values()
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/Interleaving.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/InterleavingSimulation.java
@@ -29,13 +29,13 @@
  *
  * @param <S> the type of state
  */
-final class Interleaving<S> {
+final class InterleavingSimulation<S> {
 
 	private static final int DAEMONS = 3;
 
-	private static final int KINDS = 12;
+	private static final int ACTIONS = 12;
 
-	private static final long LATER_NANOS = 10_000_000_000L;
+	private static final long STEP_NANOS = 10_000_000_000L;
 
 	private final FakeLog log = new FakeLog();
 
@@ -43,11 +43,11 @@
 
 	private final SnapshotCodec<S> codec;
 
-	private final BiFunction<S, Integer, RecordBody> bodies;
+	private final BiFunction<S, Integer, RecordBody> proposalFactory;
 
 	private final List<Node> nodes = new ArrayList<>();
 
-	private final List<byte[]> underway = new ArrayList<>();
+	private final List<byte[]> delayedAppends = new ArrayList<>();
 
 	private final StreamFollower<S> observer;
 
@@ -57,10 +57,10 @@
 
 	private long nowNanos;
 
-	Interleaving(Reducer<S> reducer, SnapshotCodec<S> codec, BiFunction<S, Integer, RecordBody> bodies) {
+	InterleavingSimulation(Reducer<S> reducer, SnapshotCodec<S> codec, BiFunction<S, Integer, RecordBody> bodies) {
 		this.reducer = reducer;
 		this.codec = codec;
-		this.bodies = bodies;
+		this.proposalFactory = bodies;
 		this.observer = new StreamFollower<>(reducer, codec, FollowerListener.NONE);
 		this.history.add(reducer.initial());
 		for (int i = 0; i < DAEMONS; i++) {
@@ -73,25 +73,25 @@
 	}
 
 	void step(int number) {
-		this.nowNanos += LATER_NANOS;
+		this.nowNanos += STEP_NANOS;
 		final Node node = this.nodes.get(number % DAEMONS);
-		final int choice = number / DAEMONS / KINDS;
-		switch (number / DAEMONS % KINDS) {
+		final int choice = number / DAEMONS / ACTIONS;
+		switch (number / DAEMONS % ACTIONS) {
 			case 0, 1, 2 -> node.propose(choice);
 			case 3, 4 -> node.append(choice);
 			case 5, 6, 7 -> node.read(1 + choice % 4);
-			case 8 -> landLate(choice);
+			case 8 -> deliverDelayedAppend(choice);
 			case 9 -> node.checkpoint();
 			case 10 -> expire(choice);
-			default -> replace(number % DAEMONS, choice);
+			default -> replaceDaemon(number % DAEMONS, choice);
 		}
 		observe();
 		this.nodes.forEach(Node::check);
 	}
 
-	void settle() {
-		while (!this.underway.isEmpty()) {
-			landLate(0);
+	void converge() {
+		while (!this.delayedAppends.isEmpty()) {
+			deliverDelayedAppend(0);
 		}
 		observe();
 		for (final Node node : this.nodes) {
@@ -102,9 +102,9 @@
 		}
 	}
 
-	private void landLate(int choice) {
-		if (!this.underway.isEmpty()) {
-			this.log.append(this.underway.remove(choice % this.underway.size()));
+	private void deliverDelayedAppend(int choice) {
+		if (!this.delayedAppends.isEmpty()) {
+			this.log.append(this.delayedAppends.remove(choice % this.delayedAppends.size()));
 		}
 	}
 
@@ -114,7 +114,7 @@
 		this.log.expireBelow((choice % 4 == 0) ? Math.min(this.log.endOffset(), covered + 2) : covered);
 	}
 
-	private void replace(int index, int choice) {
+	private void replaceDaemon(int index, int choice) {
 		final Node replaced = new Node();
 		final Node peer = this.nodes.get((index + 1) % DAEMONS);
 		// In half of the cases it starts from a peer, as if the log were down.
@@ -139,24 +139,24 @@
 	 */
 	private final class Node implements FollowerListener {
 
-		private final String writer = "daemon#" + Interleaving.this.incarnations++;
+		private final String writer = "daemon#" + InterleavingSimulation.this.incarnations++;
 
 		private final Outbox outbox = new Outbox(this.writer, 0);
 
-		private final StreamFollower<S> follower = new StreamFollower<>(Interleaving.this.reducer,
-				Interleaving.this.codec, this);
+		private final StreamFollower<S> follower = new StreamFollower<>(InterleavingSimulation.this.reducer,
+				InterleavingSimulation.this.codec, this);
 
 		private long highestOffset;
 
 		void propose(int choice) {
 			if (this.follower.condition() == StreamCondition.WHOLE) {
-				this.outbox.add(Interleaving.this.bodies.apply(this.follower.state(), choice),
+				this.outbox.add(InterleavingSimulation.this.proposalFactory.apply(this.follower.state(), choice),
 						new CompletableFuture<>());
 			}
 		}
 
 		void append(int choice) {
-			if (!this.outbox.wantsAppend(Interleaving.this.nowNanos)) {
+			if (!this.outbox.isAppendDue(InterleavingSimulation.this.nowNanos)) {
 				return;
 			}
 			final byte[] entry = this.outbox.beginAppend();
@@ -164,24 +164,25 @@
 			final boolean lands = fate == 0 || fate == 1 || fate == 2;
 			final boolean landsLater = fate == 2 || fate == 3;
 			if (lands) {
-				Interleaving.this.log.append(entry);
+				InterleavingSimulation.this.log.append(entry);
 			}
 			if (landsLater) {
-				Interleaving.this.underway.add(entry);
+				InterleavingSimulation.this.delayedAppends.add(entry);
 			}
 			final Optional<AppendFailure> failure = (fate == 0) ? Optional.empty()
 					: Optional.of((fate == 5) ? AppendFailure.REFUSED : AppendFailure.AMBIGUOUS);
-			this.outbox.onAnswer(failure, Interleaving.this.nowNanos, 0.5);
+			this.outbox.onAppendCompleted(failure, InterleavingSimulation.this.nowNanos, 0.5);
 		}
 
 		void read(int maxEntries) {
-			this.follower.onPage(Interleaving.this.log.read(this.follower.readOffset(), maxEntries));
+			this.follower.onPage(InterleavingSimulation.this.log.read(this.follower.readOffset(), maxEntries));
 		}
 
 		void checkpoint() {
 			if (this.follower.condition() == StreamCondition.WHOLE && this.follower.nextOffset() > 0) {
 				CheckpointParts
-					.cut(this.follower.nextOffset() - 1, Interleaving.this.codec.encode(this.follower.state()))
+					.cut(this.follower.nextOffset() - 1,
+							InterleavingSimulation.this.codec.encode(this.follower.state()))
 					.forEach((part) -> this.outbox.add(part, new CompletableFuture<>()));
 			}
 		}
@@ -190,7 +191,7 @@
 			assertThat(this.follower.nextOffset()).isGreaterThanOrEqualTo(this.highestOffset);
 			this.highestOffset = this.follower.nextOffset();
 			assertThat(this.follower.state())
-				.isEqualTo(Interleaving.this.history.get((int) this.follower.nextOffset()));
+				.isEqualTo(InterleavingSimulation.this.history.get((int) this.follower.nextOffset()));
 		}
 
 		@Override
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/OutboxTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/OutboxTests.java
@@ -56,8 +56,8 @@
 		return verdict;
 	}
 
-	private void answer(AppendFailure failure) {
-		this.outbox.onAnswer(Optional.ofNullable(failure), 0, 0.5);
+	private void completeAppend(AppendFailure failure) {
+		this.outbox.onAppendCompleted(Optional.ofNullable(failure), 0, 0.5);
 	}
 
 	private void fold() {
@@ -73,28 +73,28 @@
 	// The log takes an append and its answer is lost. The planner would hold its own
 	// record for failed and try another on top of it.
 	@Test
-	void anAppendThatLandedAndLostItsAnswerIsSeenOnTheStreamAndNotSentAgain() {
+	void anAppendWhoseResponseIsLostIsRecognizedOnTheStreamAndNotRetried() {
 		final CompletableFuture<RecordVerdict> verdict = propose(0);
 		this.log.append(this.outbox.beginAppend());
-		answer(AppendFailure.AMBIGUOUS);
+		completeAppend(AppendFailure.AMBIGUOUS);
 		fold();
 		assertThat(verdict).isCompletedWithValue(new RecordVerdict(0, Optional.empty()));
-		assertThat(this.outbox.wantsAppend(10 * SECOND_NANOS)).isFalse();
+		assertThat(this.outbox.isAppendDue(10 * SECOND_NANOS)).isFalse();
 	}
 
 	// The answer is lost and the record too. Nobody will ever see it unless it is sent
 	// again.
 	@Test
-	void anAppendThatDidNotLandIsSentAgainAfterAWait() {
+	void anAppendThatWasNotStoredIsRetriedAfterABackoff() {
 		final CompletableFuture<RecordVerdict> verdict = propose(0);
 		this.outbox.beginAppend();
-		answer(AppendFailure.AMBIGUOUS);
+		completeAppend(AppendFailure.AMBIGUOUS);
 		fold();
 		assertThat(verdict).isNotDone();
-		assertThat(this.outbox.wantsAppend(0)).isFalse();
-		assertThat(this.outbox.wantsAppend(SECOND_NANOS)).isTrue();
+		assertThat(this.outbox.isAppendDue(0)).isFalse();
+		assertThat(this.outbox.isAppendDue(SECOND_NANOS)).isTrue();
 		this.log.append(this.outbox.beginAppend());
-		answer(null);
+		completeAppend(null);
 		fold();
 		assertThat(verdict.join().isAccepted()).isTrue();
 	}
@@ -102,15 +102,15 @@
 	// The first append is stuck in the network for minutes and lands after its repeat
 	// and after a later record. Applied then, it would undo what followed it.
 	@Test
-	void anAppendThatLandsLateAndDoubledChangesNothing() {
+	void aDelayedDuplicateAppendChangesNothing() {
 		final CompletableFuture<RecordVerdict> first = propose(0);
 		final byte[] late = this.outbox.beginAppend();
-		answer(AppendFailure.AMBIGUOUS);
+		completeAppend(AppendFailure.AMBIGUOUS);
 		this.log.append(this.outbox.beginAppend());
-		answer(null);
+		completeAppend(null);
 		final CompletableFuture<RecordVerdict> second = propose(1);
 		this.log.append(this.outbox.beginAppend());
-		answer(null);
+		completeAppend(null);
 		this.log.append(late);
 		this.log.append(late);
 		fold();
@@ -124,14 +124,14 @@
 	// one of the same writer is folded. It can never take effect any more, and whoever
 	// waits for it must be told.
 	@Test
-	void aRecordThatALaterOneHasOvertakenIsFailedAndDroppedWhenItLandsAfterAll() {
+	void aRecordOvertakenByALaterOneFailsAndIsIgnoredIfStoredAfterwards() {
 		final CompletableFuture<RecordVerdict> lost = propose(0);
 		final byte[] late = this.outbox.beginAppend();
-		answer(null);
+		completeAppend(null);
 		this.log.append(new byte[] { (byte) 0xff });
 		final CompletableFuture<RecordVerdict> later = propose(0);
 		this.log.append(this.outbox.beginAppend());
-		answer(null);
+		completeAppend(null);
 		fold();
 		assertThat(kindOf(lost)).isEqualTo(ErrorKind.INTERNAL);
 		assertThat(later.join().isAccepted()).isTrue();
@@ -143,38 +143,38 @@
 	// The log takes smaller entries than its page says. One batch over its limit would be
 	// sent for ever, and the planner's records behind it would never go out.
 	@Test
-	void anEntryThatTheLogFindsTooLargeIsSplitAndASingleOneIsGivenUp() {
+	void aBatchThatTheLogFindsTooLargeIsSplitAndASingleRecordFails() {
 		final CompletableFuture<RecordVerdict> first = propose(0);
 		final CompletableFuture<RecordVerdict> second = propose(1);
 		final int both = this.outbox.beginAppend().length;
-		answer(AppendFailure.TOO_LARGE);
-		assertThat(this.outbox.wantsAppend(0)).isTrue();
+		completeAppend(AppendFailure.TOO_LARGE);
+		assertThat(this.outbox.isAppendDue(0)).isTrue();
 		assertThat(this.outbox.beginAppend().length).isLessThan(both);
-		answer(AppendFailure.TOO_LARGE);
+		completeAppend(AppendFailure.TOO_LARGE);
 		assertThat(kindOf(first)).isEqualTo(ErrorKind.REQUEST_TOO_LARGE);
 		this.log.append(this.outbox.beginAppend());
-		answer(null);
+		completeAppend(null);
 		fold();
 		assertThat(second).isDone();
 	}
 
 	@Test
-	void aRecordOverTheLimitIsRefusedAtOnceAndCostsNoAppend() {
+	void aRecordOverTheSizeLimitIsRejectedWithoutAnAppend() {
 		final CompletableFuture<RecordVerdict> verdict = new CompletableFuture<>();
 		this.outbox.add(new CheckpointPart(0, 0, 1, new byte[StreamFollower.MAX_ENTRY_BYTES]), verdict);
 		assertThat(kindOf(verdict)).isEqualTo(ErrorKind.REQUEST_TOO_LARGE);
-		assertThat(this.outbox.wantsAppend(0)).isFalse();
+		assertThat(this.outbox.isAppendDue(0)).isFalse();
 	}
 
 	@Test
-	void largeRecordsAreSpreadOverAppendsBelowTheLimit() {
+	void largeRecordsAreSplitIntoBatchesBelowTheSizeLimit() {
 		for (int part = 0; part < 6; part++) {
 			this.outbox.add(new CheckpointPart(0, part, 6, new byte[200 * 1024]), new CompletableFuture<>());
 		}
 		int appends = 0;
-		while (this.outbox.wantsAppend(0)) {
+		while (this.outbox.isAppendDue(0)) {
 			assertThat(this.outbox.beginAppend().length).isLessThanOrEqualTo(Outbox.MAX_BATCH_BYTES);
-			answer(null);
+			completeAppend(null);
 			appends++;
 		}
 		assertThat(appends).isEqualTo(3);
@@ -183,35 +183,35 @@
 	// The log is down for a day while requests go on. Memory must not grow with the
 	// outage, and the caller must hear at once that nothing was appended.
 	@Test
-	void inALongOutageWhatWaitsIsBoundedAndAllGoesOutWhenTheLogReturns() {
+	void pendingRecordsAreBoundedInALongOutageAndSentWhenTheLogReturns() {
 		long nowNanos = 0;
 		int tries = 0;
 		for (int second = 0; second < 86_400; second++) {
 			propose(second);
 			nowNanos += SECOND_NANOS;
-			if (this.outbox.wantsAppend(nowNanos)) {
+			if (this.outbox.isAppendDue(nowNanos)) {
 				this.outbox.beginAppend();
-				this.outbox.onAnswer(Optional.of(AppendFailure.REFUSED), nowNanos, 0.5);
+				this.outbox.onAppendCompleted(Optional.of(AppendFailure.REFUSED), nowNanos, 0.5);
 				tries++;
 			}
 		}
-		assertThat(this.outbox.pending()).isEqualTo(Outbox.MAX_PENDING);
+		assertThat(this.outbox.pending()).isEqualTo(Outbox.MAX_PENDING_RECORDS);
 		assertThat(kindOf(propose(0))).isEqualTo(ErrorKind.OVERLOADED);
 		assertThat(tries).isLessThan(86_400);
 		nowNanos += 4 * SECOND_NANOS;
-		while (this.outbox.wantsAppend(nowNanos)) {
+		while (this.outbox.isAppendDue(nowNanos)) {
 			this.log.append(this.outbox.beginAppend());
-			this.outbox.onAnswer(Optional.empty(), nowNanos, 0.5);
+			this.outbox.onAppendCompleted(Optional.empty(), nowNanos, 0.5);
 		}
 		fold();
-		assertThat(this.log.endOffset()).isEqualTo(Outbox.MAX_PENDING / Outbox.MAX_BATCH);
+		assertThat(this.log.endOffset()).isEqualTo(Outbox.MAX_PENDING_RECORDS / Outbox.MAX_BATCH_RECORDS);
 		assertThat(this.outbox.pending()).isZero();
 	}
 
 	// The daemon stops while records wait for an answer. Whoever waits on them would hang
 	// and keep the stop from ending.
 	@Test
-	void atTheStopAllThatWaitsIsFailed() {
+	void stoppingFailsAllPendingRecords() {
 		final CompletableFuture<RecordVerdict> verdict = propose(0);
 		this.outbox.beginAppend();
 		this.outbox.stop();
@@ -222,7 +222,7 @@
 	// A daemon in limbo loads a checkpoint that holds its own record already. The verdict
 	// on it is gone, and waiting for it would last for ever.
 	@Test
-	void aRecordThatACheckpointHasSwallowedIsFailedAsUnknown() {
+	void aRecordCoveredByARestoredCheckpointFails() {
 		final CompletableFuture<RecordVerdict> swallowed = propose(0);
 		final CompletableFuture<RecordVerdict> open = propose(1);
 		this.outbox.onRestored(1);
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
@@ -44,7 +44,7 @@
 
 	private final Map<String, ClaimForwarder> forwarders = new HashMap<>();
 
-	private Predicate<PeerFrame> lost = (frame) -> false;
+	private Predicate<PeerFrame> isLost = (frame) -> false;
 
 	@AfterEach
 	void stop() {
@@ -66,7 +66,7 @@
 
 	private void deliver(String to, PeerFrame frame) {
 		final ClaimForwarder receiver = this.forwarders.get(to);
-		if (receiver != null && !this.lost.test(frame)) {
+		if (receiver != null && !this.isLost.test(frame)) {
 			receiver.onFrame(frame);
 		}
 	}
@@ -75,7 +75,7 @@
 		return StreamAssignment.followers(STREAM, IDS).get(0);
 	}
 
-	private static String bystander(int index) {
+	private static String nonFollower(int index) {
 		final List<String> order = StreamAssignment.rankedDaemons(STREAM, IDS);
 		return order.get(order.size() - 1 - index);
 	}
@@ -93,10 +93,10 @@
 	// at the same moment. Both must hear the log's order, or two trucks go to one
 	// storefront.
 	@Test
-	void ofTwoDaemonsThatDoNotFollowThePartitionOneIsGranted() {
+	void oneOfTwoForwardedClaimsToTheSameKeyIsGranted() {
 		daemon(follower());
-		final ClaimForwarder one = daemon(bystander(0));
-		final ClaimForwarder two = daemon(bystander(1));
+		final ClaimForwarder one = daemon(nonFollower(0));
+		final ClaimForwarder two = daemon(nonFollower(1));
 		final CompletableFuture<ClaimResult> first = one.claim(booking("k"));
 		final CompletableFuture<ClaimResult> second = two.claim(booking("k"));
 		assertThat(List.of(first.join().verdict(), second.join().verdict()))
@@ -109,11 +109,11 @@
 	// never
 	// run nor be free.
 	@Test
-	void aQuestionThatComesAgainGetsTheSameAnswer() {
+	void aResentClaimRequestGetsTheSameResponse() {
 		final AtomicInteger answers = new AtomicInteger();
-		this.lost = (frame) -> frame.hasClaimAnswer() && answers.incrementAndGet() <= 2;
+		this.isLost = (frame) -> frame.hasClaimAnswer() && answers.incrementAndGet() <= 2;
 		daemon(follower());
-		final ClaimForwarder asker = daemon(bystander(0));
+		final ClaimForwarder asker = daemon(nonFollower(0));
 		assertThat(asker.claim(booking("k")).join().verdict()).isEqualTo(ClaimVerdict.GRANTED);
 		assertThat(answers).hasValueGreaterThan(2);
 		assertThat(folded().entries()).hasSize(1);
@@ -122,12 +122,12 @@
 	// The outcome of a booking is lost on its way to the follower. Not sent again, every
 	// repeat would read as unknown although the booking is known to have run.
 	@Test
-	void anOutcomeIsSentUntilItStandsOnTheLogAndARepeatElsewhereGetsIt() {
+	void anOutcomeIsResentUntilItIsLoggedAndARepeatAtAnotherDaemonGetsIt() {
 		final AtomicInteger notes = new AtomicInteger();
-		this.lost = (frame) -> frame.hasClaimNote() && notes.incrementAndGet() <= 2;
+		this.isLost = (frame) -> frame.hasClaimNote() && notes.incrementAndGet() <= 2;
 		daemon(follower());
-		final ClaimForwarder one = daemon(bystander(0));
-		final ClaimForwarder two = daemon(bystander(1));
+		final ClaimForwarder one = daemon(nonFollower(0));
+		final ClaimForwarder two = daemon(nonFollower(1));
 		final long offset = one.claim(booking("k")).join().claimOffset();
 		one.settle(booking("k"), offset, 201, "application/json", "{\"run\":1}", false).join();
 		final ClaimResult repeat = two.claim(booking("k")).join();
@@ -138,8 +138,8 @@
 	// The daemon that follows the partition is dead and nobody knows yet. The caller must
 	// hear in time that nothing ran, and not wait for ever.
 	@Test
-	void withoutAFollowerAClaimEndsAsNotRun() {
-		final ClaimForwarder asker = daemon(bystander(0));
+	void aClaimWithoutAReachableFollowerIsUnavailable() {
+		final ClaimForwarder asker = daemon(nonFollower(0));
 		assertThat(asker.claim(booking("k")).join().verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
 		assertThat(folded().entries()).isEmpty();
 	}
@@ -149,13 +149,14 @@
 	// bar
 	// every repeat of something that never ran.
 	@Test
-	void aGrantThatComesAfterTheRefusalIsGivenBack() {
-		this.lost = PeerFrame::hasClaimAnswer;
+	void aGrantThatArrivesAfterTheTimeoutIsReleased() {
+		this.isLost = PeerFrame::hasClaimAnswer;
 		daemon(follower());
-		final ClaimForwarder asker = daemon(bystander(0));
+		final ClaimForwarder asker = daemon(nonFollower(0));
 		assertThat(asker.claim(booking("k")).join().verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
-		this.lost = (frame) -> false;
-		asker.onFrame(ClaimFrames.answer(1, ClaimResult.granted(folded().find("w", "k").orElseThrow().claimOffset())));
+		this.isLost = (frame) -> false;
+		asker.onFrame(
+				ClaimFrames.claimResponse(1, ClaimResult.granted(folded().find("w", "k").orElseThrow().claimOffset())));
 		this.log.await(STREAM, 2).orTimeout(1, TimeUnit.MINUTES).join();
 		assertThat(folded().entries()).isEmpty();
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
@@ -38,13 +38,13 @@
 	}
 
 	private ClaimService daemon(String writer, long timeoutMillis) {
-		final ClaimService service = unread(writer, timeoutMillis);
+		final ClaimService service = unstartedService(writer, timeoutMillis);
 		service.start();
-		service.following().join();
+		service.whenCaughtUp().join();
 		return service;
 	}
 
-	private ClaimService unread(String writer, long timeoutMillis) {
+	private ClaimService unstartedService(String writer, long timeoutMillis) {
 		final ActorSystem<Void> system = ActorSystems.create("daemon-" + writer);
 		this.systems.add(system);
 		final AppendDuty appender = new AppendDuty(system, this.log, writer, APPENDS_PER_SECOND, () -> 1);
@@ -65,7 +65,7 @@
 	// of appends are lost and appends land twice on top. If both were granted, two trucks
 	// would drive to one storefront.
 	@Test
-	void ofTwoDaemonsThatRaceForAKeyOneIsGranted() {
+	void oneOfTwoRacingDaemonsIsGrantedTheKey() {
 		final ClaimService one = daemon("one", 60_000);
 		final List<CompletableFuture<ClaimResult>> first = new ArrayList<>();
 		final List<CompletableFuture<ClaimResult>> second = new ArrayList<>();
@@ -86,7 +86,7 @@
 	// booking was not run. That must stay true: the claim is given back when it is seen,
 	// and the caller's next try is granted.
 	@Test
-	void aClaimThatIsSeenTooLateIsGivenBack() {
+	void aClaimFoldedAfterTheTimeoutIsReleased() {
 		final ClaimService one = daemon("one", 20);
 		this.log.hide(true);
 		final ClaimResult late = one.claim(booking(1, "k", "d")).join();
@@ -113,7 +113,7 @@
 	// A daemon dies between claim and dispatch, or between dispatch and outcome. Nobody
 	// can tell which, so a repeat is told "unknown" once the claimer must have gone.
 	@Test
-	void theClaimOfADaemonThatDiedReadsAsUnknownAndNeverRunsAgain() {
+	void theClaimOfACrashedDaemonIsUnknownAndNeverRunsAgain() {
 		daemon("one", 60_000).claim(booking(1, "k", "d")).join();
 		final ClaimService two = daemon("two", 60_000);
 		final RequestInfo patient = booking(2, "k", "d");
@@ -126,8 +126,8 @@
 	// A daemon that has not read the stream to its end does not find the key. It must not
 	// say that the booking did not run, nor claim it.
 	@Test
-	void aDaemonThatHasNotReadAllClaimsSaysUnknown() {
-		final ClaimService unread = unread("new", 60_000);
+	void aDaemonThatHasNotReadAllClaimsAnswersWithLimbo() {
+		final ClaimService unread = unstartedService("new", 60_000);
 		assertThat(unread.claim(booking(1, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.LIMBO);
 		assertThat(this.log.await(STREAM, 0).join()).isEmpty();
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/DumpPageTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/DumpPageTests.java
@@ -26,32 +26,32 @@
 	// groups at once would be megabytes, several times over when several people ask.
 	@Test
 	void aDumpWithoutFilterHasEverySectionAndCutsLongLists() {
-		final Map<String, Object> cut = DumpPage.of(asked("")).cut(DUMP);
+		final Map<String, Object> cut = DumpPage.of(request("")).select(DUMP);
 		assertThat(cut).containsEntry("daemon", "daemon-0")
 			.containsEntry("fleet", Map.of("groups", GROUPS.subList(0, 100), "groups_total", 1_600, "next_offset", 7));
 	}
 
 	@Test
-	void aSectionIsPagedThrough() {
-		final Map<String, Object> cut = DumpPage.of(asked("section=fleet&from=0&limit=1000")).cut(DUMP);
+	void aSectionIsReturnedPageByPage() {
+		final Map<String, Object> cut = DumpPage.of(request("section=fleet&from=0&limit=1000")).select(DUMP);
 		assertThat(cut).isEqualTo(
 				Map.of("fleet", Map.of("groups", GROUPS.subList(0, 1_000), "groups_total", 1_600, "next_offset", 7)));
 	}
 
 	@Test
 	void entriesAreFoundByTheirText() {
-		final Map<String, Object> cut = new DumpPage(Optional.empty(), 0, 10, "\"group\":1599").cut(DUMP);
+		final Map<String, Object> cut = new DumpPage(Optional.empty(), 0, 10, "\"group\":1599").select(DUMP);
 		assertThat(cut).containsEntry("fleet",
 				Map.of("groups", List.of(Map.of("group", 1_599)), "groups_total", 1_600, "next_offset", 7));
 	}
 
 	@Test
-	void numbersThatAreNotValidAreTheUsualOnes() {
-		assertThat(DumpPage.of(asked("from=-1&limit=many"))).isEqualTo(new DumpPage(Optional.empty(), 0, 100, ""));
-		assertThat(DumpPage.of(asked("limit=5000")).limit()).isEqualTo(1_000);
+	void invalidNumbersGetTheDefaults() {
+		assertThat(DumpPage.of(request("from=-1&limit=many"))).isEqualTo(new DumpPage(Optional.empty(), 0, 100, ""));
+		assertThat(DumpPage.of(request("limit=5000")).limit()).isEqualTo(1_000);
 	}
 
-	private static WebRequest asked(String query) {
+	private static WebRequest request(String query) {
 		return WebRequest.get("/debug/dump?" + query, HeaderFields.EMPTY);
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/ParsingErrorsTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/ParsingErrorsTests.java
@@ -17,7 +17,7 @@
 
 class ParsingErrorsTests {
 
-	private final ActorSystem<Void> system = ActorSystems.create("parsing", ParsingErrors.SETTING);
+	private final ActorSystem<Void> system = ActorSystems.create("parsing", ParsingErrors.PEKKO_SETTINGS);
 
 	private final HttpServer server = new HttpServer(this.system, "127.0.0.1:0",
 			(request) -> CompletableFuture.completedFuture(HttpResponse.create()));
@@ -47,7 +47,7 @@
 	// before
 	// any of our code sees it, and the caller could not tell whether the request was run.
 	@Test
-	void anOverLongHeadIsRefusedAsNotRun() throws IOException {
+	void oversizedHeadersAreRejectedAsNotRun() throws IOException {
 		final String answer = send("GET /v1/models HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(20_000) + "\r\n\r\n");
 		assertThat(answer).startsWith("HTTP/1.1 413 ")
 			.contains("Pistachioline-Run: not-run")
@@ -56,7 +56,7 @@
 
 	// Something that is no HTTP at all connects to the callers' port.
 	@Test
-	void bytesThatAreNoRequestAreRefusedAsNotRun() throws IOException {
+	void bytesThatAreNotHttpAreRejectedAsNotRun() throws IOException {
 		assertThat(send("\u0016\u0003\u0001 nonsense\r\n\r\n")).contains("Pistachioline-Run: not-run")
 			.contains("\"code\":\"malformed_request\"");
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
@@ -58,7 +58,7 @@
 		assertThat(progress).isEqualTo(CheckpointFetch.Progress.DONE);
 		assertThat(rounds).isEqualTo(3);
 		assertThat(fetch.snapshot().orElseThrow().throughOffset()).isEqualTo(THROUGH_OFFSET);
-		assertThat(fetch.snapshot().orElseThrow().cover()).isEqualTo(COVER);
+		assertThat(fetch.snapshot().orElseThrow().coverage()).isEqualTo(COVER);
 		assertThat(Arrays.equals(fetch.snapshot().orElseThrow().stateBytes(), this.stateBytes)).isTrue();
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
@@ -77,7 +77,7 @@
 		this.exchanges = new Exchanges(new HttpCaller(this.system), this.traffic);
 		appender.start();
 		claims.start();
-		claims.following().join();
+		claims.whenCaughtUp().join();
 		this.traffic.start();
 	}
 
