--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendCounts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendCounts.java
@@ -3,7 +3,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts a daemon's appends, as all daemons share the log's limit on them.
+ * Counts this daemon's appends to the log. The log limits the append rate of all daemons
+ * together, so operators need each daemon's part of it.
  */
 public final class AppendCounts {
 
@@ -32,7 +33,7 @@
 	}
 
 	/**
-	 * Returns how many appends were sent.
+	 * Returns how many appends were sent, retries included.
 	 * @return the number of appends
 	 */
 	public long appends() {
@@ -40,7 +41,7 @@
 	}
 
 	/**
-	 * Returns how many of them the log refused.
+	 * Returns how many appends the log refused.
 	 * @return the number of appends
 	 */
 	public long refused() {
@@ -48,7 +49,8 @@
 	}
 
 	/**
-	 * Returns how many of them lost their answer.
+	 * Returns how many appends ended without a response, so that it is unknown whether
+	 * the log stored them.
 	 * @return the number of appends
 	 */
 	public long ambiguous() {
@@ -56,8 +58,9 @@
 	}
 
 	/**
-	 * Returns how often an append waited for this daemon's share.
-	 * @return the number of times
+	 * Returns how often a due append was deferred because this daemon's share of the
+	 * append rate was used up.
+	 * @return the number of deferrals
 	 */
 	public long throttled() {
 		return this.throttled.get();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/AppendDuty.java
@@ -31,10 +31,12 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Appends this daemon's records, in batches and one append at a time on each stream.
+ * Appends this daemon's records to the log in batches, with at most one append in flight
+ * on each stream.
  * <p>
- * The future of a record completes when it was folded here; {@link Outbox} has the rules
- * for lost answers. Appends are held to this daemon's share of what the log takes.
+ * The future of a record completes once the record has been folded here; {@link Outbox}
+ * defines how lost responses are handled. Appends are limited to this daemon's share of
+ * the log's append rate.
  */
 public final class AppendDuty implements Lifecycle, DutyHandler<AppendDuty.Command>, FoldListener {
 
@@ -61,32 +63,32 @@
 	private volatile boolean closed;
 
 	/**
-	 * Creates an appender.
+	 * Creates an appender with no pending records.
 	 * @param system the process's actor system
 	 * @param log the platform's log
-	 * @param writer this process's name as a writer, with its incarnation
-	 * @param appendsPerSecond the appends a second of all daemons together
-	 * @param daemons how many daemons share them
+	 * @param writer the writer id of this process, including its incarnation
+	 * @param appendsPerSecond the append rate that all daemons share
+	 * @param daemonCount supplies how many daemons share that rate
 	 */
 	public AppendDuty(ActorSystem<?> system, LogService log, String writer, double appendsPerSecond,
-			IntSupplier daemons) {
+			IntSupplier daemonCount) {
 		this.writer = writer;
 		this.log = log;
 		this.budget = new AppendBudget(appendsPerSecond, BURST_APPENDS, System.nanoTime());
-		this.daemonCount = daemons;
+		this.daemonCount = daemonCount;
 		this.duty = new Duty<>(system, "append", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	/**
-	 * Returns this process's name as a writer.
-	 * @return the name
+	 * Returns the id under which this process writes to the log.
+	 * @return the writer id
 	 */
 	public String writer() {
 		return this.writer;
 	}
 
 	/**
-	 * Returns what was counted.
+	 * Returns the counts of appends for metrics.
 	 * @return the counts
 	 */
 	public AppendCounts counts() {
@@ -96,10 +98,10 @@
 	/**
 	 * Appends a record.
 	 * @param stream the stream
-	 * @param body what it proposes
-	 * @return the verdict, once the record was folded here; fails with
-	 * {@link ErrorKind#OVERLOADED} or {@link ErrorKind#REQUEST_TOO_LARGE} where nothing
-	 * was appended, and with another kind where the verdict cannot be known
+	 * @param body the content of the record
+	 * @return the verdict, once the record has been folded here; fails with
+	 * {@link ErrorKind#OVERLOADED} or {@link ErrorKind#REQUEST_TOO_LARGE} if nothing was
+	 * appended, and with another kind if the verdict is unknown
 	 */
 	public CompletableFuture<RecordVerdict> append(String stream, RecordBody body) {
 		final CompletableFuture<RecordVerdict> verdict = new CompletableFuture<>();
@@ -120,9 +122,10 @@
 	}
 
 	/**
-	 * Takes word that a stream's state was replaced by a checkpoint.
+	 * Fails the pending records that a restored checkpoint covers, as their verdicts are
+	 * lost.
 	 * @param stream the stream
-	 * @param marks the writers' marks in it
+	 * @param marks the last folded sequence of each writer in the checkpoint
 	 */
 	public void onRestored(String stream, WriterMarks marks) {
 		final WriterMark mark = marks.marks().get(this.writer);
@@ -159,8 +162,8 @@
 		else if (command instanceof Command.Restored restored) {
 			outbox(restored.stream()).onRestored(restored.sequence());
 		}
-		else if (command instanceof Command.AppendCompleted answered) {
-			onAppendCompleted(answered.stream(), answered.failure());
+		else if (command instanceof Command.AppendCompleted completed) {
+			onAppendCompleted(completed.stream(), completed.failure());
 		}
 		else if (command instanceof Command.Close) {
 			this.outboxes.values().forEach(Outbox::stop);
@@ -197,7 +200,7 @@
 
 	private void onAppendCompleted(String stream, Throwable failure) {
 		final Optional<AppendFailure> kind = Optional.ofNullable(failure).map(AppendDuty::failureOf);
-		kind.ifPresent((found) -> recordFailure(stream, found));
+		kind.ifPresent((appendFailure) -> recordFailure(stream, appendFailure));
 		outbox(stream).onAppendCompleted(kind, System.nanoTime(), ThreadLocalRandom.current().nextDouble());
 		send(stream, outbox(stream));
 	}
@@ -219,7 +222,7 @@
 	}
 
 	/**
-	 * A message to the appender.
+	 * A message on the ring of the appender.
 	 */
 	sealed interface Command {
 
@@ -227,18 +230,18 @@
 		 * Appends a record.
 		 *
 		 * @param stream the stream
-		 * @param body what it proposes
-		 * @param verdict to be completed
+		 * @param body the content of the record
+		 * @param verdict completed with the verdict on the record
 		 */
 		record Append(String stream, RecordBody body, CompletableFuture<RecordVerdict> verdict) implements Command {
 		}
 
 		/**
-		 * A record of ours was folded.
+		 * A record of this daemon was folded.
 		 *
 		 * @param stream the stream
-		 * @param sequence its sequence
-		 * @param verdict its verdict
+		 * @param sequence the sequence of the record
+		 * @param verdict the verdict on the record
 		 */
 		record Folded(String stream, long sequence, RecordVerdict verdict) implements Command {
 		}
@@ -247,22 +250,22 @@
 		 * A stream's state was replaced by a checkpoint.
 		 *
 		 * @param stream the stream
-		 * @param sequence our mark in it
+		 * @param sequence the last sequence of this writer in the checkpoint
 		 */
 		record Restored(String stream, long sequence) implements Command {
 		}
 
 		/**
-		 * The log answered an append, or did not.
+		 * An append succeeded or failed.
 		 *
 		 * @param stream the stream
-		 * @param failure why it failed; null where it succeeded
+		 * @param failure the cause of the failure; null if the append succeeded
 		 */
 		record AppendCompleted(String stream, Throwable failure) implements Command {
 		}
 
 		/**
-		 * Fails all that waits.
+		 * The process stops, so all pending records fail.
 		 */
 		record Close() implements Command {
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/CheckpointDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/CheckpointDuty.java
@@ -22,8 +22,10 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Appends checkpoints of the streams ahead of their retention, where this daemon is the
- * one to do so.
+ * Appends checkpoints of the streams before the records that they cover expire.
+ * <p>
+ * The live daemons are ranked for each stream, and the policy gives lower ranks a longer
+ * delay, so that usually one daemon writes the checkpoint.
  */
 public final class CheckpointDuty implements Lifecycle, DutyHandler<CheckpointDuty.WriteCompleted> {
 
@@ -46,13 +48,13 @@
 	private final Set<String> streamsBeingWritten = new HashSet<>();
 
 	/**
-	 * Creates the duty.
+	 * Creates a duty that writes checkpoints once it is started.
 	 * @param system the process's actor system
-	 * @param streams the streams to look after
-	 * @param appender appends records
-	 * @param selfId this daemon's name
-	 * @param daemonIds the names of the live daemons
-	 * @param policy decides when to write
+	 * @param streams the streams to write checkpoints of
+	 * @param appender appends the parts of a checkpoint
+	 * @param selfId the id of this daemon
+	 * @param daemonIds supplies the ids of the live daemons
+	 * @param policy decides when a checkpoint is due
 	 */
 	public CheckpointDuty(ActorSystem<?> system, List<StreamDuty<?>> streams, AppendDuty appender, String selfId,
 			Supplier<Set<String>> daemonIds, CheckpointPolicy policy) {
@@ -110,22 +112,22 @@
 	}
 
 	@Override
-	public void onMessage(WriteCompleted done) {
-		this.streamsBeingWritten.remove(done.stream());
-		if (done.written()) {
-			Events.log(EventId.CHECKPOINT_WRITTEN, "stream", done.stream(), "through_offset", done.throughOffset(),
-					"parts", done.parts(), "bytes", done.stateBytes());
+	public void onMessage(WriteCompleted completed) {
+		this.streamsBeingWritten.remove(completed.stream());
+		if (completed.written()) {
+			Events.log(EventId.CHECKPOINT_WRITTEN, "stream", completed.stream(), "through_offset",
+					completed.throughOffset(), "parts", completed.parts(), "bytes", completed.stateBytes());
 		}
 	}
 
 	/**
-	 * A checkpoint was appended, or not.
+	 * All parts of a checkpoint were folded, or the write failed.
 	 *
 	 * @param stream the stream
 	 * @param throughOffset the last offset that it covers
-	 * @param parts how many parts it has
-	 * @param stateBytes how large it is
-	 * @param written whether all parts were appended
+	 * @param parts the number of parts
+	 * @param stateBytes the size of the encoded state
+	 * @param written whether all parts were appended and folded
 	 */
 	record WriteCompleted(String stream, long throughOffset, int parts, int stateBytes, boolean written) {
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/Outbox.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/Outbox.java
@@ -22,27 +22,28 @@
 import org.pistachioline.core.stream.Backoff;
 
 /**
- * The records of this daemon that wait to be appended to one stream, or to be folded.
+ * Queue of this daemon's records that wait to be appended to one stream, or to be folded
+ * after their append.
  * <p>
- * It sends the oldest records first, one append at a time, and after a lost answer the
- * same records with the same sequences again, unless the stream has shown them meanwhile.
- * So the log holds each record at least once and in order, and the reducer drops all but
- * the first. A record whose later neighbour was folded while it was not has been skipped
- * on all daemons and never takes effect, so its future fails then. It has no thread and
- * no clock.
+ * Records are sent oldest first, with one append in flight. After a lost response the
+ * same records are sent again with the same sequences, unless the stream has shown them
+ * in the meantime. So the log holds each record at least once and in order, and the
+ * reducer ignores duplicates. If a later record is folded before an earlier one, every
+ * daemon has skipped the earlier one and it can never take effect, so its future fails.
+ * The class has no thread and no clock of its own.
  */
 public final class Outbox {
 
-	/** The most records in one append. */
+	/** The maximum number of records in one append. */
 	static final int MAX_BATCH_RECORDS = 256;
 
-	/** The most bytes in one append, half of the log's limit. */
+	/** The maximum size of one append, half of the log's limit. */
 	static final int MAX_BATCH_BYTES = StreamFollower.MAX_ENTRY_BYTES / 2;
 
-	/** The most records that wait to be appended or folded. */
+	/** The maximum number of records that wait to be appended or folded. */
 	static final int MAX_PENDING_RECORDS = 4096;
 
-	/** The most bytes that wait to be appended. */
+	/** The maximum total size of the records that wait to be appended. */
 	static final int MAX_UNSENT_BYTES = 32 * 1024 * 1024;
 
 	private static final long INITIAL_BACKOFF_MILLIS = 50;
@@ -73,7 +74,7 @@
 
 	/**
 	 * Creates an empty outbox.
-	 * @param writer this process's name as a writer
+	 * @param writer the writer id of this process
 	 * @param nowNanos the monotonic time
 	 */
 	public Outbox(String writer, long nowNanos) {
@@ -82,9 +83,10 @@
 	}
 
 	/**
-	 * Takes a record, or fails its future where it cannot be taken.
-	 * @param body what it proposes
-	 * @param verdict to be completed
+	 * Queues a record, or fails its future if the queue is full or the record is too
+	 * large.
+	 * @param body the content of the record
+	 * @param verdict completed with the verdict on the record
 	 */
 	public void add(RecordBody body, CompletableFuture<RecordVerdict> verdict) {
 		if (this.pending.size() >= MAX_PENDING_RECORDS || this.unsentBytes >= MAX_UNSENT_BYTES) {
@@ -95,7 +97,8 @@
 		final byte[] recordBytes = RecordCodec
 			.encode(List.of(new LogRecord(this.writer, sequence, LogRecord.CURRENT_SCHEMA, body)));
 		if (recordBytes.length > StreamFollower.MAX_ENTRY_BYTES) {
-			// All readers skip such an entry, so it must not even be tried.
+			// Every reader skips an entry over the limit, so it must not be appended at
+			// all.
 			verdict.completeExceptionally(new PistachiolineException(ErrorKind.REQUEST_TOO_LARGE));
 			return;
 		}
@@ -106,22 +109,22 @@
 	}
 
 	/**
-	 * Returns whether an append is wanted now.
+	 * Returns whether records wait, no append is in flight and the backoff has passed.
 	 * @param nowNanos the monotonic time
-	 * @return whether it is
+	 * @return whether an append is due
 	 */
 	public boolean isAppendDue(long nowNanos) {
 		return !this.appendInFlight && !this.unsent.isEmpty() && nowNanos - this.retryAtNanos >= 0;
 	}
 
 	/**
-	 * Begins an append.
+	 * Starts an append of the oldest records that fit into one batch.
 	 * @return the entry to append
 	 */
 	public byte[] beginAppend() {
 		final ByteArrayOutputStream entry = new ByteArrayOutputStream();
 		int records = 0;
-		// A batch in this form is the same bytes as its records encoded one by one.
+		// An encoded batch equals the concatenation of its separately encoded records.
 		for (final Unsent next : this.unsent) {
 			final boolean full = records >= this.maxBatchRecords
 					|| entry.size() + next.recordBytes().length > MAX_BATCH_BYTES;
@@ -138,10 +141,10 @@
 	}
 
 	/**
-	 * Takes the answer to the append.
-	 * @param failure what a failed append left on the log; empty where it succeeded
+	 * Handles the outcome of the append in flight.
+	 * @param failure what is known about a failed append; empty if it succeeded
 	 * @param nowNanos the monotonic time
-	 * @param jitterRatio a random number from 0 to 1
+	 * @param jitterRatio a random number from 0 to 1 that spreads the retries
 	 */
 	public void onAppendCompleted(Optional<AppendFailure> failure, long nowNanos, double jitterRatio) {
 		this.appendInFlight = false;
@@ -158,7 +161,8 @@
 		this.retryAtNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(this.backoff.nextDelayMillis(jitterRatio));
 	}
 
-	// Without this an entry that the log never takes would block all behind it.
+	// Halves the batch, or fails a single record. Otherwise an entry that the log never
+	// accepts would block all records behind it.
 	private void onTooLarge() {
 		if (this.inFlightRecords > 1) {
 			this.maxBatchRecords = this.inFlightRecords / 2;
@@ -178,15 +182,15 @@
 	}
 
 	/**
-	 * Takes word that a record of this writer was folded.
-	 * @param sequence its sequence
-	 * @param verdict its verdict
+	 * Completes a record of this writer after it was folded.
+	 * @param sequence the sequence of the record
+	 * @param verdict the verdict on the record
 	 */
 	public void onFolded(long sequence, RecordVerdict verdict) {
 		if (verdict.rejection().filter((reason) -> reason == RejectReason.REPEATED).isPresent()) {
 			return;
 		}
-		// What was folded has landed, whatever became of the append's answer.
+		// A folded record is stored, whatever the outcome of its append was.
 		removeUnsentThrough(sequence);
 		final CompletableFuture<RecordVerdict> future = this.pending.remove(sequence);
 		failThrough(sequence, ErrorKind.INTERNAL);
@@ -196,9 +200,9 @@
 	}
 
 	/**
-	 * Takes word that the state was replaced by a checkpoint in which the writer's mark
-	 * stands; the verdicts on records up to it cannot be known any more.
-	 * @param sequence the writer's mark
+	 * Fails the records that a restored checkpoint covers, as their verdicts can no
+	 * longer be known.
+	 * @param sequence the last sequence of this writer in the checkpoint
 	 */
 	public void onRestored(long sequence) {
 		removeUnsentThrough(sequence);
@@ -206,7 +210,7 @@
 	}
 
 	/**
-	 * Fails all that waits, as the process stops.
+	 * Fails all pending records because the process stops.
 	 */
 	public void stop() {
 		failThrough(Long.MAX_VALUE, ErrorKind.LEAVING);
@@ -215,9 +219,9 @@
 	}
 
 	private void failThrough(long sequence, ErrorKind kind) {
-		final NavigableMap<Long, CompletableFuture<RecordVerdict>> lost = this.pending.headMap(sequence, true);
-		final List<CompletableFuture<RecordVerdict>> futures = new ArrayList<>(lost.values());
-		lost.clear();
+		final NavigableMap<Long, CompletableFuture<RecordVerdict>> failed = this.pending.headMap(sequence, true);
+		final List<CompletableFuture<RecordVerdict>> futures = new ArrayList<>(failed.values());
+		failed.clear();
 		futures.forEach((future) -> future.completeExceptionally(new PistachiolineException(kind)));
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamDuty.java
@@ -28,8 +28,8 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Follows one stream of the log: reads its pages, lets a {@link StreamFollower} fold them
- * and publishes what came of it.
+ * Follows one stream of the log: reads its pages, has a {@link StreamFollower} fold them
+ * and publishes the resulting state.
  *
  * @param <S> the type of state
  */
@@ -43,9 +43,8 @@
 
 	private static final long MAX_BACKOFF_MILLIS = 2_000;
 
-	// A daemon that never read the log must not pass for one that just did: each new
-	// start
-	// during an outage would begin the staleness bound afresh.
+	// The initial age of the state. A daemon that has never read the log must not count
+	// as fresh, or each restart during an outage would begin the staleness bound anew.
 	private static final long NEVER_READ_AGE_NANOS = Duration.ofDays(36_500).toNanos();
 
 	private static final Duration TICK_INTERVAL = Duration.ofMillis(200);
@@ -83,12 +82,12 @@
 	private boolean mustCatchUp;
 
 	/**
-	 * Creates a follower.
+	 * Creates a follower with the reducer's initial state.
 	 * @param system the process's actor system
 	 * @param stream the stream
 	 * @param log the platform's log
-	 * @param reducer what folds its records
-	 * @param codec what reads and writes its checkpoints
+	 * @param reducer folds the records of the stream
+	 * @param codec encodes and decodes checkpoints
 	 */
 	public StreamDuty(ActorSystem<?> system, String stream, LogService log, Reducer<S> reducer,
 			SnapshotCodec<S> codec) {
@@ -101,7 +100,7 @@
 	}
 
 	/**
-	 * Adds a listener to each folded record.
+	 * Adds a listener that is called for each folded record.
 	 * @param listener the listener
 	 */
 	public void onFold(FoldListener listener) {
@@ -109,7 +108,8 @@
 	}
 
 	/**
-	 * Adds a listener to each new view.
+	 * Adds a listener that is called when the next offset, the condition or the caught-up
+	 * flag has changed.
 	 * @param listener the listener; it runs on the stream's thread
 	 */
 	public void onChange(Runnable listener) {
@@ -117,7 +117,7 @@
 	}
 
 	/**
-	 * Adds a listener to each state that a checkpoint brought in place of folded records.
+	 * Adds a listener that receives each state that was restored from a checkpoint.
 	 * @param listener the listener; it runs on the stream's thread
 	 */
 	public void onRestore(Consumer<S> listener) {
@@ -125,7 +125,7 @@
 	}
 
 	/**
-	 * Returns the folded state.
+	 * Returns the folded state with its condition; callable on any thread.
 	 * @return the newest view
 	 */
 	public StreamView<S> view() {
@@ -141,19 +141,21 @@
 	}
 
 	/**
-	 * Returns the whole state in its checkpoint form; it may be called on any thread.
-	 * @return the snapshot; empty where the state is not whole
+	 * Returns the complete state in its checkpoint encoding; callable on any thread.
+	 * @return the snapshot; empty if the state is not complete
 	 */
 	public Optional<StreamSnapshot> snapshot() {
-		final StreamView<S> now = this.view.get();
-		if (!now.complete()) {
+		final StreamView<S> current = this.view.get();
+		if (!current.complete()) {
 			return Optional.empty();
 		}
-		return Optional.of(new StreamSnapshot(now.nextOffset() - 1, this.codec.encode(now.state()), now.coverage()));
+		return Optional
+			.of(new StreamSnapshot(current.nextOffset() - 1, this.codec.encode(current.state()), current.coverage()));
 	}
 
 	/**
-	 * Offers a checkpoint that a peer gave; an older one than what is known is dropped.
+	 * Restores a checkpoint received from a peer; one older than the current state is
+	 * ignored.
 	 * @param snapshot the checkpoint
 	 */
 	public void restore(StreamSnapshot snapshot) {
@@ -161,12 +163,12 @@
 	}
 
 	/**
-	 * Says whether the stream is followed. One that is not reads nothing; followed again,
-	 * it counts as caught up only once it has reached the end anew.
-	 * @param follow whether to follow
+	 * Sets whether the stream is followed. While it is not, nothing is read; after it is
+	 * followed again, it counts as caught up only once its end has been reached again.
+	 * @param following whether to follow the stream
 	 */
-	public void setFollowing(boolean follow) {
-		this.following = follow;
+	public void setFollowing(boolean following) {
+		this.following = following;
 	}
 
 	@Override
@@ -201,11 +203,11 @@
 			return;
 		}
 		this.readInProgress = true;
-		final long askedAtNanos = System.nanoTime();
-		// The first read does not wait, so that a start on an empty stream is quick.
+		final long requestedAtNanos = System.nanoTime();
+		// The first read does not long-poll, so that a start on an empty stream is quick.
 		final boolean atEnd = this.view.get().caughtUp() || this.view.get().needsCheckpoint();
 		this.log.read(this.stream, this.follower.readOffset(), atEnd ? LONG_POLL_MILLIS : 0)
-			.whenComplete((page, failure) -> this.duty.put(new Command.ReadCompleted(page, failure, askedAtNanos)));
+			.whenComplete((page, failure) -> this.duty.put(new Command.ReadCompleted(page, failure, requestedAtNanos)));
 	}
 
 	private void pause() {
@@ -233,13 +235,13 @@
 			return;
 		}
 		final StreamView<S> before = this.view.get();
-		final boolean readOn = this.follower.onPage(read.page());
+		final boolean mayContinue = this.follower.onPage(read.page());
 		final boolean atEnd = this.follower.readOffset() >= read.page().endOffset();
 		this.mustCatchUp = this.mustCatchUp && !atEnd;
 		final boolean inLimbo = this.follower.condition() == StreamCondition.LIMBO;
-		publish(before,
-				viewOf((atEnd && readOn) ? read.requestedAtNanos() : before.readAtNanos(), true, inLimbo && atEnd));
-		if (readOn) {
+		publish(before, viewOf((atEnd && mayContinue) ? read.requestedAtNanos() : before.readAtNanos(), true,
+				inLimbo && atEnd));
+		if (mayContinue) {
 			this.backoff.reset();
 			this.readFailing = false;
 			readNext();
@@ -290,7 +292,7 @@
 	}
 
 	/**
-	 * Hands on what the follower tells.
+	 * Passes the follower's events on to the listeners and to the event log.
 	 */
 	private final class Listener implements FollowerListener {
 
@@ -312,22 +314,22 @@
 	}
 
 	/**
-	 * A message to the follower.
+	 * A message on the ring of the follower.
 	 */
 	sealed interface Command {
 
 		/**
-		 * What a read gave.
+		 * A read of the log succeeded or failed.
 		 *
-		 * @param page the page; null where the read failed
-		 * @param failure why it failed
-		 * @param requestedAtNanos the monotonic time from before the read
+		 * @param page the page; null if the read failed
+		 * @param failure the cause of the failure; null if the read succeeded
+		 * @param requestedAtNanos the monotonic time when the read began
 		 */
 		record ReadCompleted(LogPage page, Throwable failure, long requestedAtNanos) implements Command {
 		}
 
 		/**
-		 * A checkpoint from a peer.
+		 * A checkpoint was received from a peer.
 		 *
 		 * @param snapshot the checkpoint
 		 */
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamReadiness.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamReadiness.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Tells operators why a stream's state cannot be served from.
+ * Explains to operators why requests cannot be served from the state of a stream.
  */
 public final class StreamReadiness {
 
@@ -11,10 +11,10 @@
 	}
 
 	/**
-	 * Returns what is wrong with a stream's state.
+	 * Returns why the state of a stream cannot be used.
 	 * @param stream the stream
-	 * @param view the newest view of it
-	 * @return the reason; empty where the state can be served from
+	 * @param view the newest view of the stream
+	 * @return the reason; empty if the state can be used
 	 */
 	public static Optional<String> notReadyReason(String stream, StreamView<?> view) {
 		final String start = "stream '" + stream + "': ";
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamSnapshot.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/agreed/StreamSnapshot.java
@@ -3,7 +3,7 @@
 import org.pistachioline.core.stream.CheckpointCoverage;
 
 /**
- * A stream's whole state in its checkpoint form.
+ * The complete state of a stream in its checkpoint encoding.
  */
 public final class StreamSnapshot {
 
@@ -15,18 +15,18 @@
 
 	/**
 	 * Creates a snapshot.
-	 * @param throughOffset the last offset folded into it
-	 * @param stateBytes the state
-	 * @param cover what the newest checkpoint on the stream covers
+	 * @param throughOffset the offset of the last record folded into the state
+	 * @param stateBytes the encoded state
+	 * @param coverage the range that the newest checkpoint on the stream covers
 	 */
-	public StreamSnapshot(long throughOffset, byte[] stateBytes, CheckpointCoverage cover) {
+	public StreamSnapshot(long throughOffset, byte[] stateBytes, CheckpointCoverage coverage) {
 		this.throughOffset = throughOffset;
 		this.stateBytes = stateBytes.clone();
-		this.coverage = cover;
+		this.coverage = coverage;
 	}
 
 	/**
-	 * Returns the last offset folded into it.
+	 * Returns the offset of the last record folded into the state.
 	 * @return the offset
 	 */
 	public long throughOffset() {
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Returns the state.
+	 * Returns the encoded state.
 	 * @return a copy of the bytes
 	 */
 	public byte[] stateBytes() {
@@ -42,8 +42,8 @@
 	}
 
 	/**
-	 * Returns what the newest checkpoint on the stream covers.
-	 * @return the cover
+	 * Returns the range that the newest checkpoint on the stream covers.
+	 * @return the coverage
 	 */
 	public CheckpointCoverage coverage() {
 		return this.coverage;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/AgreedStateTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/AgreedStateTests.java
@@ -32,7 +32,7 @@
 	private static final int INSTANCES = 7;
 
 	private static RecordBody configBody(ConfigState state, int choice) {
-		// Now and then an operator names a base that he saw long ago.
+		// Some operators publish on top of an outdated base version.
 		return new ManifestProposal(Math.max(0, state.version() - choice % 3), Manifest.EMPTY);
 	}
 
@@ -53,33 +53,34 @@
 		return new Member("i-" + choice % INSTANCES, DOMAIN, "10.0.0.1:80", "zone-a", 1);
 	}
 
-	// Several operators race while answers are lost, appends land late, twice or never,
-	// records expire and daemons are replaced. Users would see a configuration revert, or
-	// two daemons apply different ones.
+	// Guards against a configuration that reverts or differs between daemons. Operators
+	// race while responses are lost, appends are delayed, duplicated or lost, records
+	// expire and daemons are replaced.
 	@Property(seed = "20261205", tries = 150)
 	void configurationNeverRevertsAndAllDaemonsAgree(
 			@ForAll @Size(min = 40, max = 240) List<@IntRange(max = 1_000_000) Integer> steps) {
-		final InterleavingSimulation<ConfigState> run = new InterleavingSimulation<>(new ConfigReducer(),
+		final InterleavingSimulation<ConfigState> simulation = new InterleavingSimulation<>(new ConfigReducer(),
 				new ConfigSnapshotCodec(), AgreedStateTests::configBody);
-		steps.forEach(run::step);
-		run.converge();
+		steps.forEach(simulation::step);
+		simulation.converge();
 		long version = 0;
-		for (final ConfigState state : run.history()) {
+		for (final ConfigState state : simulation.history()) {
 			assertThat(state.version()).isBetween(version, version + 1);
 			version = state.version();
 		}
 	}
 
-	// Several planners race under the same faults. An instance that two groups claim gets
-	// the orders of both, and both answer their callers with half a model.
+	// Guards against an instance in two groups when planners race under the same faults:
+	// it would get the orders of both, and both groups would serve callers with half a
+	// model.
 	@Property(seed = "20261206", tries = 150)
 	void noInstanceIsEverInTwoGroupsAndAllDaemonsAgree(
 			@ForAll @Size(min = 40, max = 240) List<@IntRange(max = 1_000_000) Integer> steps) {
-		final InterleavingSimulation<FleetState> run = new InterleavingSimulation<>(new FleetReducer(),
+		final InterleavingSimulation<FleetState> simulation = new InterleavingSimulation<>(new FleetReducer(),
 				new FleetSnapshotCodec(), AgreedStateTests::fleetBody);
-		steps.forEach(run::step);
-		run.converge();
-		for (final FleetState state : run.history()) {
+		steps.forEach(simulation::step);
+		simulation.converge();
+		for (final FleetState state : simulation.history()) {
 			final List<String> members = state.groups()
 				.values()
 				.stream()
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/FakeLog.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/FakeLog.java
@@ -7,7 +7,7 @@
 import org.pistachioline.adapters.platform.LogPage;
 
 /**
- * One stream of the log in memory, with a head that moves at will.
+ * In-memory stand-in for one stream of the log, with a retention head that tests move.
  */
 final class FakeLog {
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/InterleavingSimulation.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/InterleavingSimulation.java
@@ -21,11 +21,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Runs several daemons on one stream, one step a number, with appends that are lost,
- * doubled, delayed and overtaken, records that expire and daemons that are replaced.
+ * Simulates several daemons on one stream, one step per number, with appends that are
+ * lost, duplicated, delayed and reordered, records that expire and daemons that are
+ * replaced.
  * <p>
- * A reader that sees every record from the first on gives the state that belongs to each
- * offset; every daemon is held against it after every step.
+ * A reader that sees every record from the first on provides the expected state at each
+ * offset; after every step the state of every daemon is compared with it.
  *
  * @param <S> the type of state
  */
@@ -108,7 +109,7 @@
 		}
 	}
 
-	// The log's retention passes; checkpoints are ahead of it but for one time in four.
+	// Expires records. In one case of four, records that no checkpoint covers expire too.
 	private void expire(int choice) {
 		final long covered = this.observer.cover().throughOffset() + 1;
 		this.log.expireBelow((choice % 4 == 0) ? Math.min(this.log.endOffset(), covered + 2) : covered);
@@ -117,7 +118,8 @@
 	private void replaceDaemon(int index, int choice) {
 		final Node replaced = new Node();
 		final Node peer = this.nodes.get((index + 1) % DAEMONS);
-		// In half of the cases it starts from a peer, as if the log were down.
+		// In half of the cases the daemon restores a checkpoint of a peer, as if the log
+		// were down.
 		if (choice % 2 == 0 && peer.follower.condition() == StreamCondition.WHOLE) {
 			replaced.follower.restore(peer.follower.nextOffset() - 1, this.codec.encode(peer.follower.state()),
 					peer.follower.cover());
@@ -135,7 +137,7 @@
 	}
 
 	/**
-	 * One daemon's share in the stream.
+	 * One daemon that appends to and follows the stream.
 	 */
 	private final class Node implements FollowerListener {
 
@@ -160,17 +162,17 @@
 				return;
 			}
 			final byte[] entry = this.outbox.beginAppend();
-			final int fate = choice % 6;
-			final boolean lands = fate == 0 || fate == 1 || fate == 2;
-			final boolean landsLater = fate == 2 || fate == 3;
-			if (lands) {
+			final int outcome = choice % 6;
+			final boolean storedNow = outcome == 0 || outcome == 1 || outcome == 2;
+			final boolean storedLater = outcome == 2 || outcome == 3;
+			if (storedNow) {
 				InterleavingSimulation.this.log.append(entry);
 			}
-			if (landsLater) {
+			if (storedLater) {
 				InterleavingSimulation.this.delayedAppends.add(entry);
 			}
-			final Optional<AppendFailure> failure = (fate == 0) ? Optional.empty()
-					: Optional.of((fate == 5) ? AppendFailure.REFUSED : AppendFailure.AMBIGUOUS);
+			final Optional<AppendFailure> failure = (outcome == 0) ? Optional.empty()
+					: Optional.of((outcome == 5) ? AppendFailure.REFUSED : AppendFailure.AMBIGUOUS);
 			this.outbox.onAppendCompleted(failure, InterleavingSimulation.this.nowNanos, 0.5);
 		}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/OutboxTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/OutboxTests.java
@@ -70,8 +70,8 @@
 		return ((PistachiolineException) failure.getCause()).kind();
 	}
 
-	// The log takes an append and its answer is lost. The planner would hold its own
-	// record for failed and try another on top of it.
+	// Guards against reporting a stored record as failed when only the response to its
+	// append is lost: the planner would propose another record on top of it.
 	@Test
 	void anAppendWhoseResponseIsLostIsRecognizedOnTheStreamAndNotRetried() {
 		final CompletableFuture<RecordVerdict> verdict = propose(0);
@@ -82,8 +82,8 @@
 		assertThat(this.outbox.isAppendDue(10 * SECOND_NANOS)).isFalse();
 	}
 
-	// The answer is lost and the record too. Nobody will ever see it unless it is sent
-	// again.
+	// Guards against losing a record when its append fails without a response: it is
+	// never folded unless it is sent again.
 	@Test
 	void anAppendThatWasNotStoredIsRetriedAfterABackoff() {
 		final CompletableFuture<RecordVerdict> verdict = propose(0);
@@ -99,20 +99,20 @@
 		assertThat(verdict.join().isAccepted()).isTrue();
 	}
 
-	// The first append is stuck in the network for minutes and lands after its repeat
-	// and after a later record. Applied then, it would undo what followed it.
+	// Guards against a delayed append that is stored after its retry and after a later
+	// record: applied then, it would undo what followed it.
 	@Test
 	void aDelayedDuplicateAppendChangesNothing() {
 		final CompletableFuture<RecordVerdict> first = propose(0);
-		final byte[] late = this.outbox.beginAppend();
+		final byte[] delayed = this.outbox.beginAppend();
 		completeAppend(AppendFailure.AMBIGUOUS);
 		this.log.append(this.outbox.beginAppend());
 		completeAppend(null);
 		final CompletableFuture<RecordVerdict> second = propose(1);
 		this.log.append(this.outbox.beginAppend());
 		completeAppend(null);
-		this.log.append(late);
-		this.log.append(late);
+		this.log.append(delayed);
+		this.log.append(delayed);
 		fold();
 		assertThat(first.join().offset()).isZero();
 		assertThat(second.join().offset()).isEqualTo(1);
@@ -120,13 +120,13 @@
 		assertThat(this.follower.rejectedRecords()).isEqualTo(2);
 	}
 
-	// A record is skipped by all daemons, say because its entry was damaged, and a later
-	// one of the same writer is folded. It can never take effect any more, and whoever
-	// waits for it must be told.
+	// Guards against waiting forever for a record that every daemon skipped, for example
+	// because its entry was damaged. Once a later record of the same writer is folded, it
+	// can never take effect.
 	@Test
 	void aRecordOvertakenByALaterOneFailsAndIsIgnoredIfStoredAfterwards() {
 		final CompletableFuture<RecordVerdict> lost = propose(0);
-		final byte[] late = this.outbox.beginAppend();
+		final byte[] delayed = this.outbox.beginAppend();
 		completeAppend(null);
 		this.log.append(new byte[] { (byte) 0xff });
 		final CompletableFuture<RecordVerdict> later = propose(0);
@@ -135,21 +135,21 @@
 		fold();
 		assertThat(kindOf(lost)).isEqualTo(ErrorKind.INTERNAL);
 		assertThat(later.join().isAccepted()).isTrue();
-		this.log.append(late);
+		this.log.append(delayed);
 		fold();
 		assertThat(this.follower.state().acceptedOffset()).isEqualTo(1);
 	}
 
-	// The log takes smaller entries than its page says. One batch over its limit would be
-	// sent for ever, and the planner's records behind it would never go out.
+	// Guards against an endless retry when the log's real limit is below the documented
+	// one: an oversized batch would block all records behind it.
 	@Test
 	void aBatchThatTheLogFindsTooLargeIsSplitAndASingleRecordFails() {
 		final CompletableFuture<RecordVerdict> first = propose(0);
 		final CompletableFuture<RecordVerdict> second = propose(1);
-		final int both = this.outbox.beginAppend().length;
+		final int bothBytes = this.outbox.beginAppend().length;
 		completeAppend(AppendFailure.TOO_LARGE);
 		assertThat(this.outbox.isAppendDue(0)).isTrue();
-		assertThat(this.outbox.beginAppend().length).isLessThan(both);
+		assertThat(this.outbox.beginAppend().length).isLessThan(bothBytes);
 		completeAppend(AppendFailure.TOO_LARGE);
 		assertThat(kindOf(first)).isEqualTo(ErrorKind.REQUEST_TOO_LARGE);
 		this.log.append(this.outbox.beginAppend());
@@ -180,8 +180,9 @@
 		assertThat(appends).isEqualTo(3);
 	}
 
-	// The log is down for a day while requests go on. Memory must not grow with the
-	// outage, and the caller must hear at once that nothing was appended.
+	// Guards against memory that grows with the length of a log outage: over a day of
+	// outage the queue stays bounded and callers get an immediate error that nothing was
+	// appended.
 	@Test
 	void pendingRecordsAreBoundedInALongOutageAndSentWhenTheLogReturns() {
 		long nowNanos = 0;
@@ -208,8 +209,8 @@
 		assertThat(this.outbox.pending()).isZero();
 	}
 
-	// The daemon stops while records wait for an answer. Whoever waits on them would hang
-	// and keep the stop from ending.
+	// Guards against a stop that hangs because callers wait for records that will never
+	// complete.
 	@Test
 	void stoppingFailsAllPendingRecords() {
 		final CompletableFuture<RecordVerdict> verdict = propose(0);
@@ -219,15 +220,15 @@
 		assertThat(this.outbox.pending()).isZero();
 	}
 
-	// A daemon in limbo loads a checkpoint that holds its own record already. The verdict
-	// on it is gone, and waiting for it would last for ever.
+	// Guards against waiting forever for a record that a restored checkpoint already
+	// contains, as the verdict on it is lost.
 	@Test
 	void aRecordCoveredByARestoredCheckpointFails() {
-		final CompletableFuture<RecordVerdict> swallowed = propose(0);
-		final CompletableFuture<RecordVerdict> open = propose(1);
+		final CompletableFuture<RecordVerdict> covered = propose(0);
+		final CompletableFuture<RecordVerdict> uncovered = propose(1);
 		this.outbox.onRestored(1);
-		assertThat(kindOf(swallowed)).isEqualTo(ErrorKind.INTERNAL);
-		assertThat(open).isNotDone();
+		assertThat(kindOf(covered)).isEqualTo(ErrorKind.INTERNAL);
+		assertThat(uncovered).isNotDone();
 	}
 
 }
