--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimForwarder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimForwarder.java
@@ -32,16 +32,17 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Makes claims here where this daemon follows the key's partition, and by way of one that
- * does where it does not.
+ * Makes claims locally if this daemon follows the partition of the key, and through a
+ * daemon that follows it otherwise.
  * <p>
- * The order of the log decides all the same, so two daemons that both believe to follow a
- * partition do no harm. A question is sent again until it is answered, since links drop
- * frames; the follower knows a question that came before and gives the same answer, or
- * the asker would be told that its own claim stands in its way. A question that is not
- * answered in time ends as not run, and a grant that comes later is given back. Releases
- * and outcomes are sent until their receipt comes. An asker that dies leaves a claim
- * without an outcome, which reads as unknown and never runs again.
+ * The order of records on the log decides on every claim, so two daemons that both
+ * consider themselves followers of a partition do no harm. Links may drop frames, so a
+ * claim request is sent again until it is answered. The follower deduplicates requests
+ * and repeats its first response; evaluated again, a request would find the key held by
+ * its own claim. A request that is not answered in time ends as not run, and a grant that
+ * arrives later is released. Releases and outcomes are sent until they are acknowledged.
+ * If the requesting daemon dies, its claim stays without an outcome, which reads as
+ * unknown and never runs again.
  */
 public final class ClaimForwarder implements Claims, Lifecycle, DutyHandler<ClaimForwarder.Message> {
 
@@ -53,13 +54,18 @@
 
 	private static final long TIMEOUT_NANOS = Duration.ofSeconds(3).toNanos();
 
-	/** How long a late grant is still given back. */
+	/** How long after the request a late grant is still released. */
 	private static final long LATE_GRANT_RETENTION_NANOS = Duration.ofMinutes(1).toNanos();
 
-	/** Bounds what waits here while no follower can be reached. */
+	/**
+	 * Bounds the memory for pending claims, and for pending updates, while no follower
+	 * can be reached.
+	 */
 	private static final int MAX_PENDING = 4096;
 
-	/** More questions than can come again within a minute at the letter's peak. */
+	/**
+	 * More requests than can be sent again within a minute at the highest expected load.
+	 */
 	private static final int MAX_CACHED_RESULTS = 8192;
 
 	private final ClaimService local;
@@ -87,13 +93,13 @@
 	private long nextId = 1;
 
 	/**
-	 * Creates a forwarder.
+	 * Creates a forwarder with no pending claims.
 	 * @param system the process's actor system
-	 * @param local makes claims on partitions that this daemon follows
-	 * @param selfId this daemon's name
-	 * @param writer this daemon's name as a writer, with its incarnation
-	 * @param daemonIds the live daemons that are not leaving, this one included
-	 * @param sender sends a frame to a daemon, or drops it
+	 * @param local makes claims on the partitions that this daemon follows
+	 * @param selfId the id of this daemon
+	 * @param writer the writer id of this process, including its incarnation
+	 * @param daemonIds supplies the live daemons that are not leaving, including this one
+	 * @param sender sends a frame to a daemon; it may drop the frame
 	 */
 	public ClaimForwarder(ActorSystem<?> system, ClaimService local, String selfId, String writer,
 			Supplier<Set<String>> daemonIds, BiConsumer<String, PeerFrame> sender) {
@@ -107,7 +113,8 @@
 
 	@Override
 	public void start() {
-		// Before the first message, or a claim at the start would not know whom to ask.
+		// Needed before the first message: an early claim could not be forwarded
+		// otherwise.
 		refreshFollowers();
 		this.duty.start();
 	}
@@ -123,7 +130,8 @@
 	}
 
 	/**
-	 * Takes a frame about claims; where the ring is full it is dropped and comes again.
+	 * Handles a claim frame from another daemon. It is dropped if the ring is full, as
+	 * the sender repeats it.
 	 * @param frame the frame
 	 */
 	public void onFrame(PeerFrame frame) {
@@ -158,70 +166,71 @@
 
 	@Override
 	public void onMessage(Message message) {
-		if (message instanceof Message.ClaimRequested ask) {
-			requestClaim(ask);
+		if (message instanceof Message.ClaimRequested request) {
+			requestClaim(request);
 		}
-		else if (message instanceof Message.Update note) {
-			submitUpdate(note);
+		else if (message instanceof Message.Update update) {
+			submitUpdate(update);
 		}
-		else if (message instanceof Message.FrameReceived received) {
-			handleFrame(received.frame());
+		else if (message instanceof Message.FrameReceived frameReceived) {
+			handleFrame(frameReceived.frame());
 		}
 		else if (message instanceof Message.UpdateWritten written) {
 			this.updatesInProgress.remove(written.updateKey());
-			this.sender.accept(written.senderId(), ClaimFrames.acknowledgement(written.noteId()));
+			this.sender.accept(written.senderId(), ClaimFrames.acknowledgement(written.updateId()));
 		}
 	}
 
-	private void requestClaim(Message.ClaimRequested ask) {
-		if (isFollowedHere(ask.info())) {
-			this.local.claim(ask.info()).thenAccept(ask.result()::complete);
+	private void requestClaim(Message.ClaimRequested request) {
+		if (isFollowedHere(request.info())) {
+			this.local.claim(request.info()).thenAccept(request.result()::complete);
 			return;
 		}
 		if (this.pendingClaims.size() >= MAX_PENDING) {
-			ask.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
+			request.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 			return;
 		}
-		final PendingClaim waiting = new PendingClaim(this.nextId, ask, System.nanoTime());
+		final PendingClaim pending = new PendingClaim(this.nextId, request, System.nanoTime());
 		this.nextId++;
-		this.pendingClaims.put(waiting.id, waiting);
-		send(waiting);
+		this.pendingClaims.put(pending.id, pending);
+		send(pending);
 	}
 
-	private void send(PendingClaim waiting) {
-		waiting.sentAtNanos = System.nanoTime();
-		follower(waiting.request.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
-				ClaimFrames.claimRequest(waiting.id, this.selfId, this.writer, waiting.request.info())));
+	private void send(PendingClaim pending) {
+		pending.sentAtNanos = System.nanoTime();
+		follower(pending.request.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
+				ClaimFrames.claimRequest(pending.id, this.selfId, this.writer, pending.request.info())));
 	}
 
-	private void submitUpdate(Message.Update note) {
-		if (isFollowedHere(note.info())) {
-			writeLocally(note).thenAccept(note.done()::complete);
+	private void submitUpdate(Message.Update update) {
+		if (isFollowedHere(update.info())) {
+			writeLocally(update).thenAccept(update.done()::complete);
 			return;
 		}
 		if (this.pendingUpdates.size() >= MAX_PENDING) {
-			// The oldest is given up: its key reads as unknown, and nothing runs again.
+			// The oldest update is dropped: its key then reads as unknown and never runs
+			// again.
 			this.pendingUpdates.remove(this.pendingUpdates.keySet().iterator().next());
 		}
-		final PendingUpdate waiting = new PendingUpdate(this.nextId, note);
+		final PendingUpdate pending = new PendingUpdate(this.nextId, update);
 		this.nextId++;
-		this.pendingUpdates.put(waiting.id, waiting);
-		send(waiting);
+		this.pendingUpdates.put(pending.id, pending);
+		send(pending);
 	}
 
-	private CompletableFuture<Void> writeLocally(Message.Update note) {
-		if (note.release() != null) {
-			return this.local.release(note.info(), note.release().claimOffset());
+	private CompletableFuture<Void> writeLocally(Message.Update update) {
+		if (update.release() != null) {
+			return this.local.release(update.info(), update.release().claimOffset());
 		}
-		final KeyOutcome outcome = note.outcome();
-		return this.local.settle(note.info(), outcome.claimOffset(), outcome.status(), outcome.contentType(),
+		final KeyOutcome outcome = update.outcome();
+		return this.local.settle(update.info(), outcome.claimOffset(), outcome.status(), outcome.contentType(),
 				outcome.body(), outcome.unknown());
 	}
 
-	private void send(PendingUpdate waiting) {
-		waiting.sentAtNanos = System.nanoTime();
-		follower(waiting.update.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
-				ClaimFrames.update(waiting.id, this.selfId, waiting.update)));
+	private void send(PendingUpdate pending) {
+		pending.sentAtNanos = System.nanoTime();
+		follower(pending.update.info()).ifPresent((daemonId) -> this.sender.accept(daemonId,
+				ClaimFrames.update(pending.id, this.selfId, pending.update)));
 	}
 
 	private void handleFrame(PeerFrame frame) {
@@ -235,58 +244,58 @@
 			onUpdate(frame.getClaimNote());
 		}
 		else if (frame.hasClaimReceipt()) {
-			final PendingUpdate done = this.pendingUpdates.remove(frame.getClaimReceipt().getNoteId());
-			if (done != null) {
-				done.update.done().complete(null);
+			final PendingUpdate acknowledged = this.pendingUpdates.remove(frame.getClaimReceipt().getNoteId());
+			if (acknowledged != null) {
+				acknowledged.update.done().complete(null);
 			}
 		}
 	}
 
-	private void onClaimRequest(ClaimQuestion question) {
-		final RequestInfo info = ClaimFrames.infoOf(question);
-		final String asker = question.getAskerWriter() + '/' + question.getAskId();
-		final CompletableFuture<ClaimResult> known = this.resultsByRequest.get(asker);
-		if (known != null) {
-			if (known.isDone()) {
-				this.sender.accept(question.getAskerId(), ClaimFrames.claimResponse(question.getAskId(), known.join()));
+	private void onClaimRequest(ClaimQuestion request) {
+		final RequestInfo info = ClaimFrames.infoOf(request);
+		final String requestKey = request.getAskerWriter() + '/' + request.getAskId();
+		final CompletableFuture<ClaimResult> cached = this.resultsByRequest.get(requestKey);
+		if (cached != null) {
+			if (cached.isDone()) {
+				this.sender.accept(request.getAskerId(), ClaimFrames.claimResponse(request.getAskId(), cached.join()));
 			}
 			return;
 		}
-		// The asker may know more daemons than this one, or fewer. What is not followed
-		// is
-		// not answered; the asker asks again, and its view or ours will have changed.
+		// The daemons' views of the live set may differ. A request for a partition that
+		// is not followed here is not answered; it is sent again, and by then the views
+		// will have converged.
 		if (!isFollowedHere(info) || !this.local.partitionOf(info).view().caughtUp()) {
 			return;
 		}
 		final CompletableFuture<ClaimResult> result = this.local.claim(info);
-		this.resultsByRequest.put(asker, result);
+		this.resultsByRequest.put(requestKey, result);
 		if (this.resultsByRequest.size() > MAX_CACHED_RESULTS) {
 			this.resultsByRequest.remove(this.resultsByRequest.keySet().iterator().next());
 		}
-		result.thenAccept((answer) -> this.sender.accept(question.getAskerId(),
-				ClaimFrames.claimResponse(question.getAskId(), answer)));
+		result.thenAccept((answered) -> this.sender.accept(request.getAskerId(),
+				ClaimFrames.claimResponse(request.getAskId(), answered)));
 	}
 
-	private void onClaimResponse(ClaimAnswer answer) {
-		final PendingClaim waiting = this.pendingClaims.remove(answer.getAskId());
-		if (waiting == null) {
+	private void onClaimResponse(ClaimAnswer response) {
+		final PendingClaim pending = this.pendingClaims.remove(response.getAskId());
+		if (pending == null) {
 			return;
 		}
-		final ClaimResult result = ClaimFrames.resultOf(answer);
-		final boolean inTime = waiting.request.result().complete(result);
-		// The caller was told "not run" already, so the claim must never be used.
+		final ClaimResult result = ClaimFrames.resultOf(response);
+		final boolean inTime = pending.request.result().complete(result);
+		// The caller was already told "not run", so the claim must never be used.
 		if (!inTime && result.verdict() == ClaimVerdict.GRANTED) {
-			submitUpdate(new Message.Update(waiting.request.info(),
-					releaseOf(waiting.request.info(), result.claimOffset()), null, new CompletableFuture<>()));
+			submitUpdate(new Message.Update(pending.request.info(),
+					releaseOf(pending.request.info(), result.claimOffset()), null, new CompletableFuture<>()));
 		}
 	}
 
 	private void onUpdate(ClaimNote frame) {
-		final Message.Update note = ClaimFrames.updateOf(frame);
-		final String sender = frame.getSenderId() + '/' + frame.getNoteId();
-		if (isFollowedHere(note.info()) && this.updatesInProgress.add(sender)) {
-			writeLocally(note).thenRun(
-					() -> this.duty.put(new Message.UpdateWritten(frame.getSenderId(), frame.getNoteId(), sender)));
+		final Message.Update update = ClaimFrames.updateOf(frame);
+		final String updateKey = frame.getSenderId() + '/' + frame.getNoteId();
+		if (isFollowedHere(update.info()) && this.updatesInProgress.add(updateKey)) {
+			writeLocally(update).thenRun(
+					() -> this.duty.put(new Message.UpdateWritten(frame.getSenderId(), frame.getNoteId(), updateKey)));
 		}
 	}
 
@@ -294,22 +303,22 @@
 	public void onTick() {
 		refreshFollowers();
 		final long nowNanos = System.nanoTime();
-		final Iterator<PendingClaim> asks = this.pendingClaims.values().iterator();
-		while (asks.hasNext()) {
-			final PendingClaim waiting = asks.next();
-			if (nowNanos - waiting.receivedAtNanos > LATE_GRANT_RETENTION_NANOS) {
-				asks.remove();
+		final Iterator<PendingClaim> claims = this.pendingClaims.values().iterator();
+		while (claims.hasNext()) {
+			final PendingClaim pending = claims.next();
+			if (nowNanos - pending.receivedAtNanos > LATE_GRANT_RETENTION_NANOS) {
+				claims.remove();
 			}
-			else if (nowNanos - waiting.receivedAtNanos > TIMEOUT_NANOS) {
-				waiting.request.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
+			else if (nowNanos - pending.receivedAtNanos > TIMEOUT_NANOS) {
+				pending.request.result().complete(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 			}
-			else if (nowNanos - waiting.sentAtNanos > RESEND_NANOS) {
-				send(waiting);
+			else if (nowNanos - pending.sentAtNanos > RESEND_NANOS) {
+				send(pending);
 			}
 		}
 		this.pendingUpdates.values()
 			.stream()
-			.filter((waiting) -> nowNanos - waiting.sentAtNanos > RESEND_NANOS)
+			.filter((pending) -> nowNanos - pending.sentAtNanos > RESEND_NANOS)
 			.toList()
 			.forEach(this::send);
 	}
@@ -317,15 +326,15 @@
 	private void refreshFollowers() {
 		final Set<String> ids = this.daemonIds.get();
 		for (final StreamDuty<ClaimsState> partition : this.local.partitions()) {
-			final List<String> now = StreamAssignment.followers(partition.stream(), ids);
-			this.followersByStream.put(partition.stream(), now);
-			partition.setFollowing(now.contains(this.selfId));
+			final List<String> followers = StreamAssignment.followers(partition.stream(), ids);
+			this.followersByStream.put(partition.stream(), followers);
+			partition.setFollowing(followers.contains(this.selfId));
 		}
 	}
 
 	private boolean isFollowedHere(RequestInfo info) {
-		final List<String> now = this.followersByStream.get(this.local.partitionOf(info).stream());
-		return now.contains(this.selfId);
+		final List<String> followers = this.followersByStream.get(this.local.partitionOf(info).stream());
+		return followers.contains(this.selfId);
 	}
 
 	private Optional<String> follower(RequestInfo info) {
@@ -337,43 +346,44 @@
 	}
 
 	/**
-	 * A message to the forwarder.
+	 * A message on the ring of the forwarder.
 	 */
 	sealed interface Message {
 
 		/**
-		 * A request asks for a claim.
+		 * A request needs a claim of its key.
 		 *
 		 * @param info the request
-		 * @param result to be completed
+		 * @param result completed with the result of the claim
 		 */
 		record ClaimRequested(RequestInfo info, CompletableFuture<ClaimResult> result) implements Message {
 		}
 
 		/**
-		 * A release or an outcome is to be written.
+		 * A release or an outcome is to be written to the log.
 		 *
 		 * @param info the request
-		 * @param release the release; null for an outcome
-		 * @param outcome the outcome; null for a release
-		 * @param done to be completed
+		 * @param release the release; null if this is an outcome
+		 * @param outcome the outcome; null if this is a release
+		 * @param done completed once the update is on the log
 		 */
 		record Update(RequestInfo info, KeyRelease release, KeyOutcome outcome,
 				CompletableFuture<Void> done) implements Message {
 		}
 
 		/**
-		 * Another daemon's note stands on the log.
+		 * An update that another daemon forwarded is on the log.
 		 *
-		 * @param senderId the daemon
-		 * @param noteId its number there
-		 * @param updateKey both together
+		 * @param senderId the daemon that forwarded it
+		 * @param updateId the id of the update at that daemon
+		 * @param updateKey both ids joined, under which the update is tracked until it is
+		 * written
 		 */
-		record UpdateWritten(String senderId, long noteId, String updateKey) implements Message {
+		record UpdateWritten(String senderId, long updateId, String updateKey) implements Message {
 		}
 
 		/**
-		 * A frame came from a daemon.
+		 * A frame arrived from another daemon.
 		 *
 		 * @param frame the frame
 		 */
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimFrames.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimFrames.java
@@ -16,19 +16,22 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Turns claims into frames between daemons and back.
+ * Encodes and decodes the frames with which daemons forward claims, releases and
+ * outcomes. The frames' own names differ: a {@code ClaimQuestion} is a request, a
+ * {@code ClaimAnswer} its response, a {@code ClaimNote} an update and a
+ * {@code ClaimReceipt} its acknowledgement.
  */
 final class ClaimFrames {
 
 	private ClaimFrames() {
 	}
 
-	static PeerFrame claimRequest(long askId, String askerId, String askerWriter, RequestInfo info) {
+	static PeerFrame claimRequest(long requestId, String requesterId, String requesterWriter, RequestInfo info) {
 		return PeerFrame.newBuilder()
 			.setClaimQuestion(ClaimQuestion.newBuilder()
-				.setAskId(askId)
-				.setAskerId(askerId)
-				.setAskerWriter(askerWriter)
+				.setAskId(requestId)
+				.setAskerId(requesterId)
+				.setAskerWriter(requesterWriter)
 				.setWorkspace(info.workspace())
 				.setKeySha256(info.claim().keyHash())
 				.setRequestDigest(info.claim().requestDigest())
@@ -37,44 +40,44 @@
 			.build();
 	}
 
-	static RequestInfo infoOf(ClaimQuestion question) {
-		return RequestInfo.forClaim(question.getWorkspace(), new ClaimRequirement(question.getKeySha256(),
-				question.getRequestDigest(), question.getLifetimeMillis(), question.getRunBoundMillis()));
+	static RequestInfo infoOf(ClaimQuestion request) {
+		return RequestInfo.forClaim(request.getWorkspace(), new ClaimRequirement(request.getKeySha256(),
+				request.getRequestDigest(), request.getLifetimeMillis(), request.getRunBoundMillis()));
 	}
 
-	static PeerFrame claimResponse(long askId, ClaimResult result) {
-		final ClaimAnswer.Builder answer = ClaimAnswer.newBuilder()
-			.setAskId(askId)
+	static PeerFrame claimResponse(long requestId, ClaimResult result) {
+		final ClaimAnswer.Builder response = ClaimAnswer.newBuilder()
+			.setAskId(requestId)
 			.setVerdict(result.verdict().name())
 			.setClaimOffset(result.claimOffset());
-		result.outcome().ifPresent((outcome) -> answer.setOutcome(RecordCodec.encode(outcome)));
-		return PeerFrame.newBuilder().setClaimAnswer(answer).build();
+		result.outcome().ifPresent((outcome) -> response.setOutcome(RecordCodec.encode(outcome)));
+		return PeerFrame.newBuilder().setClaimAnswer(response).build();
 	}
 
 	/**
-	 * Reads an answer; a verdict that this release does not know reads as limbo, which
-	 * promises nothing.
-	 * @param answer the answer
-	 * @return the result
+	 * Decodes a response. A verdict that this release does not know is read as limbo,
+	 * which makes no promise to the caller.
+	 * @param response the response
+	 * @return the result of the claim
 	 */
-	static ClaimResult resultOf(ClaimAnswer answer) {
+	static ClaimResult resultOf(ClaimAnswer response) {
 		ClaimVerdict verdict = ClaimVerdict.LIMBO;
 		for (final ClaimVerdict known : ClaimVerdict.values()) {
-			if (known.name().equals(answer.getVerdict())) {
+			if (known.name().equals(response.getVerdict())) {
 				verdict = known;
 			}
 		}
-		return new ClaimResult(verdict, answer.getClaimOffset(),
-				answer.hasOutcome() ? Optional.of(RecordCodec.decode(answer.getOutcome())) : Optional.empty());
+		return new ClaimResult(verdict, response.getClaimOffset(),
+				response.hasOutcome() ? Optional.of(RecordCodec.decode(response.getOutcome())) : Optional.empty());
 	}
 
-	static PeerFrame update(long noteId, String senderId, ClaimForwarder.Message.Update note) {
-		final ClaimNote.Builder frame = ClaimNote.newBuilder().setNoteId(noteId).setSenderId(senderId);
-		if (note.release() != null) {
-			frame.setRelease(RecordCodec.encode(note.release()));
+	static PeerFrame update(long updateId, String senderId, ClaimForwarder.Message.Update update) {
+		final ClaimNote.Builder frame = ClaimNote.newBuilder().setNoteId(updateId).setSenderId(senderId);
+		if (update.release() != null) {
+			frame.setRelease(RecordCodec.encode(update.release()));
 		}
 		else {
-			frame.setOutcome(RecordCodec.encode(note.outcome()));
+			frame.setOutcome(RecordCodec.encode(update.outcome()));
 		}
 		return PeerFrame.newBuilder().setClaimNote(frame).build();
 	}
@@ -93,8 +96,8 @@
 		return RequestInfo.forClaim(workspace, new ClaimRequirement(keyHash, "", 0));
 	}
 
-	static PeerFrame acknowledgement(long noteId) {
-		return PeerFrame.newBuilder().setClaimReceipt(ClaimReceipt.newBuilder().setNoteId(noteId)).build();
+	static PeerFrame acknowledgement(long updateId) {
+		return PeerFrame.newBuilder().setClaimReceipt(ClaimReceipt.newBuilder().setNoteId(updateId)).build();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimResult.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimResult.java
@@ -6,17 +6,17 @@
 import org.pistachioline.core.traffic.ClaimVerdict;
 
 /**
- * What came of a claim.
+ * The result of claiming an idempotency key.
  *
- * @param verdict the verdict
- * @param claimOffset the claim's offset; -1 where it was not granted
- * @param outcome the stored outcome, where the key is settled
+ * @param verdict the decision on the claim
+ * @param claimOffset the offset of the claim on the log; -1 if it was not granted
+ * @param outcome the stored outcome if the key is settled
  */
 public record ClaimResult(ClaimVerdict verdict, long claimOffset, Optional<KeyOutcome> outcome) {
 
 	/**
 	 * Creates the result of a claim that was granted.
-	 * @param claimOffset the claim's offset
+	 * @param claimOffset the offset of the claim on the log
 	 * @return the result
 	 */
 	public static ClaimResult granted(long claimOffset) {
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Creates the result of a claim whose key has an outcome.
-	 * @param outcome the outcome
+	 * Creates the result of a claim whose key already has a stored outcome.
+	 * @param outcome the stored outcome
 	 * @return the result
 	 */
 	public static ClaimResult settled(KeyOutcome outcome) {
@@ -34,7 +34,7 @@
 
 	/**
 	 * Creates the result of a claim that was not granted.
-	 * @param verdict the verdict
+	 * @param verdict the decision on the claim
 	 * @return the result
 	 */
 	public static ClaimResult of(ClaimVerdict verdict) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimService.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/ClaimService.java
@@ -29,14 +29,15 @@
 import org.pistachioline.daemon.duty.Ring;
 
 /**
- * Makes, releases and settles claims, and finds stored outcomes.
+ * Makes, releases and settles claims on the partitions that this daemon follows, and
+ * finds stored outcomes.
  * <p>
- * A claim is granted only by the fold of its own record, never by an append's answer. One
- * that is not folded in time is answered as unavailable, and given back when it lands
- * after all. Releases and outcomes are offered again until they are folded: a lost
- * release would bar a key that never ran, a lost outcome would hide an answer. A daemon
- * that dies in between leaves a claim without an outcome, which reads as unknown and
- * never runs again.
+ * A claim is granted only when its own record is folded, never by the response to an
+ * append. A claim that is not folded in time is answered as unavailable and released if
+ * it is folded later. Releases and outcomes are appended again until they are folded: a
+ * lost release would block a key that never ran, and a lost outcome would hide a stored
+ * response. A daemon that dies before it writes an outcome leaves a claim that reads as
+ * unknown and never runs again.
  */
 public final class ClaimService implements Claims, Lifecycle {
 
@@ -55,12 +56,12 @@
 	private volatile boolean stopped;
 
 	/**
-	 * Creates the service.
+	 * Creates a service that follows no partition until it is started.
 	 * @param system the process's actor system
 	 * @param log the platform's log
 	 * @param appender appends records
-	 * @param streamPrefix the start of the streams' names
-	 * @param partitionCount how many streams there are
+	 * @param streamPrefix the common prefix of the names of the partitions' streams
+	 * @param partitionCount the number of partitions, each with a stream of its own
 	 */
 	public ClaimService(ActorSystem<?> system, LogService log, AppendDuty appender, String streamPrefix,
 			int partitionCount) {
@@ -97,8 +98,9 @@
 	}
 
 	/**
-	 * Returns when all partitions have been read to their end for the first time.
-	 * @return completes then
+	 * Returns a future that completes once all partitions have been read to their end for
+	 * the first time.
+	 * @return the future
 	 */
 	public CompletableFuture<Void> whenCaughtUp() {
 		return CompletableFuture
@@ -106,44 +108,45 @@
 	}
 
 	private static CompletableFuture<Void> whenPartitionCaughtUp(StreamDuty<ClaimsState> partition) {
-		final CompletableFuture<Void> followed = new CompletableFuture<>();
+		final CompletableFuture<Void> caughtUp = new CompletableFuture<>();
 		final Runnable check = () -> {
 			if (partition.view().caughtUp()) {
-				followed.complete(null);
+				caughtUp.complete(null);
 			}
 		};
 		partition.onChange(check);
 		check.run();
-		return followed;
+		return caughtUp;
 	}
 
 	@Override
 	public CompletableFuture<ClaimResult> claim(RequestInfo info) {
 		final StreamDuty<ClaimsState> partition = partitionOf(info);
 		final StreamView<ClaimsState> view = partition.view();
-		final Optional<ClaimEntry> known = find(info);
-		if (known.isPresent()) {
-			return CompletableFuture.completedFuture(resultForEntry(known.get(), info));
+		final Optional<ClaimEntry> existing = find(info);
+		if (existing.isPresent()) {
+			return CompletableFuture.completedFuture(resultForEntry(existing.get(), info));
 		}
 		if (!view.complete() || !view.caughtUp()) {
-			// Not found is no answer while records are missing: the key may have run.
+			// While records are missing, an unknown key may have run.
 			return CompletableFuture.completedFuture(ClaimResult.of(ClaimVerdict.LIMBO));
 		}
 		if (!view.logReachable()) {
 			return CompletableFuture.completedFuture(ClaimResult.of(ClaimVerdict.UNAVAILABLE));
 		}
-		final ClaimRequirement need = info.claim();
+		final ClaimRequirement requirement = info.claim();
 		final long nowMillis = System.currentTimeMillis();
-		final CompletableFuture<RecordVerdict> verdict = this.appender.append(partition.stream(), new KeyClaim(
-				info.workspace(), need.keyHash(), need.requestDigest(), nowMillis, nowMillis + need.lifetimeMillis()));
+		final CompletableFuture<RecordVerdict> verdict = this.appender.append(partition.stream(),
+				new KeyClaim(info.workspace(), requirement.keyHash(), requirement.requestDigest(), nowMillis,
+						nowMillis + requirement.lifetimeMillis()));
 		final CompletableFuture<ClaimResult> result = new CompletableFuture<>();
 		verdict.whenComplete((folded, failure) -> {
-			final ClaimResult answer = (failure != null) ? ClaimResult.of(ClaimVerdict.UNAVAILABLE)
+			final ClaimResult claimResult = (failure != null) ? ClaimResult.of(ClaimVerdict.UNAVAILABLE)
 					: resultOf(folded, info);
-			final boolean inTime = result.complete(answer);
-			// The caller was told "not run" already, so the claim must never be used.
-			if (!inTime && answer.verdict() == ClaimVerdict.GRANTED) {
-				release(info, answer.claimOffset());
+			final boolean inTime = result.complete(claimResult);
+			// The caller was already told "not run", so the claim must never be used.
+			if (!inTime && claimResult.verdict() == ClaimVerdict.GRANTED) {
+				release(info, claimResult.claimOffset());
 			}
 		});
 		CompletableFuture.delayedExecutor(this.claimTimeoutMillis, TimeUnit.MILLISECONDS)
@@ -166,10 +169,9 @@
 	}
 
 	private static ClaimVerdict verdictWithoutEntry(RejectReason reason) {
-		// The verdict on a record comes before the view that shows it. A key that was
-		// taken
-		// has a holder, even where the view does not show it yet; "not run" would be
-		// wrong.
+		// The verdict on a record arrives before the view that shows the entry. A
+		// rejected key has a holder even if the view does not show it yet, so "not run"
+		// would be wrong.
 		return switch (reason) {
 			case KEY_TAKEN -> ClaimVerdict.IN_PROGRESS;
 			case CLAIMS_FULL -> ClaimVerdict.UNAVAILABLE;
@@ -186,16 +188,16 @@
 			return ClaimVerdict.EXPIRED;
 		}
 		if (entry.outcome().isEmpty()) {
-			final boolean silent = nowMillis - entry.claim().claimedAtMillis() > info.claim().runBoundMillis();
-			return silent ? ClaimVerdict.UNKNOWN : ClaimVerdict.IN_PROGRESS;
+			final boolean overdue = nowMillis - entry.claim().claimedAtMillis() > info.claim().runBoundMillis();
+			return overdue ? ClaimVerdict.UNKNOWN : ClaimVerdict.IN_PROGRESS;
 		}
 		return entry.outcome().get().unknown() ? ClaimVerdict.UNKNOWN : ClaimVerdict.SETTLED;
 	}
 
 	/**
-	 * Finds the claim of a request's key.
+	 * Finds the claim of a request's key in the folded state.
 	 * @param info the request
-	 * @return the claim, if one is known here
+	 * @return the claim, if one has been folded here
 	 */
 	public Optional<ClaimEntry> find(RequestInfo info) {
 		return partitionOf(info).view().state().find(info.workspace(), info.claim().keyHash());
@@ -208,9 +210,10 @@
 	}
 
 	/**
-	 * Leaves an answer out that is too large to be stored; its key then reads as unknown.
+	 * Replaces a response body that is too large to be stored, so that its key reads as
+	 * unexisting.
 	 * @param outcome the outcome
-	 * @return what is stored of it
+	 * @return the outcome to store
 	 */
 	static KeyOutcome storable(KeyOutcome outcome) {
 		return (outcome.body().length() <= MAX_STORED_BODY_CHARS) ? outcome : new KeyOutcome(outcome.workspace(),
@@ -243,17 +246,17 @@
 	}
 
 	/**
-	 * Returns the streams with claims.
-	 * @return the streams in the order of their numbers
+	 * Returns the streams of all partitions.
+	 * @return the streams in the order of their partition numbers
 	 */
 	public List<StreamDuty<ClaimsState>> partitions() {
 		return List.copyOf(this.partitions);
 	}
 
 	/**
-	 * Returns the stream with a request's key.
+	 * Returns the partition that a request's workspace and key hash to.
 	 * @param info the request
-	 * @return its partition
+	 * @return the stream of the partition
 	 */
 	StreamDuty<ClaimsState> partitionOf(RequestInfo info) {
 		final int hash = (info.workspace() + '/' + info.claim().keyHash()).hashCode();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/PendingClaim.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/PendingClaim.java
@@ -1,7 +1,7 @@
 package org.pistachioline.daemon.claims;
 
 /**
- * A claim that another daemon was asked for and has not answered.
+ * A claim that was forwarded to another daemon and has not been answered yet.
  */
 final class PendingClaim {
 
@@ -13,10 +13,10 @@
 
 	long sentAtNanos;
 
-	PendingClaim(long id, ClaimForwarder.Message.ClaimRequested ask, long askedAtNanos) {
+	PendingClaim(long id, ClaimForwarder.Message.ClaimRequested request, long receivedAtNanos) {
 		this.id = id;
-		this.request = ask;
-		this.receivedAtNanos = askedAtNanos;
+		this.request = request;
+		this.receivedAtNanos = receivedAtNanos;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/PendingUpdate.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/PendingUpdate.java
@@ -1,7 +1,8 @@
 package org.pistachioline.daemon.claims;
 
 /**
- * A release or an outcome that another daemon was sent and has not receipted.
+ * A release or an outcome that was forwarded to another daemon and has not been
+ * acknowledged yet.
  */
 final class PendingUpdate {
 
@@ -11,9 +12,9 @@
 
 	long sentAtNanos;
 
-	PendingUpdate(long id, ClaimForwarder.Message.Update note) {
+	PendingUpdate(long id, ClaimForwarder.Message.Update update) {
 		this.id = id;
-		this.update = note;
+		this.update = update;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/claims/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Claims of idempotency keys, made on the log.
+ * Claims of idempotency keys, which are decided by the order of records on the log.
  */
 package org.pistachioline.daemon.claims;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
@@ -80,7 +80,7 @@
 		return order.get(order.size() - 1 - index);
 	}
 
-	private static RequestInfo booking(String key) {
+	private static RequestInfo request(String key) {
 		return RequestInfo.forClaim("w", new ClaimRequirement(key, "digest", 60_000));
 	}
 
@@ -88,39 +88,36 @@
 		return this.log.fold(STREAM, new ClaimsReducer());
 	}
 
-	// In a large fleet two daemons that do not follow a key's partition get the same
-	// booking
-	// at the same moment. Both must hear the log's order, or two trucks go to one
-	// storefront.
+	// Guards against a request that runs twice when two daemons that do not follow the
+	// partition of its key get it at the same time: the order of records on the log must
+	// decide for both.
 	@Test
 	void oneOfTwoForwardedClaimsToTheSameKeyIsGranted() {
 		daemon(follower());
 		final ClaimForwarder one = daemon(nonFollower(0));
 		final ClaimForwarder two = daemon(nonFollower(1));
-		final CompletableFuture<ClaimResult> first = one.claim(booking("k"));
-		final CompletableFuture<ClaimResult> second = two.claim(booking("k"));
+		final CompletableFuture<ClaimResult> first = one.claim(request("k"));
+		final CompletableFuture<ClaimResult> second = two.claim(request("k"));
 		assertThat(List.of(first.join().verdict(), second.join().verdict()))
 			.containsExactlyInAnyOrder(ClaimVerdict.GRANTED, ClaimVerdict.IN_PROGRESS);
 	}
 
-	// The answer to a forwarded claim is lost and the question comes again. Taken for a
-	// new
-	// one it would be told that its own claim stands in its way, and the booking would
-	// never
-	// run nor be free.
+	// Guards against a resent claim request that is treated as new after its response was
+	// lost: it would find the key held by its own claim, which then would neither run nor
+	// be released.
 	@Test
 	void aResentClaimRequestGetsTheSameResponse() {
-		final AtomicInteger answers = new AtomicInteger();
-		this.isLost = (frame) -> frame.hasClaimAnswer() && answers.incrementAndGet() <= 2;
+		final AtomicInteger responses = new AtomicInteger();
+		this.isLost = (frame) -> frame.hasClaimAnswer() && responses.incrementAndGet() <= 2;
 		daemon(follower());
-		final ClaimForwarder asker = daemon(nonFollower(0));
-		assertThat(asker.claim(booking("k")).join().verdict()).isEqualTo(ClaimVerdict.GRANTED);
-		assertThat(answers).hasValueGreaterThan(2);
+		final ClaimForwarder requester = daemon(nonFollower(0));
+		assertThat(requester.claim(request("k")).join().verdict()).isEqualTo(ClaimVerdict.GRANTED);
+		assertThat(responses).hasValueGreaterThan(2);
 		assertThat(folded().entries()).hasSize(1);
 	}
 
-	// The outcome of a booking is lost on its way to the follower. Not sent again, every
-	// repeat would read as unknown although the booking is known to have run.
+	// Guards against losing an outcome whose frame is dropped on the way to the follower:
+	// every repeat would read as unknown although the request is known to have run.
 	@Test
 	void anOutcomeIsResentUntilItIsLoggedAndARepeatAtAnotherDaemonGetsIt() {
 		final AtomicInteger notes = new AtomicInteger();
@@ -128,34 +125,32 @@
 		daemon(follower());
 		final ClaimForwarder one = daemon(nonFollower(0));
 		final ClaimForwarder two = daemon(nonFollower(1));
-		final long offset = one.claim(booking("k")).join().claimOffset();
-		one.settle(booking("k"), offset, 201, "application/json", "{\"run\":1}", false).join();
-		final ClaimResult repeat = two.claim(booking("k")).join();
+		final long offset = one.claim(request("k")).join().claimOffset();
+		one.settle(request("k"), offset, 201, "application/json", "{\"run\":1}", false).join();
+		final ClaimResult repeat = two.claim(request("k")).join();
 		assertThat(repeat.verdict()).isEqualTo(ClaimVerdict.SETTLED);
 		assertThat(repeat.outcome().orElseThrow().body()).isEqualTo("{\"run\":1}");
 	}
 
-	// The daemon that follows the partition is dead and nobody knows yet. The caller must
-	// hear in time that nothing ran, and not wait for ever.
+	// Guards against a claim that waits forever when the follower of the partition is
+	// dead but still counts as live. The caller must be told in time that nothing ran.
 	@Test
 	void aClaimWithoutAReachableFollowerIsUnavailable() {
-		final ClaimForwarder asker = daemon(nonFollower(0));
-		assertThat(asker.claim(booking("k")).join().verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
+		final ClaimForwarder requester = daemon(nonFollower(0));
+		assertThat(requester.claim(request("k")).join().verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
 		assertThat(folded().entries()).isEmpty();
 	}
 
-	// The answers are lost for longer than the caller waits, then one comes through. The
-	// caller was told that nothing ran, so the grant must be given back; kept, it would
-	// bar
-	// every repeat of something that never ran.
+	// Guards against a key blocked by a grant whose response arrives after the caller was
+	// told that nothing ran: the claim must be released.
 	@Test
 	void aGrantThatArrivesAfterTheTimeoutIsReleased() {
 		this.isLost = PeerFrame::hasClaimAnswer;
 		daemon(follower());
-		final ClaimForwarder asker = daemon(nonFollower(0));
-		assertThat(asker.claim(booking("k")).join().verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
+		final ClaimForwarder requester = daemon(nonFollower(0));
+		assertThat(requester.claim(request("k")).join().verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
 		this.isLost = (frame) -> false;
-		asker.onFrame(
+		requester.onFrame(
 				ClaimFrames.claimResponse(1, ClaimResult.granted(folded().find("w", "k").orElseThrow().claimOffset())));
 		this.log.await(STREAM, 2).orTimeout(1, TimeUnit.MINUTES).join();
 		assertThat(folded().entries()).isEmpty();
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
@@ -52,7 +52,7 @@
 		return new ClaimService(system, this.log, appender, "claims", 1, timeoutMillis);
 	}
 
-	private static RequestInfo booking(long requestId, String key, String digest) {
+	private static RequestInfo request(long requestId, String key, String digest) {
 		return new RequestInfo(requestId, "w", TargetKind.SERVICE, "orders", 1, 1, 0, 0, 0, false,
 				new ClaimRequirement(key, digest, 60_000), "", List.of());
 	}
@@ -61,9 +61,8 @@
 		return this.log.fold(STREAM, new ClaimsReducer());
 	}
 
-	// A caller sends the same booking to two daemons at once. Both claim its key; answers
-	// of appends are lost and appends land twice on top. If both were granted, two trucks
-	// would drive to one storefront.
+	// Guards against a request that runs twice when a caller sends it to two daemons at
+	// once while responses to appends are lost and appends are stored twice.
 	@Test
 	void oneOfTwoRacingDaemonsIsGrantedTheKey() {
 		final ClaimService one = daemon("one", 60_000);
@@ -73,8 +72,8 @@
 		this.log.loseAnswers(5);
 		this.log.landTwice(5);
 		for (int i = 0; i < KEYS; i++) {
-			first.add(one.claim(booking(i, "k" + i, "d")));
-			second.add(two.claim(booking(i, "k" + i, "d")));
+			first.add(one.claim(request(i, "k" + i, "d")));
+			second.add(two.claim(request(i, "k" + i, "d")));
 		}
 		for (int i = 0; i < KEYS; i++) {
 			assertThat(List.of(first.get(i).join().verdict(), second.get(i).join().verdict()))
@@ -82,53 +81,54 @@
 		}
 	}
 
-	// A claim lands, but the daemon does not see it in time and tells the caller that the
-	// booking was not run. That must stay true: the claim is given back when it is seen,
-	// and the caller's next try is granted.
+	// Guards against a claim that stays held after the caller was told that nothing ran,
+	// when its record is folded only after the timeout. It must be released, so that a
+	// retry can be granted.
 	@Test
 	void aClaimFoldedAfterTheTimeoutIsReleased() {
 		final ClaimService one = daemon("one", 20);
 		this.log.hide(true);
-		final ClaimResult late = one.claim(booking(1, "k", "d")).join();
+		final ClaimResult late = one.claim(request(1, "k", "d")).join();
 		assertThat(late.verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
 		this.log.hide(false);
 		this.log.await(STREAM, 2).join();
 		assertThat(folded().find("w", "k")).isEmpty();
 	}
 
-	// The booking ran and its answer was stored. A repeat at another daemon gets that
-	// answer; the same key with another booking is refused and not run.
+	// A repeat at another daemon gets the stored outcome; a different request with the
+	// same key is rejected and not run.
 	@Test
 	void aRepeatGetsTheStoredOutcomeAndAReusedKeyIsRefused() {
 		final ClaimService one = daemon("one", 60_000);
-		final ClaimResult granted = one.claim(booking(1, "k", "d")).join();
-		one.settle(booking(1, "k", "d"), granted.claimOffset(), 201, "application/json", "{}", false);
+		final ClaimResult granted = one.claim(request(1, "k", "d")).join();
+		one.settle(request(1, "k", "d"), granted.claimOffset(), 201, "application/json", "{}", false);
 		this.log.await(STREAM, 2).join();
 		final ClaimService two = daemon("two", 60_000);
-		assertThat(two.claim(booking(2, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.SETTLED);
-		assertThat(two.claim(booking(3, "k", "other")).join().verdict()).isEqualTo(ClaimVerdict.REUSED);
-		assertThat(two.find(booking(2, "k", "d")).orElseThrow().outcome().orElseThrow().body()).isEqualTo("{}");
+		assertThat(two.claim(request(2, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.SETTLED);
+		assertThat(two.claim(request(3, "k", "other")).join().verdict()).isEqualTo(ClaimVerdict.REUSED);
+		assertThat(two.find(request(2, "k", "d")).orElseThrow().outcome().orElseThrow().body()).isEqualTo("{}");
 	}
 
-	// A daemon dies between claim and dispatch, or between dispatch and outcome. Nobody
-	// can tell which, so a repeat is told "unknown" once the claimer must have gone.
+	// Guards against running a request twice after a daemon died with a claim. It is
+	// unknown whether the request was sent, so repeats read as unknown once the claim has
+	// outlived the longest run.
 	@Test
 	void theClaimOfACrashedDaemonIsUnknownAndNeverRunsAgain() {
-		daemon("one", 60_000).claim(booking(1, "k", "d")).join();
+		daemon("one", 60_000).claim(request(1, "k", "d")).join();
 		final ClaimService two = daemon("two", 60_000);
-		final RequestInfo patient = booking(2, "k", "d");
-		final RequestInfo later = new RequestInfo(3, "w", TargetKind.SERVICE, "orders", 1, 1, 0, 0, 0, false,
+		final RequestInfo withinRunBound = request(2, "k", "d");
+		final RequestInfo pastRunBound = new RequestInfo(3, "w", TargetKind.SERVICE, "orders", 1, 1, 0, 0, 0, false,
 				new ClaimRequirement("k", "d", 60_000, -1), "", List.of());
-		assertThat(two.claim(patient).join().verdict()).isEqualTo(ClaimVerdict.IN_PROGRESS);
-		assertThat(two.claim(later).join().verdict()).isEqualTo(ClaimVerdict.UNKNOWN);
+		assertThat(two.claim(withinRunBound).join().verdict()).isEqualTo(ClaimVerdict.IN_PROGRESS);
+		assertThat(two.claim(pastRunBound).join().verdict()).isEqualTo(ClaimVerdict.UNKNOWN);
 	}
 
-	// A daemon that has not read the stream to its end does not find the key. It must not
-	// say that the booking did not run, nor claim it.
+	// Guards against a daemon that has not read the stream to its end: it does not find
+	// the key, but must neither report that the request did not run nor claim the key.
 	@Test
 	void aDaemonThatHasNotReadAllClaimsAnswersWithLimbo() {
 		final ClaimService unread = unstartedService("new", 60_000);
-		assertThat(unread.claim(booking(1, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.LIMBO);
+		assertThat(unread.claim(request(1, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.LIMBO);
 		assertThat(this.log.await(STREAM, 0).join()).isEmpty();
 	}
 
