--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/CacheEventDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/CacheEventDuty.java
@@ -24,12 +24,12 @@
 import org.pistachioline.daemon.duty.Ring;
 
 /**
- * Reads what engines say of their prefix caches, one engine after the other.
+ * Reads the prefix-cache events of engines, one engine at a time.
  * <p>
- * A hint that is late costs a prefill, one that is missing too; so the reads are held to
- * four a second however many groups there are, and their cost to a daemon does not grow
- * with the fleet. A target that is met for the first time is asked for its place in its
- * events only, since a thousand old ones would arrive at once.
+ * A late or missing event costs only a prefill. So reads are limited to four per second
+ * regardless of the number of groups, and their cost does not grow with the fleet. For a
+ * new target only the current position in its event log is requested, since a thousand
+ * old events could arrive at once otherwise.
  */
 public final class CacheEventDuty implements Lifecycle, DutyHandler<CacheEventDuty.ReadCompleted> {
 
@@ -52,17 +52,17 @@
 	private boolean readInProgress;
 
 	/**
-	 * Creates the duty.
+	 * Creates a duty that reads events once it is started.
 	 * @param system the process's actor system
-	 * @param engines how engines are asked
-	 * @param fleet what is known of targets
-	 * @param receiver takes what the engines say
+	 * @param engines the client that reads cache events from engines
+	 * @param fleet supplies the newest view of the targets
+	 * @param listener called with the events of each read
 	 */
 	public CacheEventDuty(ActorSystem<?> system, EngineCache engines, Supplier<FleetView> fleet,
-			Consumer<CacheEvents> receiver) {
+			Consumer<CacheEvents> listener) {
 		this.engines = engines;
 		this.fleet = fleet;
-		this.listener = receiver;
+		this.listener = listener;
 		this.duty = new Duty<>(system, "cache-events", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
@@ -96,7 +96,8 @@
 		this.readInProgress = true;
 		final long fromSequence = this.nextSequences.getOrDefault(target.targetId(), EngineCache.NONE);
 		this.engines.changes(target.address(), fromSequence)
-			.whenComplete((page, failure) -> this.duty.put(new ReadCompleted(target.targetId(), fromSequence, page)));
+			.whenComplete(
+					(changes, failure) -> this.duty.put(new ReadCompleted(target.targetId(), fromSequence, changes)));
 	}
 
 	private void startRound() {
@@ -105,28 +106,31 @@
 			.stream()
 			.filter((target) -> target.kind() == TargetKind.MODEL && target.serving())
 			.forEach(this.remainingTargets::add);
-		final Set<String> known = this.remainingTargets.stream().map(TargetView::targetId).collect(Collectors.toSet());
-		this.nextSequences.keySet().retainAll(known);
+		final Set<String> targetIds = this.remainingTargets.stream()
+			.map(TargetView::targetId)
+			.collect(Collectors.toSet());
+		this.nextSequences.keySet().retainAll(targetIds);
 	}
 
 	@Override
-	public void onMessage(ReadCompleted page) {
+	public void onMessage(ReadCompleted read) {
 		this.readInProgress = false;
-		if (page.changes() == null) {
+		if (read.changes() == null) {
 			return;
 		}
-		this.nextSequences.put(page.targetId(), page.changes().nextSequence());
-		if (page.fromSequence() != EngineCache.NONE) {
-			this.listener.accept(page.changes().summarize(page.targetId(), page.fromSequence()));
+		this.nextSequences.put(read.targetId(), read.changes().nextSequence());
+		if (read.fromSequence() != EngineCache.NONE) {
+			this.listener.accept(read.changes().summarize(read.targetId(), read.fromSequence()));
 		}
 	}
 
 	/**
-	 * What a read gave.
+	 * A read of a target's cache events succeeded or failed.
 	 *
-	 * @param targetId the target
-	 * @param fromSequence the first sequence that was asked for
-	 * @param changes the changes; null where the read failed
+	 * @param targetId the target that was read
+	 * @param fromSequence the first requested sequence, or {@link EngineCache#NONE} if
+	 * only the position was requested
+	 * @param changes the changes; null if the read failed
 	 */
 	record ReadCompleted(String targetId, long fromSequence, CacheEventPage changes) {
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
@@ -42,7 +42,8 @@
 import org.pistachioline.protocol.peer.PeerFrame;
 
 /**
- * Reads the instance list, asks engines what they hold and publishes what may serve.
+ * Reads the instance list, probes engines for what they hold and publishes which targets
+ * can serve.
  */
 public final class FleetDuty implements Lifecycle, DutyHandler<FleetDuty.Message> {
 
@@ -60,7 +61,7 @@
 
 	private final EngineControl engines;
 
-	private final PresenceTransport links;
+	private final PresenceTransport transport;
 
 	private final String writer;
 
@@ -89,32 +90,32 @@
 	private long listedAtNanos;
 
 	/**
-	 * Creates the duty.
+	 * Creates a duty that reads and probes once it is started.
 	 * @param system the process's actor system
 	 * @param config the configuration stream
 	 * @param fleet the fleet stream
 	 * @param instanceList the platform's instance list
-	 * @param engines how engines are asked
-	 * @param links how other daemons are asked
-	 * @param writer this daemon's name as a writer on the log
-	 * @param limits the times of probing
+	 * @param engines the client that probes engines
+	 * @param transport the transport that exchanges presence with other daemons
+	 * @param writer the writer id of this process on the log
+	 * @param limits the intervals and bounds of probing
 	 */
 	public FleetDuty(ActorSystem<?> system, StreamDuty<ConfigState> config, StreamDuty<FleetState> fleet,
-			InstanceList instanceList, EngineControl engines, PresenceTransport links, String writer,
+			InstanceList instanceList, EngineControl engines, PresenceTransport transport, String writer,
 			PresenceLimits limits) {
 		this.config = config;
 		this.fleet = fleet;
 		this.instanceList = instanceList;
 		this.engines = engines;
-		this.links = links;
+		this.transport = transport;
 		this.writer = writer;
 		this.presenceBoundNanos = limits.boundNanos();
-		this.presence = new PresenceNode(links.selfId(), limits);
+		this.presence = new PresenceNode(transport.selfId(), limits);
 		this.duty = new Duty<>(system, "fleet", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	/**
-	 * Adds a listener to each new view.
+	 * Adds a listener that receives each new view.
 	 * @param listener the listener; it runs on the duty's thread
 	 */
 	public void onChange(Consumer<FleetView> listener) {
@@ -122,7 +123,7 @@
 	}
 
 	/**
-	 * Returns what is known.
+	 * Returns what is currentView of instances and targets; callable on any thread.
 	 * @return the newest view
 	 */
 	public FleetView view() {
@@ -132,11 +133,12 @@
 	@Override
 	public void start() {
 		this.duty.start();
-		// A change on the log must show at once: a dissolved group takes no more work.
+		// A change on the log takes effect at once, as a dissolved group must get no more
+		// requests.
 		this.fleet.onChange(() -> this.duty.offer(new Message.StateChanged()));
 		this.config.onChange(() -> this.duty.offer(new Message.StateChanged()));
-		// A frame for which there is no room is dropped: the question is asked again.
-		this.links.onFrame((frame) -> this.duty.offer(new Message.PeerFrameReceived(frame)));
+		// A frame is dropped if the ring is full; the request is sent again.
+		this.transport.onFrame((frame) -> this.duty.offer(new Message.PeerFrameReceived(frame)));
 	}
 
 	@Override
@@ -162,7 +164,7 @@
 	}
 
 	private void probe(long nowNanos) {
-		this.presence.update(this.fleet.view().state().groups(), this.links.zonesByDaemon(), nowNanos);
+		this.presence.update(this.fleet.view().state().groups(), this.transport.zonesByDaemon(), nowNanos);
 		final PresenceStep step = this.presence.step(membersToProbe(nowNanos), nowNanos);
 		this.heldByInstance.keySet().retainAll(this.presence.own().instances());
 		this.probedSinceNanos.keySet().retainAll(this.presence.asked());
@@ -174,29 +176,28 @@
 				}
 			});
 		}
-		step.questions().forEach(this.links::send);
+		step.questions().forEach(this.transport::send);
 	}
 
-	// The planner reads back itself what nobody proves: its free instances and the
-	// members
-	// of groups that load or lack one.
+	// A planner itself probes the instances that no other daemon proves present: the free
+	// ones and the members of groups that are loading or lack a member.
 	private List<Member> membersToProbe(long nowNanos) {
 		final FleetState state = this.fleet.view().state();
-		final Set<Long> proven = this.presence.serving(nowNanos);
-		final List<Member> planned = new ArrayList<>();
+		final Set<Long> provenByPresence = this.presence.serving(nowNanos);
+		final List<Member> members = new ArrayList<>();
 		for (final GroupState group : state.groups().values()) {
-			if (isPlannedHere(state, group.fabricDomain()) && !proven.contains(group.epoch())) {
-				planned.addAll(group.members());
+			if (isPlannedHere(state, group.fabricDomain()) && !provenByPresence.contains(group.epoch())) {
+				members.addAll(group.members());
 			}
 		}
 		for (final Instance instance : this.instances) {
 			if (isPlannedHere(state, instance.fabricDomain()) && isEngine(instance)
 					&& !state.owners().containsKey(instance.id())) {
-				planned.add(new Member(instance.id(), instance.fabricDomain(), instance.address(),
+				members.add(new Member(instance.id(), instance.fabricDomain(), instance.address(),
 						instance.availabilityZone(), instance.accelerators()));
 			}
 		}
-		return planned;
+		return members;
 	}
 
 	private boolean isEngine(Instance instance) {
@@ -211,20 +212,21 @@
 
 	@Override
 	public void onMessage(Message message) {
-		if (message instanceof Message.ListCompleted list) {
+		if (message instanceof Message.ListCompleted completed) {
 			this.listInProgress = false;
 			this.listedAtNanos = System.nanoTime();
-			if (list.failure() == null) {
-				this.instances = List.copyOf(list.instances());
+			if (completed.failure() == null) {
+				this.instances = List.copyOf(completed.instances());
 				this.listed = true;
 			}
 		}
-		else if (message instanceof Message.HeldStateReceived answer) {
-			this.heldByInstance.put(answer.instanceId(), new PresenceProof(answer.held(), answer.probedAtNanos()));
-			this.presence.onHeld(answer.instanceId(), answer.held(), answer.probedAtNanos());
+		else if (message instanceof Message.HeldStateReceived heldState) {
+			this.heldByInstance.put(heldState.instanceId(),
+					new PresenceProof(heldState.held(), heldState.probedAtNanos()));
+			this.presence.onHeld(heldState.instanceId(), heldState.held(), heldState.probedAtNanos());
 		}
-		else if (message instanceof Message.PeerFrameReceived told) {
-			this.links.handle(told.frame(), this.presence, System.nanoTime());
+		else if (message instanceof Message.PeerFrameReceived received) {
+			this.transport.handle(received.frame(), this.presence, System.nanoTime());
 		}
 		else if (message instanceof Message.StateChanged) {
 			publish(System.nanoTime());
@@ -236,7 +238,7 @@
 			return;
 		}
 		final FleetState state = this.fleet.view().state();
-		this.presence.update(state.groups(), this.links.zonesByDaemon(), nowNanos);
+		this.presence.update(state.groups(), this.transport.zonesByDaemon(), nowNanos);
 		final Map<Long, GroupProof> proofs = this.presence.proofs(nowNanos);
 		final List<TargetView> targets = TargetViews.derive(this.instances, this.config.view().state().manifest(),
 				state, proofs, this.presenceBoundNanos, nowNanos);
@@ -283,7 +285,7 @@
 	}
 
 	/**
-	 * Returns what each instance that is asked last said that it holds.
+	 * Returns the last answer of each probed instance about what it holds.
 	 * @return the answers by the instance's id
 	 */
 	Map<String, PresenceProof> held() {
@@ -291,7 +293,7 @@
 	}
 
 	/**
-	 * Returns the groups that are proven to be there as a whole.
+	 * Returns the groups of which all members are proven present.
 	 * @param nowNanos the monotonic time
 	 * @return their epochs
 	 */
@@ -306,24 +308,24 @@
 	}
 
 	/**
-	 * Returns the instances of this daemon's fabric domains that do not answer. Members
-	 * of a group that another daemon has proved are not among them: then this daemon is
-	 * cut off, not the member.
+	 * Returns the unresponsive instances of the fabric domains that this daemon plans.
+	 * Members of a group that another daemon has proven present are left out, since then
+	 * this daemon is cut off and not the member.
 	 * @param nowNanos the monotonic time
 	 * @return the instances' ids
 	 */
 	Set<String> unresponsiveInstances(long nowNanos) {
-		final FleetView known = this.view.get();
+		final FleetView currentView = this.view.get();
 		final FleetState state = this.fleet.view().state();
 		final Set<String> candidates = new HashSet<>();
 		for (final GroupState group : state.groups().values()) {
-			final GroupProof proof = known.proofs().get(group.epoch());
+			final GroupProof proof = currentView.proofs().get(group.epoch());
 			final boolean proven = proof != null && proof.serves(this.presenceBoundNanos, nowNanos);
 			if (isPlannedHere(state, group.fabricDomain()) && !proven) {
 				group.members().forEach((member) -> candidates.add(member.instanceId()));
 			}
 		}
-		for (final Instance instance : known.instances()) {
+		for (final Instance instance : currentView.instances()) {
 			if (isPlannedHere(state, instance.fabricDomain()) && isEngine(instance)
 					&& !state.owners().containsKey(instance.id())) {
 				candidates.add(instance.id());
@@ -331,9 +333,10 @@
 		}
 		candidates.removeIf((id) -> {
 			final PresenceProof proof = this.heldByInstance.get(id);
-			final long askedNanos = nowNanos - this.probedSinceNanos.getOrDefault(id, nowNanos);
-			// One that was not asked for so long has had no chance to answer.
-			return askedNanos <= this.presenceBoundNanos
+			final long probedNanos = nowNanos - this.probedSinceNanos.getOrDefault(id, nowNanos);
+			// An instance that has been probed for less than the bound has had no chance
+			// to heldState.
+			return probedNanos <= this.presenceBoundNanos
 					|| (proof != null && nowNanos - proof.askedAtNanos() <= this.presenceBoundNanos);
 		});
 		return candidates;
@@ -345,39 +348,39 @@
 	}
 
 	/**
-	 * A message to the duty.
+	 * A message on the ring of the duty.
 	 */
 	sealed interface Message {
 
 		/**
-		 * The instance list answered, or did not.
+		 * A read of the instance list succeeded or failed.
 		 *
 		 * @param instances the instances
-		 * @param failure why it failed
+		 * @param failure the cause of the failure; null if the read succeeded
 		 */
 		record ListCompleted(List<Instance> instances, Throwable failure) implements Message {
 		}
 
 		/**
-		 * An engine answered.
+		 * An engine answered a probe.
 		 *
-		 * @param instanceId the instance
-		 * @param held what it holds
-		 * @param probedAtNanos when it was asked
+		 * @param instanceId the probed instance
+		 * @param held what the instance holds
+		 * @param probedAtNanos the monotonic time when the probe was sent
 		 */
 		record HeldStateReceived(String instanceId, HeldState held, long probedAtNanos) implements Message {
 		}
 
 		/**
-		 * Another daemon asked or answered.
+		 * A presence frame arrived from another daemon.
 		 *
-		 * @param frame its frame
+		 * @param frame the frame
 		 */
 		record PeerFrameReceived(PeerFrame frame) implements Message {
 		}
 
 		/**
-		 * The agreed state changed.
+		 * The replicated configuration or fleet state changed.
 		 */
 		record StateChanged() implements Message {
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetView.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetView.java
@@ -8,19 +8,19 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * What this daemon knows of instances and targets at a moment; immutable.
+ * Immutable snapshot of what this daemon knows of instances and targets.
  *
- * @param instances the instances as the platform lists them
- * @param missingRanks the missing ranks of each group that lacks any, by group id; only
- * of groups that this daemon serves or plans
- * @param targets every target, serving or not
- * @param proofs what is known of each group that this daemon serves, by the group's epoch
- * @param listed whether the instance list was read once
+ * @param instances the instances in the platform's instance list
+ * @param missingRanks the ranks of absent members by group id, for groups that this
+ * daemon serves or plans and that are not complete
+ * @param targets all targets, whether they can serve or not
+ * @param proofs the presence of each group that this daemon serves, by group epoch
+ * @param listed whether the instance list has been read at least once
  */
 public record FleetView(List<Instance> instances, Map<String, List<Integer>> missingRanks, List<TargetView> targets,
 		Map<Long, GroupProof> proofs, boolean listed) {
 
-	/** Nothing is known. */
+	/** The view before the instance list has been read. */
 	public static final FleetView EMPTY = new FleetView(List.of(), Map.of(), List.of(), Map.of(), false);
 
 	public FleetView {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -48,7 +48,8 @@
 import org.pistachioline.daemon.event.Events;
 
 /**
- * Plans the fabric domains that fall to this daemon and gives their engines orders.
+ * Plans the fabric domains that this daemon is the elected planner of, and sends orders
+ * to their engines.
  */
 public final class PlannerDuty implements Lifecycle, DutyHandler<PlannerDuty.Message> {
 
@@ -85,23 +86,23 @@
 	private int pendingProposals;
 
 	/**
-	 * Creates the duty.
+	 * Creates a duty that plans once it is started.
 	 * @param system the process's actor system
 	 * @param config the configuration stream
 	 * @param fleet the fleet stream
-	 * @param instances what is known of instances
-	 * @param engines how engines are given orders
-	 * @param appender appends records
-	 * @param planner decides on groups
-	 * @param selfId this daemon's name
-	 * @param liveDaemons the names of the live daemons, this one included
+	 * @param fleetDuty provides the instance list and the presence of groups
+	 * @param engines the client that sends orders to engines
+	 * @param appender appends proposals to the fleet stream
+	 * @param planner decides which groups to form, drain and dissolve
+	 * @param selfId the id of this daemon
+	 * @param liveDaemons supplies the ids of the live daemons, including this one
 	 */
 	public PlannerDuty(ActorSystem<?> system, StreamDuty<ConfigState> config, StreamDuty<FleetState> fleet,
-			FleetDuty instances, EngineControl engines, AppendDuty appender, Planner planner, String selfId,
+			FleetDuty fleetDuty, EngineControl engines, AppendDuty appender, Planner planner, String selfId,
 			Supplier<Set<String>> liveDaemons) {
 		this.config = config;
 		this.fleet = fleet;
-		this.fleetDuty = instances;
+		this.fleetDuty = fleetDuty;
 		this.engines = engines;
 		this.appender = appender;
 		this.planner = planner;
@@ -112,8 +113,8 @@
 	}
 
 	/**
-	 * Returns the last plan with its reasons, for dumps.
-	 * @return the plan; empty where this daemon plans nothing
+	 * Returns the last plan and its reasons, for the dump.
+	 * @return the plan; empty if this daemon plans no domain
 	 */
 	public Plan plan() {
 		return this.plan.get();
@@ -145,8 +146,8 @@
 		if (message instanceof Message.ProposalCompleted) {
 			this.pendingProposals--;
 		}
-		else if (message instanceof Message.OrderCompleted ordered) {
-			this.pendingOrders.remove(ordered.instanceId());
+		else if (message instanceof Message.OrderCompleted completed) {
+			this.pendingOrders.remove(completed.instanceId());
 		}
 		else {
 			step();
@@ -155,23 +156,23 @@
 
 	private void step() {
 		final StreamView<FleetState> fleetView = this.fleet.view();
-		final FleetView known = this.fleetDuty.view();
+		final FleetView instanceView = this.fleetDuty.view();
 		final long nowNanos = System.nanoTime();
-		// A planner whose view is old may have been replaced without knowing it.
-		final boolean fresh = fleetView.caughtUp() && this.config.view().caughtUp() && known.listed()
+		// A planner with a stale view may have been replaced without knowing it.
+		final boolean fresh = fleetView.caughtUp() && this.config.view().caughtUp() && instanceView.listed()
 				&& this.orders.isFresh(fleetView.readAtNanos(), nowNanos);
 		if (!fresh) {
 			return;
 		}
 		if (this.pendingProposals == 0) {
-			propose(nowNanos, fleetView.state(), known);
+			propose(nowNanos, fleetView.state(), instanceView);
 		}
-		sendOrders(nowNanos, fleetView, known);
+		sendOrders(nowNanos, fleetView, instanceView);
 	}
 
-	private void propose(long nowNanos, FleetState state, FleetView known) {
+	private void propose(long nowNanos, FleetState state, FleetView instanceView) {
 		final Set<String> live = this.liveDaemons.get();
-		for (final String domain : engineDomains(known)) {
+		for (final String domain : engineDomains(instanceView)) {
 			final PlannerEpoch current = state.planners().get(domain);
 			if (this.election.claims(domain, current, live, nowNanos)) {
 				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
@@ -180,27 +181,27 @@
 		if (this.pendingProposals > 0) {
 			return;
 		}
-		final Plan next = this.planner.plan(new PlannerInput(nowNanos, this.appender.writer(),
-				this.config.view().state().manifest(), this.config.view().state().version(), state, known.instances(),
-				known.missingRanks(), loads(state, known), this.fleetDuty.unresponsiveInstances(nowNanos)),
-				this.memory);
+		final Plan next = this.planner
+			.plan(new PlannerInput(nowNanos, this.appender.writer(), this.config.view().state().manifest(),
+					this.config.view().state().version(), state, instanceView.instances(), instanceView.missingRanks(),
+					loads(state, instanceView), this.fleetDuty.unresponsiveInstances(nowNanos)), this.memory);
 		logDarkDomains(next.darkDomains());
 		this.plan.set(next);
 		next.records().forEach(this::append);
 	}
 
-	private void logDarkDomains(Set<String> dark) {
-		for (final String domain : dark) {
+	private void logDarkDomains(Set<String> darkDomains) {
+		for (final String domain : darkDomains) {
 			if (!this.plan.get().darkDomains().contains(domain)) {
 				Events.log(EventId.DOMAIN_DARK, "fabric_domain", domain);
 			}
 		}
 	}
 
-	private static Map<String, GroupLoad> loads(FleetState state, FleetView known) {
+	private static Map<String, GroupLoad> loads(FleetState state, FleetView instanceView) {
 		final Map<String, GroupLoad> loads = new HashMap<>();
 		for (final GroupState group : state.groups().values()) {
-			final GroupProof proof = known.proofs().get(group.epoch());
+			final GroupProof proof = instanceView.proofs().get(group.epoch());
 			if (proof != null && proof.loadAtNanos() != GroupProof.NEVER) {
 				loads.put(group.groupId(), new GroupLoad(proof.running(), proof.waiting(), proof.loadAtNanos()));
 			}
@@ -208,9 +209,9 @@
 		return loads;
 	}
 
-	private Set<String> engineDomains(FleetView known) {
+	private Set<String> engineDomains(FleetView instanceView) {
 		final Set<String> domains = new TreeSet<>();
-		for (final Instance instance : known.instances()) {
+		for (final Instance instance : instanceView.instances()) {
 			final boolean engine = this.config.view()
 				.state()
 				.manifest()
@@ -250,11 +251,11 @@
 		}
 	}
 
-	private void sendOrders(long nowNanos, StreamView<FleetState> view, FleetView known) {
+	private void sendOrders(long nowNanos, StreamView<FleetState> view, FleetView instanceView) {
 		final OrderInput input = new OrderInput(nowNanos, view.readAtNanos(), this.config.view().state().manifest(),
-				view.state(), known.instances(), this.fleetDuty.provenEpochs(nowNanos), this.fleetDuty.held());
+				view.state(), instanceView.instances(), this.fleetDuty.provenEpochs(nowNanos), this.fleetDuty.held());
 		for (final EngineCommand command : this.orders.decide(input)) {
-			// Asked again, as this thread may have paused since the decision.
+			// Checked again, since this thread may have been paused after the decision.
 			if (this.orders.isFresh(view.readAtNanos(), System.nanoTime())) {
 				send(command);
 			}
@@ -265,8 +266,8 @@
 		if (!this.pendingOrders.add(command.instanceId())) {
 			return;
 		}
-		this.engines.order(command.address(), command.order()).whenComplete((taken, failure) -> {
-			if (failure != null || !taken) {
+		this.engines.order(command.address(), command.order()).whenComplete((accepted, failure) -> {
+			if (failure != null || !accepted) {
 				Events.log(EventId.ORDER_FAILED, "instance", command.instanceId(), "group", command.order().groupId(),
 						"fencing_number", command.order().fencingNumber());
 			}
@@ -275,28 +276,28 @@
 	}
 
 	/**
-	 * A message to the duty.
+	 * A message on the ring of the duty.
 	 */
 	sealed interface Message {
 
 		/**
-		 * The agreed state changed.
+		 * The replicated fleet state changed.
 		 */
 		record StateChanged() implements Message {
 		}
 
 		/**
-		 * A proposal of ours was folded.
+		 * A proposal of this daemon was folded, or its append failed.
 		 *
-		 * @param verdict the verdict; null where it was not appended
+		 * @param verdict the verdict; null if it is unknown or nothing was appended
 		 */
 		record ProposalCompleted(RecordVerdict verdict) implements Message {
 		}
 
 		/**
-		 * An order was answered, or not.
+		 * An order was answered or failed.
 		 *
-		 * @param instanceId the instance
+		 * @param instanceId the instance that the order was sent to
 		 */
 		record OrderCompleted(String instanceId) implements Message {
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
@@ -14,7 +14,7 @@
 import org.pistachioline.protocol.peer.PresenceAnswer;
 
 /**
- * Carries questions about presence and their answers between daemons.
+ * Sends presence requests and responses to other daemons and handles the received ones.
  */
 public final class PresenceTransport {
 
@@ -23,8 +23,8 @@
 	private final PeerDuty peers;
 
 	/**
-	 * Creates the links.
-	 * @param selfId this daemon's name
+	 * Creates a transport over the links between daemons.
+	 * @param selfId the id of this daemon
 	 * @param peers the links between daemons
 	 */
 	public PresenceTransport(String selfId, PeerDuty peers) {
@@ -50,53 +50,53 @@
 		this.peers.onPresenceFrame(receiver);
 	}
 
-	void send(PresenceQuestion question) {
-		this.peers.send(question.daemonId(), frameOf(this.selfId, question));
+	void send(PresenceQuestion request) {
+		this.peers.send(request.daemonId(), frameOf(this.selfId, request));
 	}
 
 	/**
-	 * Makes the frame of a question.
-	 * @param askerId who asks
-	 * @param question the question
+	 * Encodes a presence request.
+	 * @param requesterId the id of the requesting daemon
+	 * @param request the request
 	 * @return the frame
 	 */
-	public static PeerFrame frameOf(String askerId, PresenceQuestion question) {
+	public static PeerFrame frameOf(String requesterId, PresenceQuestion request) {
 		return PeerFrame.newBuilder()
 			.setPresenceQuestion(org.pistachioline.protocol.peer.PresenceQuestion.newBuilder()
-				.setAskerId(askerId)
-				.setToken(question.token())
-				.addAllEpochs(question.epochs()))
+				.setAskerId(requesterId)
+				.setToken(request.token())
+				.addAllEpochs(request.epochs()))
 			.build();
 	}
 
 	/**
-	 * Makes the frame of an answer.
-	 * @param answererId who answers
-	 * @param token the question's token
-	 * @param digests what is known
+	 * Encodes a response to a presence request.
+	 * @param responderId the id of the responding daemon
+	 * @param token the correlation token of the request
+	 * @param digests what the responder knows of the requested groups
 	 * @return the frame
 	 */
-	public static PeerFrame frameOf(String answererId, long token, List<GroupDigest> digests) {
-		final PresenceAnswer.Builder answer = PresenceAnswer.newBuilder().setAnswererId(answererId).setToken(token);
-		digests.forEach((digest) -> answer.addGroups(encode(digest)));
-		return PeerFrame.newBuilder().setPresenceAnswer(answer).build();
+	public static PeerFrame frameOf(String responderId, long token, List<GroupDigest> digests) {
+		final PresenceAnswer.Builder response = PresenceAnswer.newBuilder().setAnswererId(responderId).setToken(token);
+		digests.forEach((digest) -> response.addGroups(encode(digest)));
+		return PeerFrame.newBuilder().setPresenceAnswer(response).build();
 	}
 
 	void handle(PeerFrame frame, PresenceNode presence, long nowNanos) {
 		if (frame.hasPresenceQuestion()) {
-			answer(frame.getPresenceQuestion(), presence, nowNanos);
+			respond(frame.getPresenceQuestion(), presence, nowNanos);
 		}
 		else if (frame.hasPresenceAnswer()) {
-			final PresenceAnswer answer = frame.getPresenceAnswer();
-			presence.onAnswer(answer.getAnswererId(), answer.getToken(),
-					answer.getGroupsList().stream().map(PresenceTransport::decode).toList());
+			final PresenceAnswer response = frame.getPresenceAnswer();
+			presence.onAnswer(response.getAnswererId(), response.getToken(),
+					response.getGroupsList().stream().map(PresenceTransport::decode).toList());
 		}
 	}
 
-	private void answer(org.pistachioline.protocol.peer.PresenceQuestion question, PresenceNode presence,
+	private void respond(org.pistachioline.protocol.peer.PresenceQuestion request, PresenceNode presence,
 			long nowNanos) {
-		this.peers.send(question.getAskerId(),
-				frameOf(this.selfId, question.getToken(), presence.answer(question.getEpochsList(), nowNanos)));
+		this.peers.send(request.getAskerId(),
+				frameOf(this.selfId, request.getToken(), presence.answer(request.getEpochsList(), nowNanos)));
 	}
 
 	private static org.pistachioline.protocol.peer.GroupDigest encode(GroupDigest digest) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/TargetViews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/TargetViews.java
@@ -18,7 +18,8 @@
 import org.pistachioline.core.traffic.TargetView;
 
 /**
- * Derives the targets of requests from agreed groups, presence and the instance list.
+ * Derives the targets of requests from the agreed groups, their presence and the instance
+ * list.
  */
 final class TargetViews {
 
@@ -28,17 +29,17 @@
 	}
 
 	/**
-	 * Derives the targets.
-	 * @param instances the instances as the platform lists them
+	 * Derives all targets, including those that cannot serve.
+	 * @param instances the instances in the platform's instance list
 	 * @param manifest the manifest in force
 	 * @param fleet the agreed groups
-	 * @param proofs what is known of each group that this daemon serves, by epoch
-	 * @param boundNanos the age at which a proof no longer counts
+	 * @param proofs the presence of each group that this daemon serves, by group epoch
+	 * @param presenceBoundNanos the age at which a proof of presence expires
 	 * @param nowNanos the monotonic time
 	 * @return a target for each group that this daemon serves and for each plain service
 	 */
 	static List<TargetView> derive(List<Instance> instances, Manifest manifest, FleetState fleet,
-			Map<Long, GroupProof> proofs, long boundNanos, long nowNanos) {
+			Map<Long, GroupProof> proofs, long presenceBoundNanos, long nowNanos) {
 		final List<TargetView> targets = new ArrayList<>();
 		final Set<String> leaving = instances.stream()
 			.filter(Instance::leaving)
@@ -47,13 +48,14 @@
 		for (final GroupState group : fleet.groups().values()) {
 			final GroupProof proof = proofs.get(group.epoch());
 			if (proof != null) {
-				// Told by the list itself, so that a leaving member gets no new work even
-				// while
-				// the log is out and no planner can drain its group.
-				final boolean stays = group.members()
+				// Taken from the instance list itself, so that a leaving member gets no
+				// new requests even while the log is down and no planner can drain its
+				// group.
+				final boolean noMemberLeaving = group.members()
 					.stream()
 					.noneMatch((member) -> leaving.contains(member.instanceId()));
-				targets.add(ofGroup(group, manifest, proof, stays && proof.serves(boundNanos, nowNanos)));
+				targets.add(
+						ofGroup(group, manifest, proof, noMemberLeaving && proof.serves(presenceBoundNanos, nowNanos)));
 			}
 		}
 		for (final ServiceSpec service : manifest.services()) {
@@ -67,12 +69,12 @@
 		return targets;
 	}
 
-	private static TargetView ofGroup(GroupState group, Manifest manifest, GroupProof proof, boolean allPresent) {
-		final Member first = group.members().get(0);
+	private static TargetView ofGroup(GroupState group, Manifest manifest, GroupProof proof, boolean available) {
+		final Member firstMember = group.members().get(0);
 		final int slots = manifest.model(group.model()).map(ModelSpec::maxConcurrentRequests).orElse(1);
-		return new TargetView(group.groupId() + "@" + group.epoch(), TargetKind.MODEL, group.model(), first.address(),
-				group.epoch(), first.availabilityZone(), allPresent && !group.draining(), slots, proof.running(),
-				proof.waiting(), proof.loadAtNanos());
+		return new TargetView(group.groupId() + "@" + group.epoch(), TargetKind.MODEL, group.model(),
+				firstMember.address(), group.epoch(), firstMember.availabilityZone(), available && !group.draining(),
+				slots, proof.running(), proof.waiting(), proof.loadAtNanos());
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Instances, presence of groups, orders and planning.
+ * Fleet management: the instance list, presence probing of groups, planning and engine
+ * orders.
  */
 package org.pistachioline.daemon.fleet;
