--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/AdminHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/AdminHandler.java
@@ -10,7 +10,7 @@
 import org.pistachioline.adapters.web.WebRequest;
 
 /**
- * Answers operators: health, readiness, metrics and the dump.
+ * Serves the operators' endpoints: health, readiness, metrics, trace and dump.
  */
 public final class AdminHandler implements WebHandler {
 
@@ -23,8 +23,8 @@
 	private final DaemonView daemon;
 
 	/**
-	 * Creates a handler.
-	 * @param daemon what is known of the daemon
+	 * Creates a handler that serves the state of a daemon.
+	 * @param daemon the state of the daemon
 	 */
 	public AdminHandler(DaemonView daemon) {
 		this.daemon = daemon;
@@ -32,10 +32,10 @@
 
 	@Override
 	public void handle(WebRequest request, WebReply reply) {
-		reply.whole(answer(request));
+		reply.whole(route(request));
 	}
 
-	private WebAnswer answer(WebRequest request) {
+	private WebAnswer route(WebRequest request) {
 		return switch (request.path()) {
 			case "/healthz" -> json(OK, Map.of("status", "alive"));
 			case "/readyz" -> ready();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/AdminServer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/AdminServer.java
@@ -7,8 +7,8 @@
 import org.pistachioline.daemon.Lifecycle;
 
 /**
- * Listens for operators, on a thread of its own: a dump or a scrape takes milliseconds in
- * which no caller's event may wait.
+ * HTTP server for operators, with a thread of its own: a dump or a scrape of the metrics
+ * takes milliseconds and must not delay the events of callers.
  */
 public final class AdminServer implements Lifecycle {
 
@@ -17,9 +17,9 @@
 	private final WebServer server;
 
 	/**
-	 * Creates a server.
-	 * @param address where to listen, as host and port
-	 * @param handler answers each request
+	 * Creates a server that listens once it is started.
+	 * @param address the address to listen on, as host and port
+	 * @param handler handles each request
 	 */
 	public AdminServer(String address, WebHandler handler) {
 		this.server = new WebServer(this.loop, address, handler, () -> RequestLimits.DEFAULT);
@@ -37,8 +37,8 @@
 	}
 
 	/**
-	 * Returns where it listens.
-	 * @return the address, as host and port; empty until it listens
+	 * Returns the address that the server is bound to.
+	 * @return the address as host and port; empty until the server is started
 	 */
 	public String localAddress() {
 		return this.server.localAddress();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
@@ -42,7 +42,8 @@
 import org.pistachioline.daemon.traffic.Exchanges;
 
 /**
- * Answers callers: completions, models, plain services and endpoints.
+ * Serves the callers' endpoints: completions, models, plain services and the list of
+ * daemons.
  */
 public final class CallerHandler {
 
@@ -69,13 +70,12 @@
 	private final String requestIdPrefix;
 
 	/**
-	 * Creates a handler.
-	 * @param daemon what is known of the daemon
+	 * Creates a handler that starts an exchange for each valid request.
+	 * @param daemon the state of the daemon
 	 * @param exchanges starts exchanges
-	 * @param http the HTTP client, for its actor system
+	 * @param http the HTTP client, whose actor system reads the bodies
 	 * @param limits the limits on requests
-	 * @param requestIdPrefix the start of the ids of requests, unlike that of other
-	 * daemons
+	 * @param requestIdPrefix the prefix of the request ids, unique to this daemon
 	 */
 	public CallerHandler(DaemonView daemon, Exchanges exchanges, HttpCaller http, CallerLimits limits,
 			String requestIdPrefix) {
@@ -87,9 +87,9 @@
 	}
 
 	/**
-	 * Answers a request.
+	 * Handles a request of a caller.
 	 * @param request the request
-	 * @return the answer; it never fails
+	 * @return the response; never completes exceptionally
 	 */
 	public CompletionStage<HttpResponse> handle(HttpRequest request) {
 		final long requestId = this.nextRequestId.getAndIncrement();
@@ -114,10 +114,10 @@
 		}
 		require(path.equals("/v1/models") || path.equals("/v1/endpoints"), ErrorKind.NOT_FOUND);
 		require(request.method().equals(HttpMethods.GET), ErrorKind.METHOD_NOT_ALLOWED);
-		final HttpResponse answer = path.equals("/v1/models") ? models(request) : endpoints(request);
+		final HttpResponse response = path.equals("/v1/models") ? models(request) : endpoints(request);
 		request.discardEntityBytes(this.http.system());
 		return CompletableFuture.completedFuture(
-				answer.addHeader(RawHeader.create(ErrorBody.REQUEST_ID_HEADER, this.requestIdPrefix + requestId)));
+				response.addHeader(RawHeader.create(ErrorBody.REQUEST_ID_HEADER, this.requestIdPrefix + requestId)));
 	}
 
 	private CompletionStage<HttpResponse> complete(HttpRequest request, long requestId) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerLimits.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerLimits.java
@@ -1,11 +1,11 @@
 package org.pistachioline.daemon.http;
 
 /**
- * The limits on what callers send.
+ * Limits for callers' requests, and how long callers may cache the list of daemons.
  *
- * @param maxBodyBytes the largest body
- * @param bodyTimeoutMillis the longest time for sending a body
- * @param endpointTtlSeconds how long an answer of {@code /v1/endpoints} may be kept
+ * @param maxBodyBytes the maximum size of a request body
+ * @param bodyTimeoutMillis the maximum time in which a body must arrive
+ * @param endpointTtlSeconds how long a response of {@code /v1/endpoints} may be cached
  */
 public record CallerLimits(long maxBodyBytes, long bodyTimeoutMillis, long endpointTtlSeconds) {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CompletionRequest.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CompletionRequest.java
@@ -7,13 +7,14 @@
 import org.pistachioline.adapters.http.Json;
 
 /**
- * What the daemon reads of a completion's body; the rest goes to the engine as it came.
+ * The fields of a completion request that the daemon reads; the body is forwarded to the
+ * engine unchanged.
  *
- * @param model the model
- * @param prompt the text of all messages
- * @param maxTokens the most tokens to generate
- * @param stream whether the answer is streamed
- * @param priority a higher number goes first
+ * @param model the name of the model
+ * @param prompt the text of all messages, one per line
+ * @param maxTokens the maximum number of tokens to generate
+ * @param stream whether the response is streamed
+ * @param priority the priority; requests with a higher number are dispatched first
  */
 record CompletionRequest(String model, String prompt, int maxTokens, boolean stream, int priority) {
 
@@ -34,10 +35,10 @@
 		final JsonNode messages = node.path("messages");
 		final JsonNode maxTokens = node.has("max_completion_tokens") ? node.path("max_completion_tokens")
 				: node.path("max_tokens");
-		final boolean formed = node.path("model").isTextual() && messages.isArray() && !messages.isEmpty()
+		final boolean wellFormed = node.path("model").isTextual() && messages.isArray() && !messages.isEmpty()
 				&& (maxTokens.isMissingNode() || maxTokens.isInt()) && isFlag(node.path("stream"))
 				&& (node.path("priority").isMissingNode() || node.path("priority").isInt());
-		if (!formed) {
+		if (!wellFormed) {
 			return Optional.empty();
 		}
 		final int tokens = maxTokens.asInt(DEFAULT_MAX_TOKENS);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/DaemonView.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/DaemonView.java
@@ -8,7 +8,8 @@
 import org.pistachioline.core.peer.PeerStatus;
 
 /**
- * What the HTTP servers ask of the daemon; all answers are immutable snapshots.
+ * The state of the daemon that the HTTP servers read; all results are immutable
+ * snapshots.
  */
 public interface DaemonView {
 
@@ -19,43 +20,43 @@
 	Manifest manifest();
 
 	/**
-	 * Returns the manifest's version.
+	 * Returns the version of the manifest in force.
 	 * @return the version
 	 */
 	long configVersion();
 
 	/**
-	 * Returns why the daemon takes no requests.
-	 * @return the reason; empty where it is ready
+	 * Returns why the daemon accepts no requests.
+	 * @return the reason; empty if the daemon is ready
 	 */
 	Optional<String> notReadyReason();
 
 	/**
-	 * Returns whether the daemon is about to stop.
-	 * @return whether it is
+	 * Returns whether the daemon is draining before it stops.
+	 * @return whether it is leaving
 	 */
 	boolean leaving();
 
 	/**
-	 * Returns the live daemons, this one included.
-	 * @return what each says of itself
+	 * Returns the live daemons, including this one.
+	 * @return the latest status of each daemon
 	 */
 	List<PeerStatus> daemons();
 
 	/**
-	 * Returns the daemon's whole state for operators.
+	 * Returns the complete state of the daemon for operators.
 	 * @return a tree of maps and lists
 	 */
 	Map<String, Object> dump();
 
 	/**
-	 * Returns recent arrivals as a trace.
-	 * @return the trace's lines; empty where they are not recorded
+	 * Returns the recently arrived requests as a trace.
+	 * @return the lines of the trace; empty if recording is off
 	 */
 	Optional<String> trace();
 
 	/**
-	 * Returns the metrics in the Prometheus form.
+	 * Returns the metrics in the Prometheus text format.
 	 * @return the text
 	 */
 	String metrics();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/HttpServer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/HttpServer.java
@@ -14,7 +14,7 @@
 import org.pistachioline.daemon.Lifecycle;
 
 /**
- * Listens on one address and hands each request to a handler.
+ * HTTP server on one address that passes each request to a handler.
  */
 public final class HttpServer implements Lifecycle {
 
@@ -29,10 +29,10 @@
 	private volatile ServerBinding binding;
 
 	/**
-	 * Creates a server.
+	 * Creates a server that listens once it is started.
 	 * @param system the process's actor system
-	 * @param address where to listen, as host and port
-	 * @param handler answers each request
+	 * @param address the address to listen on, as host and port
+	 * @param handler handles each request
 	 */
 	public HttpServer(ActorSystem<?> system, String address,
 			Function<HttpRequest, CompletionStage<HttpResponse>> handler) {
@@ -59,9 +59,9 @@
 	}
 
 	/**
-	 * Returns where it listens.
-	 * @return the address, as host and port; empty until it listens, since a port that
-	 * the system chooses is not known before
+	 * Returns the address that the server is bound to.
+	 * @return the address as host and port; empty until the server is started, since a
+	 * port chosen by the system is unknown before
 	 */
 	public String localAddress() {
 		final ServerBinding bound = this.binding;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
@@ -13,18 +13,19 @@
 import org.pistachioline.daemon.traffic.ErrorAnswers;
 
 /**
- * Answers what is no HTTP request, or one over the limits of its head, with our errors.
+ * Answers requests that cannot be parsed, or whose headers exceed the limits, with this
+ * daemon's error format.
  * <p>
- * Pekko HTTP answers these by itself and in plain text, so a caller who sent too long a
- * head could not tell whether it was run. Pekko finds this class by name in
- * {@link #PEKKO_SETTINGS}, as an object of Scala, hence the other field's name.
+ * Pekko HTTP's own answer is plain text, from which a caller could not tell whether the
+ * request was run. Pekko loads this class by the name in {@link #PEKKO_SETTINGS} and
+ * expects a Scala object, hence the field name {@code MODULE$}.
  */
 public final class ParsingErrors extends ParsingErrorHandler {
 
-	/** The one instance, under the name that Pekko looks for. */
+	/** The singleton, under the field name that Pekko looks up. */
 	public static final ParsingErrors MODULE$ = new ParsingErrors();
 
-	/** Tells Pekko HTTP to use this class. */
+	/** Settings that make Pekko HTTP use this class. */
 	public static final Map<String, Object> PEKKO_SETTINGS = Map.of("pekko.http.server.parsing.error-handler",
 			ParsingErrors.class.getName());
 
@@ -43,8 +44,8 @@
 		final int code = status.intValue();
 		final boolean tooLarge = code == PAYLOAD_TOO_LARGE || code == URI_TOO_LONG || code == HEADERS_TOO_LARGE;
 		final ErrorKind kind = tooLarge ? ErrorKind.REQUEST_TOO_LARGE : ErrorKind.MALFORMED_REQUEST;
-		final HttpResponse answer = ErrorAnswers.of("unparsed", kind, kind.runState(), 0);
-		return (org.apache.pekko.http.scaladsl.model.HttpResponse) answer;
+		final HttpResponse response = ErrorAnswers.of("unparsed", kind, kind.runState(), 0);
+		return (org.apache.pekko.http.scaladsl.model.HttpResponse) response;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/WorkspaceKeys.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/WorkspaceKeys.java
@@ -11,10 +11,10 @@
 import org.pistachioline.core.manifest.WorkspaceSpec;
 
 /**
- * Finds the workspace of a key.
+ * Finds the workspace that an API key belongs to.
  * <p>
- * Hashes are compared in constant time and all of them each time, so that the time of an
- * answer tells nothing of how much of a guess was right.
+ * Every lookup compares the hashes of all keys, each in constant time, so that the
+ * response time reveals nothing about how close a guess is.
  */
 final class WorkspaceKeys {
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/package-info.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * HTTP towards callers and towards operators.
+ * HTTP servers for callers and for operators.
  */
 package org.pistachioline.daemon.http;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/DumpPageTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/DumpPageTests.java
@@ -21,27 +21,26 @@
 	private static final Map<String, Object> DUMP = Map.of("fleet", Map.of("groups", GROUPS, "next_offset", 7),
 			"daemon", "daemon-0");
 
-	// An operator asks a daemon of the largest fleet for its state, without any filter.
-	// All
-	// groups at once would be megabytes, several times over when several people ask.
+	// Guards against dumps of several megabytes when an operator of a large fleet
+	// requests one without a filter.
 	@Test
 	void aDumpWithoutFilterHasEverySectionAndCutsLongLists() {
-		final Map<String, Object> cut = DumpPage.of(request("")).select(DUMP);
-		assertThat(cut).containsEntry("daemon", "daemon-0")
+		final Map<String, Object> selected = DumpPage.of(request("")).select(DUMP);
+		assertThat(selected).containsEntry("daemon", "daemon-0")
 			.containsEntry("fleet", Map.of("groups", GROUPS.subList(0, 100), "groups_total", 1_600, "next_offset", 7));
 	}
 
 	@Test
 	void aSectionIsReturnedPageByPage() {
-		final Map<String, Object> cut = DumpPage.of(request("section=fleet&from=0&limit=1000")).select(DUMP);
-		assertThat(cut).isEqualTo(
+		final Map<String, Object> selected = DumpPage.of(request("section=fleet&from=0&limit=1000")).select(DUMP);
+		assertThat(selected).isEqualTo(
 				Map.of("fleet", Map.of("groups", GROUPS.subList(0, 1_000), "groups_total", 1_600, "next_offset", 7)));
 	}
 
 	@Test
 	void entriesAreFoundByTheirText() {
-		final Map<String, Object> cut = new DumpPage(Optional.empty(), 0, 10, "\"group\":1599").select(DUMP);
-		assertThat(cut).containsEntry("fleet",
+		final Map<String, Object> selected = new DumpPage(Optional.empty(), 0, 10, "\"group\":1599").select(DUMP);
+		assertThat(selected).containsEntry("fleet",
 				Map.of("groups", List.of(Map.of("group", 1_599)), "groups_total", 1_600, "next_offset", 7));
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/ParsingErrorsTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/http/ParsingErrorsTests.java
@@ -43,18 +43,19 @@
 		}
 	}
 
-	// A caller's library puts a huge token into a header. The parser refuses the head
-	// before
-	// any of our code sees it, and the caller could not tell whether the request was run.
+	// Guards against an answer that does not tell whether the request was run, when a
+	// header is so large that the HTTP parser rejects the request before this daemon's
+	// code sees it.
 	@Test
 	void oversizedHeadersAreRejectedAsNotRun() throws IOException {
-		final String answer = send("GET /v1/models HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(20_000) + "\r\n\r\n");
-		assertThat(answer).startsWith("HTTP/1.1 413 ")
+		final String response = send("GET /v1/models HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(20_000) + "\r\n\r\n");
+		assertThat(response).startsWith("HTTP/1.1 413 ")
 			.contains("Pistachioline-Run: not-run")
 			.contains("\"code\":\"request_too_large\"");
 	}
 
-	// Something that is no HTTP at all connects to the callers' port.
+	// Guards against the same unclear answer when a client that does not speak HTTP, such
+	// as one that starts TLS, connects to the callers' port.
 	@Test
 	void bytesThatAreNotHttpAreRejectedAsNotRun() throws IOException {
 		assertThat(send("\u0016\u0003\u0001 nonsense\r\n\r\n")).contains("Pistachioline-Run: not-run")
