--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/StreamFollower.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/StreamFollower.java
@@ -99,7 +99,7 @@
 		}
 		if (page.endOffset() < this.nextOffset) {
 			// A log that lost its end would make this state revert to an older one.
-			this.listener.onNote(EventId.LOG_WENT_BACK, page.endOffset(), "next offset " + this.nextOffset);
+			this.listener.onNote(EventId.LOG_END_REGRESSED, page.endOffset(), "next offset " + this.nextOffset);
 			return false;
 		}
 		if (page.headOffset() > this.nextOffset && this.condition != StreamCondition.LIMBO) {
@@ -187,12 +187,12 @@
 				continue;
 			}
 			if (entry.offset() > this.nextOffset) {
-				this.listener.onNote(EventId.LOG_HOLE, this.nextOffset, "found offset " + entry.offset());
+				this.listener.onNote(EventId.LOG_ENTRY_MISSING, this.nextOffset, "found offset " + entry.offset());
 				return false;
 			}
 			final List<LogRecord> records = decode(entry);
 			if (records.stream().anyMatch(StreamFollower::isNewer)) {
-				this.listener.onNote(EventId.RECORD_NEWER, entry.offset(), "folding stops here");
+				this.listener.onNote(EventId.RECORD_UNSUPPORTED, entry.offset(), "folding stops here");
 				this.condition = StreamCondition.HALTED;
 				return false;
 			}
@@ -212,7 +212,7 @@
 		catch (RuntimeException ex) {
 			// The reducer is pure, so it fails on this record everywhere; a reader that
 			// tried again for ever would never see the records behind it.
-			this.listener.onNote(EventId.RECORD_FAULT, offset, ex.toString());
+			this.listener.onNote(EventId.REDUCER_FAILED, offset, ex.toString());
 			this.skippedEntries++;
 			return;
 		}
--- a/pistachioline-adapters/src/test/java/org/pistachioline/adapters/stream/StreamFollowerTests.java
+++ b/pistachioline-adapters/src/test/java/org/pistachioline/adapters/stream/StreamFollowerTests.java
@@ -224,7 +224,7 @@
 		publishTwice();
 		assertThat(this.follower.onPage(new LogPage(0, 1, List.of()))).isFalse();
 		assertThat(this.follower.state().version()).isEqualTo(2);
-		assertThat(this.notes.events()).contains(EventId.LOG_WENT_BACK);
+		assertThat(this.notes.events()).contains(EventId.LOG_END_REGRESSED);
 	}
 
 	@Test
@@ -309,7 +309,7 @@
 		final StreamFollower<ConfigState> other = new StreamFollower<>(failing, new ConfigSnapshotCodec(), this.notes);
 		this.stream.readAll(other);
 		assertThat(other.state().version()).isEqualTo(2);
-		assertThat(this.notes.events()).contains(EventId.RECORD_FAULT);
+		assertThat(this.notes.events()).contains(EventId.REDUCER_FAILED);
 	}
 
 	// Many entries come between two checkpoints. The age of the oldest entry that is
--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/OnceBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/OnceBenchmark.java
@@ -9,9 +9,9 @@
 import org.pistachioline.core.claims.ClaimsReducer;
 import org.pistachioline.core.claims.ClaimsState;
 import org.pistachioline.core.placement.LeastInFlight;
-import org.pistachioline.core.quarantine.DeathCounter;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.quarantine.NoQuarantine;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.queueing.FifoQueue;
 import org.pistachioline.core.record.KeyClaim;
 import org.pistachioline.core.record.KeyOutcome;
@@ -61,13 +61,13 @@
 	@Override
 	public void run(Figures figures) {
 		figures.print("groups lost to a killer sent " + REPEATS + " times, with quarantine",
-				groupsLost(new DeathCounter()), "groups");
+				groupsLost(new LogBasedQuarantine()), "groups");
 		figures.print("groups lost to a killer sent " + REPEATS + " times, without", groupsLost(new NoQuarantine()),
 				"groups");
 		claims(figures);
 	}
 
-	private static int groupsLost(KillerPolicy killer) {
+	private static int groupsLost(QuarantinePolicy killer) {
 		final TrafficCore core = new TrafficCore(new TrafficPolicies(new AdmitAll(), new FifoQueue(REPEATS),
 				new LeastInFlight(), new BudgetedRetry(), killer));
 		final List<TargetView> groups = new ArrayList<>();
--- a/pistachioline-bench/src/test/java/org/pistachioline/bench/RecordedTraceTests.java
+++ b/pistachioline-bench/src/test/java/org/pistachioline/bench/RecordedTraceTests.java
@@ -34,11 +34,11 @@
 	void whatADaemonRecordedReplaysWithTheSameArrivals() throws Exception {
 		final TraceRecorder recorder = new TraceRecorder(true);
 		for (int i = 0; i < 50; i++) {
-			recorder.arrived(1_000_000L * i, info(i));
-			recorder.generated(i, 40 + i);
-			recorder.ended(i);
+			recorder.onArrival(1_000_000L * i, info(i));
+			recorder.onTokens(i, 40 + i);
+			recorder.onEnd(i);
 		}
-		final String lines = recorder.lines("d1", MANIFEST, Map.of("sign-copy", 2));
+		final String lines = recorder.toJsonLines("d1", MANIFEST, Map.of("sign-copy", 2));
 		assertThat(lines).doesNotContain("secret-hash").doesNotContain("fingerprint-of-a-prompt");
 		final Trace trace = TraceReader.read("recorded", lines.lines().toList());
 		assertThat(trace.arrivals()).hasSize(50);
@@ -51,9 +51,9 @@
 	void aRecordingThatIsLeftOnStaysBounded() {
 		final TraceRecorder recorder = new TraceRecorder(true);
 		for (int i = 0; i < 25_000; i++) {
-			recorder.arrived(i, info(i));
+			recorder.onArrival(i, info(i));
 		}
-		assertThat(recorder.lines("d1", MANIFEST, Map.of()).lines().filter((line) -> line.contains("at_millis")))
+		assertThat(recorder.toJsonLines("d1", MANIFEST, Map.of()).lines().filter((line) -> line.contains("at_millis")))
 			.hasSize(20_000);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/backoff/BackoffBook.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/backoff/BackoffRegistry.java
@@ -14,9 +14,9 @@
  * instance that left. Ids of instances are new with each start, so the oldest are
  * forgotten in the end.
  */
-public final class BackoffBook {
+public final class BackoffRegistry {
 
-	private static final int MOST_KEPT = 4_096;
+	private static final int MAX_RETAINED = 4_096;
 
 	private final Map<String, InstanceBackoff> backoffs = new LinkedHashMap<>();
 
@@ -25,7 +25,7 @@
 	 * @param instanceId the instance
 	 * @return its backoff
 	 */
-	public InstanceBackoff of(String instanceId) {
+	public InstanceBackoff getOrCreate(String instanceId) {
 		return this.backoffs.computeIfAbsent(instanceId, InstanceBackoff::new);
 	}
 
@@ -37,7 +37,7 @@
 	 * @return whether it wanted requests before
 	 */
 	public boolean onBackoff(long nowNanos, String instanceId, long forNanos) {
-		return of(instanceId).ask(nowNanos, forNanos);
+		return getOrCreate(instanceId).extend(nowNanos, forNanos);
 	}
 
 	/**
@@ -46,7 +46,7 @@
 	 * @return whether that is news
 	 */
 	public boolean onLeaving(String instanceId) {
-		return of(instanceId).leave();
+		return getOrCreate(instanceId).markLeaving();
 	}
 
 	/**
@@ -65,9 +65,9 @@
 	 * @param instanceId the instance
 	 * @return whether it rests or leaves
 	 */
-	public boolean holds(long nowNanos, String instanceId) {
+	public boolean isActive(long nowNanos, String instanceId) {
 		final InstanceBackoff known = this.backoffs.get(instanceId);
-		return known != null && known.holds(nowNanos);
+		return known != null && known.isActive(nowNanos);
 	}
 
 	/**
@@ -78,9 +78,9 @@
 	 */
 	public void retain(long nowNanos, Set<String> instanceIds) {
 		this.backoffs.entrySet()
-			.removeIf((entry) -> !instanceIds.contains(entry.getKey()) && !entry.getValue().holds(nowNanos));
+			.removeIf((entry) -> !instanceIds.contains(entry.getKey()) && !entry.getValue().isActive(nowNanos));
 		final Iterator<String> oldest = this.backoffs.keySet().iterator();
-		while (this.backoffs.size() > Math.max(MOST_KEPT, instanceIds.size()) && oldest.hasNext()) {
+		while (this.backoffs.size() > Math.max(MAX_RETAINED, instanceIds.size()) && oldest.hasNext()) {
 			if (!instanceIds.contains(oldest.next())) {
 				oldest.remove();
 			}
@@ -95,7 +95,7 @@
 	public List<BackoffReport> reports(long nowNanos) {
 		return this.backoffs.values()
 			.stream()
-			.filter((known) -> known.holds(nowNanos))
+			.filter((known) -> known.isActive(nowNanos))
 			.map((known) -> known.report(nowNanos))
 			.toList();
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/backoff/InstanceBackoff.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/backoff/InstanceBackoff.java
@@ -10,15 +10,15 @@
 public final class InstanceBackoff {
 
 	/** What is left of the wait for an instance that leaves. */
-	public static final long FOR_EVER_NANOS = Long.MAX_VALUE;
+	public static final long INDEFINITE_NANOS = Long.MAX_VALUE;
 
 	private static final long NANOS_PER_MILLI = 1_000_000L;
 
 	private final String instanceId;
 
-	private boolean asked;
+	private boolean requested;
 
-	private long untilNanos;
+	private long endsAtNanos;
 
 	private boolean leaving;
 
@@ -35,15 +35,15 @@
 	 * @param forNanos for how long
 	 * @return whether the instance wanted requests before
 	 */
-	boolean ask(long nowNanos, long forNanos) {
-		final boolean news = !holds(nowNanos);
+	boolean extend(long nowNanos, long forNanos) {
+		final boolean news = !isActive(nowNanos);
 		if (news) {
 			this.attempts = 0;
 		}
-		if (!this.asked || nowNanos + forNanos - this.untilNanos > 0) {
-			this.untilNanos = nowNanos + forNanos;
+		if (!this.requested || nowNanos + forNanos - this.endsAtNanos > 0) {
+			this.endsAtNanos = nowNanos + forNanos;
 		}
-		this.asked = true;
+		this.requested = true;
 		return news;
 	}
 
@@ -51,7 +51,7 @@
 	 * Takes word that the instance leaves; it never comes back under its id.
 	 * @return whether that is news
 	 */
-	boolean leave() {
+	boolean markLeaving() {
 		final boolean news = !this.leaving;
 		this.leaving = true;
 		return news;
@@ -70,21 +70,21 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it wants none
 	 */
-	public boolean holds(long nowNanos) {
-		return leftNanos(nowNanos) > 0;
+	public boolean isActive(long nowNanos) {
+		return remainingNanos(nowNanos) > 0;
 	}
 
 	/**
 	 * Returns how long the instance wants no requests yet.
 	 * @param nowNanos the monotonic time
-	 * @return the time; 0 where it takes requests, {@link #FOR_EVER_NANOS} where it
+	 * @return the time; 0 where it takes requests, {@link #INDEFINITE_NANOS} where it
 	 * leaves
 	 */
-	public long leftNanos(long nowNanos) {
+	public long remainingNanos(long nowNanos) {
 		if (this.leaving) {
-			return FOR_EVER_NANOS;
+			return INDEFINITE_NANOS;
 		}
-		return this.asked ? Math.max(0, this.untilNanos - nowNanos) : 0;
+		return this.requested ? Math.max(0, this.endsAtNanos - nowNanos) : 0;
 	}
 
 	/**
@@ -92,14 +92,14 @@
 	 * @param nowNanos the monotonic time
 	 */
 	public void onStart(long nowNanos) {
-		if (holds(nowNanos)) {
+		if (isActive(nowNanos)) {
 			this.attempts++;
 		}
 	}
 
 	BackoffReport report(long nowNanos) {
 		return new BackoffReport(this.instanceId, this.leaving,
-				this.leaving ? 0 : leftNanos(nowNanos) / NANOS_PER_MILLI, this.attempts);
+				this.leaving ? 0 : remainingNanos(nowNanos) / NANOS_PER_MILLI, this.attempts);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/EndpointSelector.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/EndpointSelector.java
@@ -24,13 +24,13 @@
 public final class EndpointSelector {
 
 	/** Three in the near zone die together seldom; the others are for when they do. */
-	private static final int MOST_ENDPOINTS = 8;
+	private static final int MAX_ENDPOINTS = 8;
 
-	private static final int MOST_NEAR = 5;
+	private static final int MAX_SAME_ZONE = 5;
 
-	private static final double LEAST_LOAD_RATIO = 0.2;
+	private static final double MIN_LOAD_RATIO = 0.2;
 
-	private static final double FRACTION_UNIT = 0x1.0p-32;
+	private static final double HASH_UNIT = 0x1.0p-32;
 
 	private EndpointSelector() {
 	}
@@ -42,7 +42,7 @@
 	 * @param answer the number of the answer, which fixes the order
 	 * @return the daemons to use, the best first
 	 */
-	public static List<PeerStatus> choose(List<PeerStatus> daemons, String availabilityZone, long answer) {
+	public static List<PeerStatus> select(List<PeerStatus> daemons, String availabilityZone, long answer) {
 		final List<PeerStatus> near = new ArrayList<>();
 		final List<PeerStatus> far = new ArrayList<>();
 		for (final PeerStatus daemon : daemons) {
@@ -50,22 +50,23 @@
 				(daemon.availabilityZone().equals(availabilityZone) ? near : far).add(daemon);
 			}
 		}
-		final Comparator<PeerStatus> byDraw = Comparator.comparingDouble((PeerStatus daemon) -> draw(daemon, answer))
+		final Comparator<PeerStatus> byDraw = Comparator
+			.comparingDouble((PeerStatus daemon) -> exponentialSample(daemon, answer))
 			.thenComparing(PeerStatus::daemonId);
 		near.sort(byDraw);
 		far.sort(byDraw);
-		final List<PeerStatus> chosen = new ArrayList<>(near.subList(0, Math.min(MOST_NEAR, near.size())));
-		chosen.addAll(far.subList(0, Math.min(MOST_ENDPOINTS - chosen.size(), far.size())));
+		final List<PeerStatus> chosen = new ArrayList<>(near.subList(0, Math.min(MAX_SAME_ZONE, near.size())));
+		chosen.addAll(far.subList(0, Math.min(MAX_ENDPOINTS - chosen.size(), far.size())));
 		return chosen;
 	}
 
 	// The smallest of draws from exponential distributions with these rates belongs to
 	// each daemon with a chance in proportion to its rate.
-	private static double draw(PeerStatus daemon, long answer) {
+	private static double exponentialSample(PeerStatus daemon, long answer) {
 		final long hash = MurmurHash3.hash32x86((daemon.daemonId() + '/' + answer).getBytes(StandardCharsets.UTF_8))
 				& 0xFFFFFFFFL;
-		final double uniform = (hash + 1) * FRACTION_UNIT;
-		return -Math.log(uniform) * Math.max(LEAST_LOAD_RATIO, daemon.loadRatio());
+		final double uniform = (hash + 1) * HASH_UNIT;
+		return -Math.log(uniform) * Math.max(MIN_LOAD_RATIO, daemon.loadRatio());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/WarmUpRule.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/endpoints/WarmUpPolicy.java
@@ -14,14 +14,14 @@
  * first. Where all daemons started together nobody else is there, and whoever held back
  * would leave all callers to the few that did not.
  */
-public final class WarmUpRule {
+public final class WarmUpPolicy {
 
 	/**
 	 * By then a daemon is at its full speed, on a machine with less than one core too.
 	 */
-	private static final long WARM_AFTER_MILLIS = 8_000;
+	private static final long WARM_UP_MILLIS = 8_000;
 
-	private WarmUpRule() {
+	private WarmUpPolicy() {
 	}
 
 	/**
@@ -31,10 +31,10 @@
 	 * @return whether at least as many others as there are cold daemons can serve its
 	 * callers meanwhile
 	 */
-	public static boolean mayHoldBack(PeerStatus self, List<PeerStatus> others) {
+	public static boolean shouldWarmUp(PeerStatus self, List<PeerStatus> others) {
 		final long warm = others.stream()
 			.filter((other) -> other.ready() && !other.leaving())
-			.filter((other) -> self.incarnation() - other.incarnation() >= WARM_AFTER_MILLIS)
+			.filter((other) -> self.incarnation() - other.incarnation() >= WARM_UP_MILLIS)
 			.count();
 		final long cold = others.size() + 1 - warm;
 		return warm >= cold;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/event/EventId.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/event/EventId.java
@@ -24,14 +24,14 @@
 	NOT_READY(105, EventLevel.WARN, "The daemon is not ready to take requests."),
 
 	/** The rehearsal failed. */
-	REHEARSAL_FAILED(107, EventLevel.WARN,
+	WARM_UP_FAILED(107, EventLevel.WARN,
 			"The requests that are relayed before callers come failed; the first callers are served more slowly."),
 
 	/** Callers may be sent here. */
-	CALLERS_WELCOME(108, EventLevel.INFO, "Callers are sent to this daemon from now on."),
+	TRAFFIC_ACCEPTED(108, EventLevel.INFO, "Callers are sent to this daemon from now on."),
 
 	/** The settings were read again. */
-	RELOADED(106, EventLevel.INFO, "The settings file has changed and was read again."),
+	SETTINGS_CHECKED(106, EventLevel.INFO, "The settings file has changed and was read again."),
 
 	/** The log cannot be read. */
 	LOG_UNAVAILABLE(200, EventLevel.WARN, "The platform's log cannot be read; serving on from what is known."),
@@ -61,17 +61,17 @@
 	RECORD_OVERSIZE(208, EventLevel.WARN, "An entry on the log is over the size limit and was skipped."),
 
 	/** A record needs a newer release. */
-	RECORD_NEWER(209, EventLevel.ERROR,
+	RECORD_UNSUPPORTED(209, EventLevel.ERROR,
 			"A record needs a newer release of this daemon; the stream is followed no further."),
 
 	/** The reducer failed on a record. */
-	RECORD_FAULT(210, EventLevel.ERROR, "The reducer failed on a record, which was skipped on all daemons alike."),
+	REDUCER_FAILED(210, EventLevel.ERROR, "The reducer failed on a record, which was skipped on all daemons alike."),
 
 	/** The log's end lies before what was read. */
-	LOG_WENT_BACK(211, EventLevel.ERROR, "The log ends before what was read of it; keeping what is known."),
+	LOG_END_REGRESSED(211, EventLevel.ERROR, "The log ends before what was read of it; keeping what is known."),
 
 	/** An entry is missing inside a page. */
-	LOG_HOLE(212, EventLevel.ERROR, "The log left out an entry; reading again from there."),
+	LOG_ENTRY_MISSING(212, EventLevel.ERROR, "The log left out an entry; reading again from there."),
 
 	/** A record of ours is over the size limit. */
 	APPEND_TOO_LARGE(213, EventLevel.ERROR, "A record is over the log's size limit and was given up."),
@@ -80,20 +80,20 @@
 	CHECKPOINT_FETCHED(214, EventLevel.INFO, "A checkpoint was taken over from a peer."),
 
 	/** The platform's store does not answer. */
-	STORE_LOST(215, EventLevel.WARN, "The platform's store does not answer; serving on from what is known."),
+	STORE_UNAVAILABLE(215, EventLevel.WARN, "The platform's store does not answer; serving on from what is known."),
 
 	/** The platform's store answers again. */
-	STORE_FOUND(216, EventLevel.INFO, "The platform's store answers again."),
+	STORE_AVAILABLE(216, EventLevel.INFO, "The platform's store answers again."),
 
 	/** The store's history was dropped. */
-	STORE_HISTORY_LOST(217, EventLevel.INFO,
+	STORE_HISTORY_TRUNCATED(217, EventLevel.INFO,
 			"The store has dropped the history that was to be read; reading its newest records."),
 
 	/** An entry of the instance list names no instance that could be used. */
 	ENTRY_UNUSABLE(218, EventLevel.WARN, "Entries of the instance list name no instance and are ignored."),
 
 	/** The list of instances is out of date. */
-	LISTING_OLD(219, EventLevel.WARN,
+	LISTING_STALE(219, EventLevel.WARN,
 			"Nothing fresh was heard of the list of instances in time; reading it from the platform."),
 
 	/** The list of instances is up to date again. */
@@ -135,16 +135,17 @@
 	ORDER_FAILED(405, EventLevel.WARN, "An order to an instance failed and will be repeated."),
 
 	/** This daemon became the planner of a fabric domain. */
-	PLANNER_TAKEN(406, EventLevel.INFO, "This daemon plans a fabric domain."),
+	PLANNER_CLAIMED(406, EventLevel.INFO, "This daemon plans a fabric domain."),
 
 	/** A whole fabric domain or availability zone is dark. */
-	DOMAIN_DARK(407, EventLevel.ERROR, "Most of a fabric domain stopped answering at once; changes there wait."),
+	DOMAIN_UNRESPONSIVE(407, EventLevel.ERROR,
+			"Most of a fabric domain stopped answering at once; changes there wait."),
 
 	/** An order was answered. */
-	ORDER_GIVEN(408, EventLevel.INFO, "An order was given to an instance."),
+	ORDER_COMPLETED(408, EventLevel.INFO, "An order was given to an instance."),
 
 	/** This daemon holds the planner's lease. */
-	LEASE_WON(409, EventLevel.INFO, "This daemon holds the planner's lease."),
+	LEASE_ACQUIRED(409, EventLevel.INFO, "This daemon holds the planner's lease."),
 
 	/** This daemon no longer holds the planner's lease. */
 	LEASE_LOST(410, EventLevel.INFO, "This daemon no longer holds the planner's lease."),
@@ -156,13 +157,14 @@
 	TARGET_STOPPED(412, EventLevel.INFO, "A target takes no more requests: it left, closed or lost a member."),
 
 	/** A member of a group that stands still does not answer. */
-	INSTANCE_SILENT(413, EventLevel.WARN, "A member of a group that stands still does not answer and counts as gone."),
+	INSTANCE_UNRESPONSIVE(413, EventLevel.WARN,
+			"A member of a group that stands still does not answer and counts as gone."),
 
 	/**
 	 * Where the instances of a service are; while this daemon plans, at most once in two
 	 * seconds.
 	 */
-	POOL_SUMMED_UP(414, EventLevel.INFO, "Where the instances of a service are, as its planner sees them."),
+	POOL_SUMMARY(414, EventLevel.INFO, "Where the instances of a service are, as its planner sees them."),
 
 	/** A target names a limit. */
 	TARGET_LIMITED(415, EventLevel.WARN, "A target names how many requests it takes from all daemons together."),
@@ -177,26 +179,26 @@
 	TARGET_LEAVING(418, EventLevel.INFO, "A target said in an answer that it leaves."),
 
 	/** A target died. */
-	TARGET_DIED(419, EventLevel.WARN, "A target died while it had requests of this daemon."),
+	TARGET_CRASHED(419, EventLevel.WARN, "A target died while it had requests of this daemon."),
 
 	/** A request was quarantined. */
 	REQUEST_QUARANTINED(500, EventLevel.ERROR, "A request that crashes targets was quarantined."),
 
 	/** An answer did not match its attempt. */
-	ANSWER_DROPPED(501, EventLevel.WARN, "An answer that does not match its attempt was dropped."),
+	RESPONSE_DROPPED(501, EventLevel.WARN, "An answer that does not match its attempt was dropped."),
 
 	/** An attempt failed. */
 	ATTEMPT_FAILED(502, EventLevel.WARN, "An attempt at a target failed."),
 
 	/** A request failed inside the daemon. */
-	REQUEST_FAULT(503, EventLevel.ERROR, "A request failed through a fault of the daemon."),
+	REQUEST_INTERNAL_ERROR(503, EventLevel.ERROR, "A request failed through a fault of the daemon."),
 
 	/** A group died under a request. */
 	REQUEST_SUSPECTED(504, EventLevel.WARN,
 			"A group died under a request; it runs once more, apart from other suspects."),
 
 	/** A request goes to another target. */
-	REQUEST_RESENT(505, EventLevel.INFO, "A request goes to another target after one that failed or stood still."),
+	REQUEST_RETRIED(505, EventLevel.INFO, "A request goes to another target after one that failed or stood still."),
 
 	/** A request ended without success. */
 	REQUEST_FAILED(506, EventLevel.WARN, "A request ended without an answer of a target, or with a failure."),
@@ -205,16 +207,16 @@
 	REQUEST_REFUSED(507, EventLevel.WARN, "A request was refused before it was queued."),
 
 	/** A target broke off under a request. */
-	TARGET_BROKE_OFF(508, EventLevel.WARN, "A target broke off while it had a request."),
+	TARGET_CONNECTION_LOST(508, EventLevel.WARN, "A target broke off while it had a request."),
 
 	/** A quarantine is over. */
-	REQUEST_RELEASED(509, EventLevel.INFO, "A request is no longer quarantined."),
+	QUARANTINE_ENDED(509, EventLevel.INFO, "A request is no longer quarantined."),
 
 	/** A peer link failed. */
 	PEER_LOST(600, EventLevel.INFO, "A peer daemon cannot be reached."),
 
 	/** A peer link works. */
-	PEER_FOUND(601, EventLevel.INFO, "A peer daemon was found."),
+	PEER_DISCOVERED(601, EventLevel.INFO, "A peer daemon was found."),
 
 	/** A frame from a peer was refused. */
 	PEER_FRAME_REFUSED(602, EventLevel.WARN, "A frame on the peer port was refused and its connection closed."),
@@ -223,7 +225,7 @@
 	RING_FULL(700, EventLevel.WARN, "A ring between duties was full."),
 
 	/** A duty failed on one message. */
-	DUTY_FAULT(701, EventLevel.ERROR, "A duty failed on one message and goes on with the next.");
+	DUTY_FAILED(701, EventLevel.ERROR, "A duty failed on one message and goes on with the next.");
 
 	private final int number;
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/StatedLimit.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/AdvertisedLimit.java
@@ -7,9 +7,9 @@
  *
  * @param instanceId the instance
  * @param requestsPerSecond the limit; empty where it names none
- * @param heardAtNanos when a daemon heard it from the instance, by this daemon's
+ * @param receivedAtNanos when a daemon heard it from the instance, by this daemon's
  * monotonic clock
  */
-public record StatedLimit(String instanceId, OptionalDouble requestsPerSecond, long heardAtNanos) {
+public record AdvertisedLimit(String instanceId, OptionalDouble requestsPerSecond, long receivedAtNanos) {
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/InstanceLimit.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/InstanceLimit.java
@@ -20,45 +20,45 @@
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
-	private static final long RECENT_NANOS = 4_000_000_000L;
+	private static final long REPORT_WINDOW_NANOS = 4_000_000_000L;
 
 	/** How long the end of a limit is told to other daemons. */
-	private static final long TOLD_NANOS = 30_000_000_000L;
+	private static final long END_GOSSIP_NANOS = 30_000_000_000L;
 
 	/** More than a heartbeat takes from daemon to daemon. */
-	private static final long PEERS_INEXACT_NANOS = 500_000_000L;
+	private static final long PEER_TIME_ERROR_NANOS = 500_000_000L;
 
 	/** Makes up for attempts that start a tick late. */
-	private static final long SAVED_NANOS = 200_000_000L;
+	private static final long MAX_LATENESS_NANOS = 200_000_000L;
 
 	/** For how many requests' time nothing is heard before one without permits asks. */
-	private static final double SILENT_REQUESTS = 5;
+	private static final double PROBE_QUIET_REQUESTS = 5;
 
 	/**
 	 * Where daemons tell each other nothing, those without permits add an eighth at most.
 	 */
-	private static final double ASKING_SPREAD = 16;
+	private static final double PROBE_SPREAD_REQUESTS = 16;
 
 	/** The rate at which an instance is asked that takes less, or nothing. */
-	private static final double LEAST_ASKED_PER_SECOND = 0.1;
+	private static final double MIN_PROBES_PER_SECOND = 0.1;
 
 	private final String instanceId;
 
-	private final Deque<Long> startsNanos = new ArrayDeque<>();
+	private final Deque<Long> recentStartsNanos = new ArrayDeque<>();
 
-	private StatedLimit stated;
+	private AdvertisedLimit latest;
 
-	private boolean everLimited;
+	private boolean hasBeenLimited;
 
 	private LiveDaemons daemons;
 
-	private double ownPerSecond;
+	private double ownRequestsPerSecond;
 
-	private long nextAtNanos;
+	private long scheduledStartNanos;
 
-	private long startedAtNanos;
+	private long lastStartNanos;
 
-	private long draws;
+	private long drawCount;
 
 	/**
 	 * Creates the limit of an instance that has named none.
@@ -68,11 +68,11 @@
 	public InstanceLimit(String instanceId, LiveDaemons daemons) {
 		this.instanceId = instanceId;
 		this.daemons = daemons;
-		this.stated = new StatedLimit(instanceId, OptionalDouble.empty(), 0);
+		this.latest = new AdvertisedLimit(instanceId, OptionalDouble.empty(), 0);
 	}
 
-	StatedLimit stated() {
-		return this.stated;
+	AdvertisedLimit latest() {
+		return this.latest;
 	}
 
 	/**
@@ -80,7 +80,7 @@
 	 * @return whether it does
 	 */
 	public boolean isLimited() {
-		return this.stated.requestsPerSecond().isPresent();
+		return this.latest.requestsPerSecond().isPresent();
 	}
 
 	/**
@@ -89,8 +89,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether they are
 	 */
-	boolean isTold(long nowNanos) {
-		return isLimited() || (this.everLimited && nowNanos - this.stated.heardAtNanos() < TOLD_NANOS);
+	boolean shouldGossip(long nowNanos) {
+		return isLimited() || (this.hasBeenLimited && nowNanos - this.latest.receivedAtNanos() < END_GOSSIP_NANOS);
 	}
 
 	/**
@@ -100,27 +100,27 @@
 	 * @param heard what the instance said
 	 * @return whether it says something else than the last
 	 */
-	boolean hearFromPeer(long nowNanos, StatedLimit heard) {
-		final boolean newer = !this.everLimited
-				|| heard.heardAtNanos() - this.stated.heardAtNanos() > PEERS_INEXACT_NANOS;
-		final boolean meant = this.everLimited || heard.requestsPerSecond().isPresent();
-		return newer && meant && hear(nowNanos, heard);
+	boolean onPeerLimit(long nowNanos, AdvertisedLimit heard) {
+		final boolean newer = !this.hasBeenLimited
+				|| heard.receivedAtNanos() - this.latest.receivedAtNanos() > PEER_TIME_ERROR_NANOS;
+		final boolean meant = this.hasBeenLimited || heard.requestsPerSecond().isPresent();
+		return newer && meant && update(nowNanos, heard);
 	}
 
 	/**
 	 * Returns how many requests the instance takes from all daemons together.
 	 * @return the requests a second; 0 where it names no limit
 	 */
-	public double perSecond() {
-		return this.stated.requestsPerSecond().orElse(0);
+	public double requestsPerSecond() {
+		return this.latest.requestsPerSecond().orElse(0);
 	}
 
 	/**
 	 * Returns this daemon's part of the limit.
 	 * @return the requests a second
 	 */
-	public double ownPerSecond() {
-		return this.ownPerSecond;
+	public double ownRequestsPerSecond() {
+		return this.ownRequestsPerSecond;
 	}
 
 	/**
@@ -129,19 +129,19 @@
 	 * @param heard what the instance said
 	 * @return whether it says something else than the last
 	 */
-	boolean hear(long nowNanos, StatedLimit heard) {
-		final OptionalDouble before = this.stated.requestsPerSecond();
-		this.stated = heard;
-		this.everLimited |= heard.requestsPerSecond().isPresent();
+	boolean update(long nowNanos, AdvertisedLimit heard) {
+		final OptionalDouble before = this.latest.requestsPerSecond();
+		this.latest = heard;
+		this.hasBeenLimited |= heard.requestsPerSecond().isPresent();
 		if (before.equals(heard.requestsPerSecond())) {
 			return false;
 		}
 		if (before.isEmpty()) {
-			this.startedAtNanos = nowNanos;
-			this.nextAtNanos = nowNanos + askingNanos();
-			this.ownPerSecond = 0;
+			this.lastStartNanos = nowNanos;
+			this.scheduledStartNanos = nowNanos + probeDelayNanos();
+			this.ownRequestsPerSecond = 0;
 		}
-		divide(nowNanos);
+		updateShare(nowNanos);
 		return true;
 	}
 
@@ -150,46 +150,47 @@
 	 * @param nowNanos the monotonic time
 	 * @param live the live daemons
 	 */
-	void share(long nowNanos, LiveDaemons live) {
+	void onLiveDaemons(long nowNanos, LiveDaemons live) {
 		this.daemons = live;
-		divide(nowNanos);
+		updateShare(nowNanos);
 	}
 
-	private void divide(long nowNanos) {
+	private void updateShare(long nowNanos) {
 		if (!isLimited()) {
 			return;
 		}
-		final int permits = PermitDraw.permits(perSecond());
-		final double part = perSecond() * PermitDraw.held(this.daemons, this.instanceId, permits) / permits;
-		if (part == this.ownPerSecond) {
+		final int permits = PermitAllocation.permitCount(requestsPerSecond());
+		final double part = requestsPerSecond() * PermitAllocation.countHeld(this.daemons, this.instanceId, permits)
+				/ permits;
+		if (part == this.ownRequestsPerSecond) {
 			return;
 		}
-		final boolean heldBefore = this.ownPerSecond > 0;
-		this.ownPerSecond = part;
+		final boolean heldBefore = this.ownRequestsPerSecond > 0;
+		this.ownRequestsPerSecond = part;
 		if (part == 0) {
-			this.nextAtNanos = this.startedAtNanos + askingNanos();
+			this.scheduledStartNanos = this.lastStartNanos + probeDelayNanos();
 		}
 		else if (heldBefore) {
-			this.nextAtNanos = this.startedAtNanos + spacingNanos();
+			this.scheduledStartNanos = this.lastStartNanos + spacingNanos();
 		}
 		else {
 			// The former holder may have used the permit just now.
-			this.nextAtNanos = nowNanos + (long) ((1 + draw()) / 2 * spacingNanos());
+			this.scheduledStartNanos = nowNanos + (long) ((1 + nextDraw()) / 2 * spacingNanos());
 		}
 	}
 
 	private long spacingNanos() {
-		return (long) (NANOS_PER_SECOND / this.ownPerSecond);
+		return (long) (NANOS_PER_SECOND / this.ownRequestsPerSecond);
 	}
 
-	private long askingNanos() {
-		final double perSecond = Math.max(LEAST_ASKED_PER_SECOND, perSecond());
-		final double requests = SILENT_REQUESTS + draw() * ASKING_SPREAD * this.daemons.ids().size();
+	private long probeDelayNanos() {
+		final double perSecond = Math.max(MIN_PROBES_PER_SECOND, requestsPerSecond());
+		final double requests = PROBE_QUIET_REQUESTS + nextDraw() * PROBE_SPREAD_REQUESTS * this.daemons.ids().size();
 		return (long) (requests / perSecond * NANOS_PER_SECOND);
 	}
 
-	private double draw() {
-		return PermitDraw.unit(this.daemons.selfId(), this.instanceId, this.draws++);
+	private double nextDraw() {
+		return PermitAllocation.uniformDraw(this.daemons.selfId(), this.instanceId, this.drawCount++);
 	}
 
 	/**
@@ -201,8 +202,8 @@
 		if (!isLimited()) {
 			return Long.MIN_VALUE;
 		}
-		final long heardSinceNanos = Math.max(0, this.stated.heardAtNanos() - this.startedAtNanos);
-		return (this.ownPerSecond > 0) ? this.nextAtNanos : this.nextAtNanos + heardSinceNanos;
+		final long heardSinceNanos = Math.max(0, this.latest.receivedAtNanos() - this.lastStartNanos);
+		return (this.ownRequestsPerSecond > 0) ? this.scheduledStartNanos : this.scheduledStartNanos + heardSinceNanos;
 	}
 
 	/**
@@ -222,23 +223,25 @@
 		if (!isLimited()) {
 			return;
 		}
-		this.startedAtNanos = nowNanos;
-		this.nextAtNanos = (this.ownPerSecond > 0) ? Math.max(nowNanos - SAVED_NANOS, this.nextAtNanos) + spacingNanos()
-				: nowNanos + askingNanos();
-		this.startsNanos.addLast(nowNanos);
-		forgetOld(nowNanos);
-	}
-
-	private void forgetOld(long nowNanos) {
-		while (!this.startsNanos.isEmpty() && nowNanos - this.startsNanos.peekFirst() > RECENT_NANOS) {
-			this.startsNanos.removeFirst();
+		this.lastStartNanos = nowNanos;
+		this.scheduledStartNanos = (this.ownRequestsPerSecond > 0)
+				? Math.max(nowNanos - MAX_LATENESS_NANOS, this.scheduledStartNanos) + spacingNanos()
+				: nowNanos + probeDelayNanos();
+		this.recentStartsNanos.addLast(nowNanos);
+		evictOldStarts(nowNanos);
+	}
+
+	private void evictOldStarts(long nowNanos) {
+		while (!this.recentStartsNanos.isEmpty()
+				&& nowNanos - this.recentStartsNanos.peekFirst() > REPORT_WINDOW_NANOS) {
+			this.recentStartsNanos.removeFirst();
 		}
 	}
 
 	LimitReport report(long nowNanos) {
-		forgetOld(nowNanos);
-		return new LimitReport(this.instanceId, perSecond(), this.ownPerSecond,
-				(nowNanos - this.stated.heardAtNanos()) / NANOS_PER_MILLI, this.startsNanos.size());
+		evictOldStarts(nowNanos);
+		return new LimitReport(this.instanceId, requestsPerSecond(), this.ownRequestsPerSecond,
+				(nowNanos - this.latest.receivedAtNanos()) / NANOS_PER_MILLI, this.recentStartsNanos.size());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitBook.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/LimitRegistry.java
@@ -16,10 +16,10 @@
  * different connections overtake each other. Daemons tell each other what they heard
  * last, so that those who send nothing there hear of the end.
  */
-public final class LimitBook {
+public final class LimitRegistry {
 
 	/** A head that leaves its group is soon the head of another. */
-	private static final long KEPT_NANOS = 60_000_000_000L;
+	private static final long RETENTION_NANOS = 60_000_000_000L;
 
 	private final Map<String, InstanceLimit> limits = new HashMap<>();
 
@@ -30,7 +30,7 @@
 	 * @param instanceId the instance
 	 * @return its limit
 	 */
-	public InstanceLimit of(String instanceId) {
+	public InstanceLimit getOrCreate(String instanceId) {
 		return this.limits.computeIfAbsent(instanceId, (id) -> new InstanceLimit(id, this.daemons));
 	}
 
@@ -42,13 +42,13 @@
 	 * @param requestsPerSecond the limit that it named; empty where it named none
 	 * @return whether that changes anything
 	 */
-	public boolean onAnswer(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
+	public boolean onResponse(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
 		final InstanceLimit known = this.limits.get(instanceId);
 		if (known == null) {
 			return false;
 		}
-		final boolean overtaken = requestsPerSecond.isEmpty() && sentAtNanos - known.stated().heardAtNanos() < 0;
-		return !overtaken && known.hear(nowNanos, new StatedLimit(instanceId, requestsPerSecond, nowNanos));
+		final boolean overtaken = requestsPerSecond.isEmpty() && sentAtNanos - known.latest().receivedAtNanos() < 0;
+		return !overtaken && known.update(nowNanos, new AdvertisedLimit(instanceId, requestsPerSecond, nowNanos));
 	}
 
 	/**
@@ -57,8 +57,8 @@
 	 * @param stated what instances said there, or farther away
 	 * @return those that change anything
 	 */
-	public List<StatedLimit> onPeer(long nowNanos, List<StatedLimit> stated) {
-		return stated.stream().filter((heard) -> of(heard.instanceId()).hearFromPeer(nowNanos, heard)).toList();
+	public List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> stated) {
+		return stated.stream().filter((heard) -> getOrCreate(heard.instanceId()).onPeerLimit(nowNanos, heard)).toList();
 	}
 
 	/**
@@ -67,12 +67,12 @@
 	 * @return what each instance said last that names a limit, or did so lately; the
 	 * newest first
 	 */
-	public List<StatedLimit> stated(long nowNanos) {
+	public List<AdvertisedLimit> latestLimits(long nowNanos) {
 		return this.limits.values()
 			.stream()
-			.filter((known) -> known.isTold(nowNanos))
-			.map(InstanceLimit::stated)
-			.sorted((first, second) -> Long.compare(second.heardAtNanos() - first.heardAtNanos(), 0))
+			.filter((known) -> known.shouldGossip(nowNanos))
+			.map(InstanceLimit::latest)
+			.sorted((first, second) -> Long.compare(second.receivedAtNanos() - first.receivedAtNanos(), 0))
 			.toList();
 	}
 
@@ -81,10 +81,10 @@
 	 * @param nowNanos the monotonic time
 	 * @param live the live daemons
 	 */
-	public void share(long nowNanos, LiveDaemons live) {
+	public void onLiveDaemons(long nowNanos, LiveDaemons live) {
 		if (!live.equals(this.daemons)) {
 			this.daemons = live;
-			this.limits.values().forEach((known) -> known.share(nowNanos, live));
+			this.limits.values().forEach((known) -> known.onLiveDaemons(nowNanos, live));
 		}
 	}
 
@@ -96,7 +96,7 @@
 	public void retain(long nowNanos, Set<String> instanceIds) {
 		this.limits.entrySet()
 			.removeIf((entry) -> !instanceIds.contains(entry.getKey()) && (!entry.getValue().isLimited()
-					|| nowNanos - entry.getValue().stated().heardAtNanos() > KEPT_NANOS));
+					|| nowNanos - entry.getValue().latest().receivedAtNanos() > RETENTION_NANOS));
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/limit/PermitDraw.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/limit/PermitAllocation.java
@@ -14,17 +14,17 @@
  * among a hundred daemons would be one in a hundred seconds for each, which none could
  * use when it has a caller.
  */
-final class PermitDraw {
+final class PermitAllocation {
 
 	/** Daemons of a small fleet hold some permit at one target or another. */
-	private static final int SPARE_PERMITS = 2;
+	private static final int EXTRA_PERMITS = 2;
 
 	/** Bounds the hashing for targets that take thousands of requests a second. */
-	private static final int MOST_PERMITS = 128;
+	private static final int MAX_PERMITS = 128;
 
-	private static final double UNIT = 1.0 / (1L << Integer.SIZE);
+	private static final double HASH_UNIT = 1.0 / (1L << Integer.SIZE);
 
-	private PermitDraw() {
+	private PermitAllocation() {
 	}
 
 	/**
@@ -33,8 +33,8 @@
 	 * @param requestsPerSecond the limit
 	 * @return the number of permits
 	 */
-	static int permits(double requestsPerSecond) {
-		return (int) Math.min(MOST_PERMITS, SPARE_PERMITS + Math.floor(requestsPerSecond));
+	static int permitCount(double requestsPerSecond) {
+		return (int) Math.min(MAX_PERMITS, EXTRA_PERMITS + Math.floor(requestsPerSecond));
 	}
 
 	/**
@@ -44,7 +44,7 @@
 	 * @param permits how many permits there are
 	 * @return how many of them this daemon holds
 	 */
-	static int held(LiveDaemons daemons, String instanceId, int permits) {
+	static int countHeld(LiveDaemons daemons, String instanceId, int permits) {
 		int held = 0;
 		for (int permit = 0; permit < permits; permit++) {
 			held += daemons.selfId().equals(holder(daemons, instanceId + '#' + permit)) ? 1 : 0;
@@ -72,8 +72,8 @@
 	 * @param draw the number of the draw
 	 * @return a number from 0 to 1
 	 */
-	static double unit(String daemonId, String instanceId, long draw) {
-		return Integer.toUnsignedLong(hash(instanceId + '#' + draw, daemonId)) * UNIT;
+	static double uniformDraw(String daemonId, String instanceId, long draw) {
+		return Integer.toUnsignedLong(hash(instanceId + '#' + draw, daemonId)) * HASH_UNIT;
 	}
 
 	private static int hash(String first, String second) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/TargetLoad.java
@@ -1,6 +1,6 @@
 package org.pistachioline.core.placement;
 
-import org.pistachioline.core.backoff.BackoffBook;
+import org.pistachioline.core.backoff.BackoffRegistry;
 import org.pistachioline.core.backoff.InstanceBackoff;
 import org.pistachioline.core.limit.InstanceLimit;
 import org.pistachioline.core.traffic.AttemptOutcome;
@@ -67,7 +67,7 @@
 	 */
 	public TargetLoad(TargetView view, long nowNanos) {
 		this(view, nowNanos, new InstanceLimit(view.instanceId(), LiveDaemons.ALONE),
-				new BackoffBook().of(view.instanceId()));
+				new BackoffRegistry().getOrCreate(view.instanceId()));
 	}
 
 	/**
@@ -216,7 +216,7 @@
 	 * @return whether they do, as far as is known now
 	 */
 	public boolean mayStart(long atNanos) {
-		return this.limit.mayStart(atNanos) && !this.backoff.holds(atNanos);
+		return this.limit.mayStart(atNanos) && !this.backoff.isActive(atNanos);
 	}
 
 	/**
@@ -226,7 +226,7 @@
 	 * @return whether it is throttled; also true for an instance that is leaving
 	 */
 	boolean isThrottled(long nowNanos) {
-		return this.limit.isLimited() || this.backoff.holds(nowNanos);
+		return this.limit.isLimited() || this.backoff.isActive(nowNanos);
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/placement/ThrottledCapacity.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/placement/ThrottledCapacity.java
@@ -47,11 +47,11 @@
 			}
 			anyServing = true;
 			final InstanceLimit limit = load.limit();
-			final long backoffLeftNanos = load.backoff().leftNanos(nowNanos);
+			final long backoffLeftNanos = load.backoff().remainingNanos(nowNanos);
 			if (limit.isLimited()) {
 				startWaitNanos = Math.min(startWaitNanos, Math.max(backoffLeftNanos, limitWaitNanos(nowNanos, limit)));
-				ownPerSecond += limit.ownPerSecond();
-				allPerSecond += limit.perSecond();
+				ownPerSecond += limit.ownRequestsPerSecond();
+				allPerSecond += limit.requestsPerSecond();
 			}
 			else {
 				endWaitNanos = Math.min(endWaitNanos, backoffLeftNanos);
@@ -67,7 +67,7 @@
 		if (limit.mayStart(nowNanos)) {
 			return 0;
 		}
-		return (limit.ownPerSecond() > 0) ? limit.nextStartNanos() - nowNanos : NEVER_NANOS;
+		return (limit.ownRequestsPerSecond() > 0) ? limit.nextStartNanos() - nowNanos : NEVER_NANOS;
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/TargetDeath.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashEvidence.java
@@ -4,12 +4,12 @@
  * The death of one target while it ran a request.
  *
  * @param targetId the target
- * @param diedAtNanos when it died, by this daemon's monotonic clock
+ * @param crashedAtNanos when it died, by this daemon's monotonic clock
  * @param phase how far it had come with the request
  * @param excused whether the request has run to its end since, so that it is not the
  * cause
  */
-public record TargetDeath(String targetId, long diedAtNanos, DeathPhase phase, boolean excused) {
+public record CrashEvidence(String targetId, long crashedAtNanos, CrashPhase phase, boolean excused) {
 
 	/**
 	 * Puts together what two daemons know of the same death. The result does not depend
@@ -17,15 +17,15 @@
 	 * @param other the same death
 	 * @return the earlier time, the earlier phase, and excused if either is
 	 */
-	TargetDeath with(TargetDeath other) {
-		final boolean earlier = other.diedAtNanos - this.diedAtNanos < 0;
-		final DeathPhase first = (other.phase == DeathPhase.BEGINNING) ? other.phase : this.phase;
-		return new TargetDeath(this.targetId, earlier ? other.diedAtNanos : this.diedAtNanos, first,
+	CrashEvidence merge(CrashEvidence other) {
+		final boolean earlier = other.crashedAtNanos - this.crashedAtNanos < 0;
+		final CrashPhase first = (other.phase == CrashPhase.STARTING) ? other.phase : this.phase;
+		return new CrashEvidence(this.targetId, earlier ? other.crashedAtNanos : this.crashedAtNanos, first,
 				this.excused || other.excused);
 	}
 
-	TargetDeath excuse() {
-		return new TargetDeath(this.targetId, this.diedAtNanos, this.phase, true);
+	CrashEvidence asExcused() {
+		return new CrashEvidence(this.targetId, this.crashedAtNanos, this.phase, true);
 	}
 
 	int weight() {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/DeathReport.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashReport.java
@@ -10,9 +10,9 @@
  * @param targetIds the targets that died
  * @param lastDeathAgeMillis how long ago the last of them died
  */
-public record DeathReport(String fingerprint, boolean quarantined, Set<String> targetIds, long lastDeathAgeMillis) {
+public record CrashReport(String fingerprint, boolean quarantined, Set<String> targetIds, long lastDeathAgeMillis) {
 
-	public DeathReport {
+	public CrashReport {
 		targetIds = Set.copyOf(targetIds);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/DeathVerdict.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/CrashVerdict.java
@@ -3,7 +3,7 @@
 /**
  * What a target's death means for a request that it was running.
  */
-public enum DeathVerdict {
+public enum CrashVerdict {
 
 	/** The request completed before; the death is not held against it. */
 	EXCUSED,
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/DeathCounter.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/LogBasedQuarantine.java
@@ -16,40 +16,40 @@
  * and only the death of a second target condemns it. Once a culprit is found, the others
  * that were suspected for the same targets are free.
  * <p>
- * The limits: {@value #MOST_QUARANTINES} quarantines at a time, since a rolling outage
+ * The limits: {@value #MAX_QUARANTINES} quarantines at a time, since a rolling outage
  * kills targets under innocents, and a cap keeps it from barring everybody's requests;
- * each earlier completion excuses one death, up to {@value #MOST_CREDITS}, so that a
+ * each earlier completion excuses one death, up to {@value #MAX_CREDITS}, so that a
  * popular prompt which runs on all groups of a rack is not barred with the rack.
  */
-public final class DeathCounter implements KillerPolicy {
+public final class LogBasedQuarantine implements QuarantinePolicy {
 
 	/** How long a suspicion or a quarantine lasts, in minutes. */
-	public static final long LIFETIME_MINUTES = 10;
+	public static final long QUARANTINE_MINUTES = 10;
 
-	private static final long LIFETIME_NANOS = LIFETIME_MINUTES * 60 * 1_000_000_000L;
+	private static final long QUARANTINE_NANOS = QUARANTINE_MINUTES * 60 * 1_000_000_000L;
 
 	/** How many requests may be quarantined at a time, here and on the log. */
-	public static final int MOST_QUARANTINES = 64;
+	public static final int MAX_QUARANTINES = 64;
 
-	private static final int MOST_CREDITS = 8;
+	private static final int MAX_CREDITS = 8;
 
-	private static final int MOST_SUSPECTS = 4096;
+	private static final int MAX_SUSPECTS = 4096;
 
-	private static final int MOST_PROVEN = 4096;
+	private static final int MAX_TRUSTED = 4096;
 
-	private final Map<String, Suspicion> suspects = bounded(MOST_SUSPECTS);
+	private final Map<String, Suspicion> suspects = boundedMap(MAX_SUSPECTS);
 
-	private final Map<String, Long> quarantinedUntilNanos = new LinkedHashMap<>();
+	private final Map<String, Long> quarantineEndsNanos = new LinkedHashMap<>();
 
-	private final Map<String, Integer> credits = bounded(MOST_PROVEN);
+	private final Map<String, Integer> credits = boundedMap(MAX_TRUSTED);
 
-	private Set<String> agreed = Set.of();
+	private Set<String> loggedQuarantines = Set.of();
 
-	private Map<String, String> agreedSuspects = Map.of();
+	private Map<String, String> loggedSuspects = Map.of();
 
 	@Override
 	public boolean isQuarantined(String fingerprint) {
-		return this.agreed.contains(fingerprint) || this.quarantinedUntilNanos.containsKey(fingerprint);
+		return this.loggedQuarantines.contains(fingerprint) || this.quarantineEndsNanos.containsKey(fingerprint);
 	}
 
 	@Override
@@ -58,33 +58,33 @@
 	}
 
 	@Override
-	public boolean isProven(String fingerprint) {
+	public boolean isTrusted(String fingerprint) {
 		return this.credits.containsKey(fingerprint);
 	}
 
 	@Override
-	public DeathVerdict onDeath(long nowNanos, String fingerprint, String targetId) {
+	public CrashVerdict onBrokenAttempt(long nowNanos, String fingerprint, String targetId) {
 		if (isQuarantined(fingerprint)) {
-			return DeathVerdict.QUARANTINED;
+			return CrashVerdict.QUARANTINED;
 		}
 		final Integer credit = this.credits.get(fingerprint);
 		if (credit != null) {
-			spend(fingerprint, credit);
-			return DeathVerdict.EXCUSED;
+			spendCredit(fingerprint, credit);
+			return CrashVerdict.EXCUSED;
 		}
 		final Suspicion suspicion = this.suspects.computeIfAbsent(fingerprint, (key) -> new Suspicion());
 		suspicion.targetIds.add(targetId);
-		suspicion.untilNanos = nowNanos + LIFETIME_NANOS;
-		if (suspicion.targetIds.size() < 2 || this.quarantinedUntilNanos.size() >= MOST_QUARANTINES) {
-			return DeathVerdict.SUSPECTED;
+		suspicion.expiresAtNanos = nowNanos + QUARANTINE_NANOS;
+		if (suspicion.targetIds.size() < 2 || this.quarantineEndsNanos.size() >= MAX_QUARANTINES) {
+			return CrashVerdict.SUSPECTED;
 		}
-		this.quarantinedUntilNanos.put(fingerprint, nowNanos + LIFETIME_NANOS);
+		this.quarantineEndsNanos.put(fingerprint, nowNanos + QUARANTINE_NANOS);
 		this.suspects.remove(fingerprint);
-		freeBystanders(suspicion.targetIds);
-		return DeathVerdict.QUARANTINED;
+		clearBystanders(suspicion.targetIds);
+		return CrashVerdict.QUARANTINED;
 	}
 
-	private void spend(String fingerprint, int credit) {
+	private void spendCredit(String fingerprint, int credit) {
 		if (credit > 1) {
 			this.credits.put(fingerprint, credit - 1);
 		}
@@ -93,41 +93,41 @@
 		}
 	}
 
-	private void freeBystanders(Set<String> targetIds) {
+	private void clearBystanders(Set<String> targetIds) {
 		this.suspects.values().removeIf((suspicion) -> targetIds.containsAll(suspicion.targetIds));
 	}
 
 	@Override
-	public void onSurvived(String fingerprint, boolean completed) {
+	public void onRunPastCrash(String fingerprint, boolean completed) {
 		this.suspects.remove(fingerprint);
 		if (completed && !fingerprint.isEmpty()) {
-			this.credits.merge(fingerprint, 1, (had, one) -> Math.min(MOST_CREDITS, had + one));
+			this.credits.merge(fingerprint, 1, (had, one) -> Math.min(MAX_CREDITS, had + one));
 		}
 	}
 
 	@Override
-	public void onAgreed(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
+	public void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
 		suspectTargetIds.forEach((fingerprint, targetId) -> {
-			final String before = this.agreedSuspects.get(fingerprint);
-			if (!targetId.equals(before) && !quarantined.contains(fingerprint) && !isProven(fingerprint)) {
+			final String before = this.loggedSuspects.get(fingerprint);
+			if (!targetId.equals(before) && !quarantined.contains(fingerprint) && !isTrusted(fingerprint)) {
 				final Suspicion suspicion = this.suspects.computeIfAbsent(fingerprint, (key) -> new Suspicion());
 				// A newer report stands for the older one, of which others may have
 				// cleared it.
 				suspicion.targetIds.remove(before);
 				suspicion.targetIds.add(targetId);
-				suspicion.untilNanos = nowNanos + LIFETIME_NANOS;
+				suspicion.expiresAtNanos = nowNanos + QUARANTINE_NANOS;
 			}
 		});
 		for (final String fingerprint : quarantined) {
-			if (!this.agreed.contains(fingerprint)) {
-				condemn(fingerprint, suspectTargetIds.get(fingerprint));
+			if (!this.loggedQuarantines.contains(fingerprint)) {
+				onLoggedQuarantine(fingerprint, suspectTargetIds.get(fingerprint));
 			}
 		}
-		this.agreed = Set.copyOf(quarantined);
-		this.agreedSuspects = Map.copyOf(suspectTargetIds);
+		this.loggedQuarantines = Set.copyOf(quarantined);
+		this.loggedSuspects = Map.copyOf(suspectTargetIds);
 	}
 
-	private void condemn(String fingerprint, String firstTargetId) {
+	private void onLoggedQuarantine(String fingerprint, String firstTargetId) {
 		final Set<String> targetIds = new HashSet<>();
 		final Suspicion suspicion = this.suspects.remove(fingerprint);
 		if (suspicion != null) {
@@ -136,13 +136,13 @@
 		if (firstTargetId != null) {
 			targetIds.add(firstTargetId);
 		}
-		freeBystanders(targetIds);
+		clearBystanders(targetIds);
 	}
 
 	@Override
 	public void onTick(long nowNanos) {
-		this.suspects.values().removeIf((suspicion) -> nowNanos - suspicion.untilNanos >= 0);
-		this.quarantinedUntilNanos.values().removeIf((untilNanos) -> nowNanos - untilNanos >= 0);
+		this.suspects.values().removeIf((suspicion) -> nowNanos - suspicion.expiresAtNanos >= 0);
+		this.quarantineEndsNanos.values().removeIf((untilNanos) -> nowNanos - untilNanos >= 0);
 	}
 
 	@Override
@@ -152,7 +152,7 @@
 		return copy;
 	}
 
-	private static <V> Map<String, V> bounded(int mostEntries) {
+	private static <V> Map<String, V> boundedMap(int mostEntries) {
 		return new LinkedHashMap<>() {
 
 			private static final long serialVersionUID = 1L;
@@ -169,7 +169,7 @@
 
 		private final Set<String> targetIds = new HashSet<>();
 
-		private long untilNanos;
+		private long expiresAtNanos;
 
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/NoQuarantine.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/NoQuarantine.java
@@ -6,7 +6,7 @@
 /**
  * Holds no death against any request; the baseline that a killer request walks through.
  */
-public final class NoQuarantine implements KillerPolicy {
+public final class NoQuarantine implements QuarantinePolicy {
 
 	@Override
 	public boolean isQuarantined(String fingerprint) {
@@ -19,22 +19,22 @@
 	}
 
 	@Override
-	public boolean isProven(String fingerprint) {
+	public boolean isTrusted(String fingerprint) {
 		return true;
 	}
 
 	@Override
-	public DeathVerdict onDeath(long nowNanos, String fingerprint, String targetId) {
-		return DeathVerdict.EXCUSED;
+	public CrashVerdict onBrokenAttempt(long nowNanos, String fingerprint, String targetId) {
+		return CrashVerdict.EXCUSED;
 	}
 
 	@Override
-	public void onSurvived(String fingerprint, boolean completed) {
+	public void onRunPastCrash(String fingerprint, boolean completed) {
 		// Nothing is held against it.
 	}
 
 	@Override
-	public void onAgreed(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
+	public void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds) {
 		// Nothing is taken from others.
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/KillerPolicy.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/QuarantinePolicy.java
@@ -7,7 +7,7 @@
 /**
  * Tells requests that crash targets from those that merely ran beside one.
  */
-public interface KillerPolicy {
+public interface QuarantinePolicy {
 
 	/**
 	 * Returns whether a request is quarantined.
@@ -28,7 +28,7 @@
 	 * @param fingerprint the request's fingerprint
 	 * @return whether it is proven
 	 */
-	boolean isProven(String fingerprint);
+	boolean isTrusted(String fingerprint);
 
 	/**
 	 * Notes that a target died while it ran a request.
@@ -37,14 +37,14 @@
 	 * @param targetId the target
 	 * @return what it means for the request
 	 */
-	DeathVerdict onDeath(long nowNanos, String fingerprint, String targetId);
+	CrashVerdict onBrokenAttempt(long nowNanos, String fingerprint, String targetId);
 
 	/**
 	 * Notes that a request ran on past the point where a target died under it.
 	 * @param fingerprint the request's fingerprint
 	 * @param completed whether it ran to its end
 	 */
-	void onSurvived(String fingerprint, boolean completed);
+	void onRunPastCrash(String fingerprint, boolean completed);
 
 	/**
 	 * Takes over what is agreed on the log.
@@ -52,7 +52,7 @@
 	 * @param quarantined the quarantined fingerprints
 	 * @param suspectTargetIds for each suspected fingerprint the target that died
 	 */
-	void onAgreed(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds);
+	void onLogState(long nowNanos, Set<String> quarantined, Map<String, String> suspectTargetIds);
 
 	/**
 	 * Lets suspicions expire.
@@ -71,7 +71,7 @@
 	 * @param fingerprint the request's fingerprint
 	 * @return the time in nanoseconds
 	 */
-	default long pauseNanos(String fingerprint) {
+	default long retryDelayNanos(String fingerprint) {
 		return 0;
 	}
 
@@ -89,7 +89,7 @@
 	 * @param nowNanos the monotonic time
 	 * @param told the requests
 	 */
-	default void onTold(long nowNanos, List<SuspectedRequest> told) {
+	default void onPeerReports(long nowNanos, List<SuspectedRequest> told) {
 		// Daemons share it by other means.
 	}
 
@@ -97,7 +97,7 @@
 	 * Notes that a target answered a request with a failure and lives on.
 	 * @param fingerprint the request's fingerprint
 	 */
-	default void onAnswered(String fingerprint) {
+	default void onErrorResponse(String fingerprint) {
 		// A failure says nothing.
 	}
 
@@ -114,7 +114,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
-	default List<SuspectedRequest> takeNews(long nowNanos) {
+	default List<SuspectedRequest> drainBroadcast(long nowNanos) {
 		return List.of();
 	}
 
@@ -123,7 +123,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return some requests
 	 */
-	default List<SuspectedRequest> sample(long nowNanos) {
+	default List<SuspectedRequest> gossipSample(long nowNanos) {
 		return List.of();
 	}
 
@@ -131,7 +131,7 @@
 	 * Returns what a daemon is told that has just started.
 	 * @return the requests
 	 */
-	default List<SuspectedRequest> known() {
+	default List<SuspectedRequest> knownSuspects() {
 		return List.of();
 	}
 
@@ -140,7 +140,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
-	default List<DeathReport> reports(long nowNanos) {
+	default List<CrashReport> reports(long nowNanos) {
 		return List.of();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/SuspectedRequest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/quarantine/SuspectedRequest.java
@@ -6,12 +6,12 @@
  * A request under which targets died, as one daemon tells it to others.
  *
  * @param fingerprint the request's fingerprint
- * @param deaths the targets that died under it
+ * @param evidence the targets that died under it
  */
-public record SuspectedRequest(String fingerprint, List<TargetDeath> deaths) {
+public record SuspectedRequest(String fingerprint, List<CrashEvidence> evidence) {
 
 	public SuspectedRequest {
-		deaths = List.copyOf(deaths);
+		evidence = List.copyOf(evidence);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/KillerRules.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/KillerRules.java
@@ -6,7 +6,7 @@
 
 import org.pcollections.PMap;
 
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.record.RequestQuarantine;
 import org.pistachioline.core.record.RequestSuspicion;
 
@@ -32,14 +32,14 @@
 	 */
 	private static final long SAME_MOMENT_MILLIS = 300;
 
-	private static final long LIFETIME_MILLIS = DeathCounter.LIFETIME_MINUTES * 60_000;
+	private static final long LIFETIME_MILLIS = LogBasedQuarantine.QUARANTINE_MINUTES * 60_000;
 
 	private KillerRules() {
 	}
 
 	static FleetState quarantine(FleetState state, RequestQuarantine quarantine) {
 		final FleetState current = withoutExpired(state, quarantine.expiresAtMillis() - LIFETIME_MILLIS);
-		final boolean full = current.quarantines().size() >= DeathCounter.MOST_QUARANTINES;
+		final boolean full = current.quarantines().size() >= LogBasedQuarantine.MAX_QUARANTINES;
 		return full ? current : current.withQuarantine(quarantine);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcomeHandler.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/AttemptOutcomeHandler.java
@@ -59,7 +59,7 @@
 		if (outcome == AttemptOutcome.COMPLETE) {
 			request.hasRun = true;
 			request.completed = true;
-			this.policies.quarantine().onSurvived(request.info.fingerprint(), true);
+			this.policies.quarantine().onRunPastCrash(request.info.fingerprint(), true);
 			this.activeRequests.remove(nowNanos, request);
 			this.policies.retry().onSuccess(nowNanos);
 			this.activeRequests.addAction(new TrafficAction.Finish(request.info.requestId()));
@@ -70,11 +70,12 @@
 			return;
 		}
 		if (outcome == AttemptOutcome.BROKEN) {
-			request.earliestStartNanos = nowNanos + this.policies.quarantine().pauseNanos(request.info.fingerprint());
+			request.earliestStartNanos = nowNanos
+					+ this.policies.quarantine().retryDelayNanos(request.info.fingerprint());
 			this.suspectTracker.onBrokenAttempt(nowNanos, request);
 		}
 		else if (outcome == AttemptOutcome.FAILURE_ANSWERED) {
-			this.policies.quarantine().onAnswered(request.info.fingerprint());
+			this.policies.quarantine().onErrorResponse(request.info.fingerprint());
 		}
 		afterFailure(nowNanos, request, outcome);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RoutingPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/RoutingPolicies.java
@@ -4,7 +4,7 @@
 
 import org.pistachioline.core.admission.AdmitAll;
 import org.pistachioline.core.placement.ExpectedWaitPlacement;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.queueing.FairQueue;
 import org.pistachioline.core.queueing.OnTimeFirstOrder;
 import org.pistachioline.core.retry.RetryBudget;
@@ -33,7 +33,7 @@
 	 * @return the policies
 	 */
 	public static TrafficPolicies create(String availabilityZone, long seed, RetryBudget retryBudget,
-			IntSupplier daemonCount, KillerPolicy quarantine) {
+			IntSupplier daemonCount, QuarantinePolicy quarantine) {
 		return new TrafficPolicies(new AdmitAll(), new FairQueue(MAX_QUEUED_REQUESTS, new OnTimeFirstOrder()),
 				new ExpectedWaitPlacement(availabilityZone, seed, true),
 				new SharedBudgetRetry(retryBudget, daemonCount), quarantine, new FastMigrationPolicy());
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/StandardPolicies.java
@@ -2,7 +2,7 @@
 
 import org.pistachioline.core.admission.WorkspaceLimits;
 import org.pistachioline.core.placement.ExpectedWaitPlacement;
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.queueing.FairQueue;
 import org.pistachioline.core.retry.BudgetedRetry;
 
@@ -27,7 +27,7 @@
 	 */
 	public static TrafficPolicies create(String availabilityZone, long seed) {
 		return new TrafficPolicies(new WorkspaceLimits(), new FairQueue(MAX_QUEUED_REQUESTS),
-				new ExpectedWaitPlacement(availabilityZone, seed), new BudgetedRetry(), new DeathCounter());
+				new ExpectedWaitPlacement(availabilityZone, seed), new BudgetedRetry(), new LogBasedQuarantine());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectIsolation.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectIsolation.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 import org.pistachioline.core.placement.TargetLoad;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 
 /**
  * Restricts the placement of requests that may crash targets, so that they do not crash
@@ -25,13 +25,13 @@
  */
 final class SuspectIsolation {
 
-	private final KillerPolicy quarantine;
+	private final QuarantinePolicy quarantine;
 
 	private final Map<String, Long> suspectRequestIdsByTargetId = new HashMap<>();
 
 	private final Map<String, ActiveRequest> firstRunsByFingerprint = new HashMap<>();
 
-	SuspectIsolation(KillerPolicy quarantine) {
+	SuspectIsolation(QuarantinePolicy quarantine) {
 		this.quarantine = quarantine;
 	}
 
@@ -72,7 +72,7 @@
 			request.isolated = true;
 			this.suspectRequestIdsByTargetId.put(request.target.targetId(), request.info.requestId());
 		}
-		if (!this.quarantine.isProven(fingerprint)) {
+		if (!this.quarantine.isTrusted(fingerprint)) {
 			this.firstRunsByFingerprint.putIfAbsent(fingerprint, request);
 		}
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectTracker.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/SuspectTracker.java
@@ -1,7 +1,7 @@
 package org.pistachioline.core.traffic;
 
-import org.pistachioline.core.quarantine.DeathVerdict;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.CrashVerdict;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 
 /**
  * Reports the requests that were running on a group when it crashed, delays their next
@@ -29,13 +29,13 @@
 	 */
 	private static final long UNLIKELY_SUSPECT_WAIT_NANOS = 1_000_000_000L;
 
-	private final KillerPolicy quarantine;
+	private final QuarantinePolicy quarantine;
 
 	private final SuspectIsolation isolation;
 
 	private final ActiveRequests activeRequests;
 
-	SuspectTracker(KillerPolicy quarantine, SuspectIsolation isolation, ActiveRequests activeRequests) {
+	SuspectTracker(QuarantinePolicy quarantine, SuspectIsolation isolation, ActiveRequests activeRequests) {
 		this.quarantine = quarantine;
 		this.isolation = isolation;
 		this.activeRequests = activeRequests;
@@ -46,7 +46,7 @@
 			this.isolation.onOutput(request);
 		}
 		if (request.isolated && request.tokensDelivered >= request.resumedFromTokens + TOKENS_TO_CLEAR_SUSPECT) {
-			this.quarantine.onSurvived(request.info.fingerprint(), false);
+			this.quarantine.onRunPastCrash(request.info.fingerprint(), false);
 			this.isolation.release(request);
 		}
 	}
@@ -55,13 +55,13 @@
 		if (request.info.targetKind() != TargetKind.MODEL) {
 			return;
 		}
-		final DeathVerdict verdict = this.quarantine.onDeath(nowNanos, request.info.fingerprint(),
+		final CrashVerdict verdict = this.quarantine.onBrokenAttempt(nowNanos, request.info.fingerprint(),
 				request.target.targetId());
-		if (verdict != DeathVerdict.EXCUSED) {
+		if (verdict != CrashVerdict.EXCUSED) {
 			this.activeRequests.addAction(new TrafficAction.ReportSuspect(request.info.requestId(),
-					request.info.fingerprint(), request.target, verdict == DeathVerdict.QUARANTINED));
+					request.info.fingerprint(), request.target, verdict == CrashVerdict.QUARANTINED));
 		}
-		if (verdict == DeathVerdict.SUSPECTED) {
+		if (verdict == CrashVerdict.SUSPECTED) {
 			final boolean likely = request.tokensDelivered == request.resumedFromTokens;
 			request.earliestStartNanos = nowNanos + (likely ? SUSPECT_WAIT_NANOS : UNLIKELY_SUSPECT_WAIT_NANOS);
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetCrashes.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetCrashes.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.quarantine.DeathReport;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.CrashReport;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
 
@@ -16,11 +16,11 @@
  */
 public final class TargetCrashes {
 
-	private final KillerPolicy quarantine;
+	private final QuarantinePolicy quarantine;
 
 	private final ActiveRequests activeRequests;
 
-	TargetCrashes(KillerPolicy quarantine, ActiveRequests activeRequests) {
+	TargetCrashes(QuarantinePolicy quarantine, ActiveRequests activeRequests) {
 		this.quarantine = quarantine;
 		this.activeRequests = activeRequests;
 	}
@@ -45,7 +45,7 @@
 	 */
 	public Set<String> onPeerReports(long nowNanos, List<SuspectedRequest> reported) {
 		final Set<String> before = this.quarantine.quarantined();
-		this.quarantine.onTold(nowNanos, reported);
+		this.quarantine.onPeerReports(nowNanos, reported);
 		return failNewlyQuarantined(nowNanos, before);
 	}
 
@@ -81,7 +81,7 @@
 	 * @return the requests
 	 */
 	public List<SuspectedRequest> drainBroadcast(long nowNanos) {
-		return this.quarantine.takeNews(nowNanos);
+		return this.quarantine.drainBroadcast(nowNanos);
 	}
 
 	/**
@@ -90,7 +90,7 @@
 	 * @return some of the known requests
 	 */
 	public List<SuspectedRequest> gossipSample(long nowNanos) {
-		return this.quarantine.sample(nowNanos);
+		return this.quarantine.gossipSample(nowNanos);
 	}
 
 	/**
@@ -98,7 +98,7 @@
 	 * @return the requests
 	 */
 	public List<SuspectedRequest> knownSuspects() {
-		return this.quarantine.known();
+		return this.quarantine.knownSuspects();
 	}
 
 	/**
@@ -106,7 +106,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return the requests
 	 */
-	public List<DeathReport> reports(long nowNanos) {
+	public List<CrashReport> reports(long nowNanos) {
 		return this.quarantine.reports(nowNanos);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetLimits.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetLimits.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 
 /**
  * Applies the request rate limits that targets state in their responses.
@@ -43,8 +43,8 @@
 	 * @param reported the limits
 	 * @return the limits that differ from what was known
 	 */
-	public List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> reported) {
-		final List<StatedLimit> changed = this.targets.onPeerLimits(nowNanos, reported);
+	public List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> reported) {
+		final List<AdvertisedLimit> changed = this.targets.onPeerLimits(nowNanos, reported);
 		if (!changed.isEmpty()) {
 			this.deadlineAdmission.recheckQueued(nowNanos);
 		}
@@ -56,8 +56,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return the last statement of each instance, the newest first
 	 */
-	public List<StatedLimit> latestLimits(long nowNanos) {
-		return this.targets.limits().stated(nowNanos);
+	public List<AdvertisedLimit> latestLimits(long nowNanos) {
+		return this.targets.limits().latestLimits(nowNanos);
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TargetRegistry.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import org.pistachioline.core.backoff.BackoffBook;
-import org.pistachioline.core.limit.LimitBook;
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.backoff.BackoffRegistry;
+import org.pistachioline.core.limit.AdvertisedLimit;
+import org.pistachioline.core.limit.LimitRegistry;
 import org.pistachioline.core.placement.DaemonRank;
 import org.pistachioline.core.placement.LiveDaemons;
 import org.pistachioline.core.placement.PlacementPolicy;
@@ -33,9 +33,9 @@
 
 	private final Map<String, Long> notServingSinceNanos = new HashMap<>();
 
-	private final LimitBook limits = new LimitBook();
+	private final LimitRegistry limits = new LimitRegistry();
 
-	private final BackoffBook backoffs = new BackoffBook();
+	private final BackoffRegistry backoffs = new BackoffRegistry();
 
 	private DaemonRank daemonRank = DaemonRank.ALONE;
 
@@ -77,8 +77,8 @@
 	private TargetLoad loadOf(long nowNanos, TargetView view) {
 		final TargetLoad known = this.loads.get(view.targetId());
 		if (known == null) {
-			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.of(view.instanceId()),
-					this.backoffs.of(view.instanceId()));
+			final TargetLoad added = new TargetLoad(view, nowNanos, this.limits.getOrCreate(view.instanceId()),
+					this.backoffs.getOrCreate(view.instanceId()));
 			if (view.kind() == TargetKind.MODEL && this.placement.newGroupsSkipSlowStart()) {
 				added.skipSlowStart();
 			}
@@ -122,21 +122,21 @@
 	}
 
 	void onLiveDaemons(long nowNanos, LiveDaemons live) {
-		this.limits.share(nowNanos, live);
+		this.limits.onLiveDaemons(nowNanos, live);
 		this.daemonRank = live.rank();
 		refresh(nowNanos);
 	}
 
 	boolean onLimit(long nowNanos, long sentAtNanos, String instanceId, OptionalDouble requestsPerSecond) {
-		final boolean changed = this.limits.onAnswer(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
+		final boolean changed = this.limits.onResponse(nowNanos, sentAtNanos, instanceId, requestsPerSecond);
 		if (changed) {
 			refresh(nowNanos);
 		}
 		return changed;
 	}
 
-	List<StatedLimit> onPeerLimits(long nowNanos, List<StatedLimit> reported) {
-		final List<StatedLimit> changed = this.limits.onPeer(nowNanos, reported);
+	List<AdvertisedLimit> onPeerLimits(long nowNanos, List<AdvertisedLimit> reported) {
+		final List<AdvertisedLimit> changed = this.limits.onPeerLimits(nowNanos, reported);
 		if (!changed.isEmpty()) {
 			refresh(nowNanos);
 		}
@@ -174,11 +174,11 @@
 		}
 	}
 
-	BackoffBook backoffs() {
+	BackoffRegistry backoffs() {
 		return this.backoffs;
 	}
 
-	LimitBook limits() {
+	LimitRegistry limits() {
 		return this.limits;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficCore.java
@@ -125,7 +125,7 @@
 	 */
 	public List<TrafficAction> onQuarantines(long nowNanos, Set<String> quarantined,
 			Map<String, String> suspectTargetIds) {
-		this.policies.quarantine().onAgreed(nowNanos, quarantined, suspectTargetIds);
+		this.policies.quarantine().onLogState(nowNanos, quarantined, suspectTargetIds);
 		for (final ActiveRequest request : this.activeRequests.all()) {
 			if (request.liveAttempt == null && quarantined.contains(request.info.fingerprint())) {
 				this.activeRequests.fail(nowNanos, request, ErrorKind.QUARANTINED, 0);
--- a/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/traffic/TrafficPolicies.java
@@ -2,7 +2,7 @@
 
 import org.pistachioline.core.admission.AdmissionPolicy;
 import org.pistachioline.core.placement.PlacementPolicy;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.queueing.QueuePolicy;
 import org.pistachioline.core.retry.RetryPolicy;
 
@@ -17,7 +17,7 @@
  * @param migration decides when a running stream is moved to another target
  */
 public record TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement,
-		RetryPolicy retry, KillerPolicy quarantine, StreamMigrationPolicy migration) {
+		RetryPolicy retry, QuarantinePolicy quarantine, StreamMigrationPolicy migration) {
 
 	/**
 	 * Creates policies with the standard rules for stream migration.
@@ -28,7 +28,7 @@
 	 * @param quarantine identifies requests that crash targets
 	 */
 	public TrafficPolicies(AdmissionPolicy admission, QueuePolicy queue, PlacementPolicy placement, RetryPolicy retry,
-			KillerPolicy quarantine) {
+			QuarantinePolicy quarantine) {
 		this(admission, queue, placement, retry, quarantine, new StandardMigrationPolicy());
 	}
 
--- a/pistachioline-core/src/test/java/org/pistachioline/core/endpoints/WarmUpRuleTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/endpoints/WarmUpPolicyTests.java
@@ -8,15 +8,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class WarmUpRuleTests {
+class WarmUpPolicyTests {
 
 	private static final long NOW_MILLIS = 1_000_000;
 
 	private static final PeerStatus SELF = daemon("self", NOW_MILLIS, false, false);
 
 	@Test
-	void aDaemonThatRestartedAloneRunsItselfWarmFirst() {
-		assertThat(WarmUpRule.mayHoldBack(SELF, List.of(warm("a"), warm("b"), warm("c")))).isTrue();
+	void aDaemonThatRestartedAloneWarmsUpFirst() {
+		assertThat(WarmUpPolicy.shouldWarmUp(SELF, List.of(warm("a"), warm("b"), warm("c")))).isTrue();
 	}
 
 	/**
@@ -24,15 +24,16 @@
 	 * held for warm by the rest, it would get every caller and serve none in time.
 	 */
 	@Test
-	void nobodyHoldsBackWhenAllRestartedTogether() {
+	void noDaemonWarmsUpWhenAllRestartedTogether() {
 		final PeerStatus other = daemon("a", NOW_MILLIS - 700, true, false);
-		assertThat(WarmUpRule.mayHoldBack(SELF, List.of(other, daemon("b", NOW_MILLIS + 300, true, false)))).isFalse();
-		assertThat(WarmUpRule.mayHoldBack(SELF, List.of())).isFalse();
+		assertThat(WarmUpPolicy.shouldWarmUp(SELF, List.of(other, daemon("b", NOW_MILLIS + 300, true, false))))
+			.isFalse();
+		assertThat(WarmUpPolicy.shouldWarmUp(SELF, List.of())).isFalse();
 	}
 
 	@Test
-	void nobodyHoldsBackWhenMostOthersAreColdOrLeaving() {
-		assertThat(WarmUpRule.mayHoldBack(SELF, List.of(warm("a"), daemon("b", NOW_MILLIS - 1_000, true, false),
+	void noDaemonWarmsUpWhenMostOthersAreColdOrLeaving() {
+		assertThat(WarmUpPolicy.shouldWarmUp(SELF, List.of(warm("a"), daemon("b", NOW_MILLIS - 1_000, true, false),
 				daemon("c", NOW_MILLIS - 60_000, true, true))))
 			.isFalse();
 	}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/error/ErrorPageTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/error/ErrorPageTests.java
@@ -12,7 +12,7 @@
 class ErrorPageTests {
 
 	@Test
-	void thePageOfErrorsHasExactlyTheRowsOfTheClosedList() throws IOException {
+	void theErrorsPageListsExactlyTheErrorKinds() throws IOException {
 		final Path page = Path.of(System.getProperty("repository.root"), "docs", "ERRORS.md");
 		assertThat(Files.readAllLines(page).stream().filter((line) -> line.startsWith("| `")))
 			.containsExactlyElementsOf(Arrays.stream(ErrorKind.values())
--- a/pistachioline-core/src/test/java/org/pistachioline/core/event/EventPageTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/event/EventPageTests.java
@@ -12,7 +12,7 @@
 class EventPageTests {
 
 	@Test
-	void thePageOfEventsHasExactlyTheRowsOfTheCatalogue() throws IOException {
+	void theEventsPageListsExactlyTheEventIds() throws IOException {
 		final Path page = Path.of(System.getProperty("repository.root"), "docs", "EVENTS.md");
 		assertThat(Files.readAllLines(page).stream().filter((line) -> line.startsWith("| PL-")))
 			.containsExactlyElementsOf(Arrays.stream(EventId.values())
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitedEngine.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/LimitSimulationInstance.java
@@ -8,53 +8,53 @@
 import java.util.OptionalDouble;
 
 /**
- * One target of a {@link LimitWorld}.
+ * One target of a {@link LimitSimulation}.
  */
-final class LimitedEngine {
+final class LimitSimulationInstance {
 
 	final String id;
 
 	/** The epoch of the group that it heads; 0 where it has none. */
-	long epoch = 1;
+	long groupEpoch = 1;
 
 	OptionalDouble limit = OptionalDouble.empty();
 
-	long namedAtNanos;
+	long limitSetAtNanos;
 
 	/** When the last requests of daemons came that had heard of the limit. */
-	final Deque<Long> arrivals = new ArrayDeque<>();
+	final Deque<Long> countedArrivalsNanos = new ArrayDeque<>();
 
 	/** For how long it asks a daemon for rest that it turns away; 0 while it serves. */
-	long restNanos;
+	long backoffNanos;
 
 	/** Whether it says in its answers that it leaves. */
 	boolean leaving;
 
 	/** When daemons first passed on that it leaves, by the daemon's name. */
-	final Map<String, Long> leavingToldNanos = new HashMap<>();
+	final Map<String, Long> leavingReceivedNanos = new HashMap<>();
 
 	/** The rest that it asked daemons for, by the daemon's name. */
-	final Map<String, List<AskedRest>> rests = new HashMap<>();
+	final Map<String, List<RequestedBackoff>> backoffs = new HashMap<>();
 
 	/** How many requests came since the limit was last changed. */
-	int got;
+	int receivedRequests;
 
-	LimitedEngine(String id) {
+	LimitSimulationInstance(String id) {
 		this.id = id;
 	}
 
 	/**
 	 * A time in which one daemon is to send next to nothing.
 	 */
-	static final class AskedRest {
+	static final class RequestedBackoff {
 
 		final long fromNanos;
 
 		final long untilNanos;
 
-		int got;
+		int receivedRequests;
 
-		AskedRest(long fromNanos, long untilNanos) {
+		RequestedBackoff(long fromNanos, long untilNanos) {
 			this.fromNanos = fromNanos;
 			this.untilNanos = untilNanos;
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/limit/SharedLimitTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/limit/SharedLimitTests.java
@@ -13,7 +13,7 @@
 
 class SharedLimitTests {
 
-	private static final int SEEDS = 5;
+	private static final int SEED_COUNT = 5;
 
 	/**
 	 * Guards against daemons that send a target more than it takes from all of them
@@ -21,13 +21,13 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "8, 1", "8, 1.1", "8, 0.3", "8, 4.5", "1, 1", "3, 2", "40, 1", "95, 1", "95, 0.5" })
-	void aTargetGetsNoMoreThanItTakesFromAllDaemonsTogether(int daemons, double requestsPerSecond) {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, daemons, 23, TargetKind.MODEL);
-			world.traffic(23 * 6);
+	void allDaemonsTogetherStayWithinTheLimitOfATarget(int daemons, double requestsPerSecond) {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, daemons, 23, TargetKind.MODEL);
+			world.sendRequests(23 * 6);
 			world.run(4);
-			world.limit(0, OptionalDouble.of(requestsPerSecond));
-			world.limit(1, OptionalDouble.of(requestsPerSecond));
+			world.setLimit(0, OptionalDouble.of(requestsPerSecond));
+			world.setLimit(1, OptionalDouble.of(requestsPerSecond));
 			world.run(40);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
@@ -38,13 +38,13 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 8, 40 })
-	void theLimitHoldsAmongDaemonsThatTellEachOtherNothing(int daemons) {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, daemons, 23, TargetKind.MODEL);
-			world.peersTell = false;
-			world.traffic(23 * 6);
+	void theLimitHoldsAmongDaemonsThatExchangeNoLimits(int daemons) {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, daemons, 23, TargetKind.MODEL);
+			world.gossipEnabled = false;
+			world.sendRequests(23 * 6);
 			world.run(4);
-			world.limit(0, OptionalDouble.of(1));
+			world.setLimit(0, OptionalDouble.of(1));
 			world.run(40);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
@@ -56,18 +56,18 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 8, 40 })
-	void aLimitThatIsOverIsSoonOverOnAllDaemons(int daemons) {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, daemons, 6, TargetKind.MODEL);
-			world.traffic(6 * 8);
+	void theEndOfALimitSoonReachesAllDaemons(int daemons) {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, daemons, 6, TargetKind.MODEL);
+			world.sendRequests(6 * 8);
 			world.run(4);
-			world.limit(0, OptionalDouble.of(1));
+			world.setLimit(0, OptionalDouble.of(1));
 			world.run(10);
-			world.limit(0, OptionalDouble.empty());
+			world.setLimit(0, OptionalDouble.empty());
 			world.run(6);
-			final int before = world.engine(0).got;
+			final int before = world.instance(0).receivedRequests;
 			world.run(10);
-			assertThat(world.engine(0).got - before).as("seed " + seed).isGreaterThan(40);
+			assertThat(world.instance(0).receivedRequests - before).as("seed " + seed).isGreaterThan(40);
 			assertThat(world.daemons()).as("seed " + seed)
 				.allMatch((daemon) -> daemon.core().targetLimits().reports(world.nowNanos()).isEmpty());
 		}
@@ -78,16 +78,16 @@
 	 */
 	@ParameterizedTest
 	@CsvSource({ "8, 1", "8, 4.5", "1, 2", "95, 1" })
-	void aTargetThatNamesALimitGetsMostOfWhatItTakes(int daemons, double requestsPerSecond) {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, daemons, 23, TargetKind.MODEL);
-			world.traffic(23 * 12);
+	void mostOfTheLimitOfATargetIsUsed(int daemons, double requestsPerSecond) {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, daemons, 23, TargetKind.MODEL);
+			world.sendRequests(23 * 12);
 			world.run(4);
-			world.limit(0, OptionalDouble.of(requestsPerSecond));
+			world.setLimit(0, OptionalDouble.of(requestsPerSecond));
 			world.run(10);
-			final int before = world.engine(0).got;
+			final int before = world.instance(0).receivedRequests;
 			world.run(40);
-			assertThat(world.engine(0).got - before).as("seed " + seed)
+			assertThat(world.instance(0).receivedRequests - before).as("seed " + seed)
 				.isGreaterThan((int) (0.5 * 40 * requestsPerSecond));
 		}
 	}
@@ -98,17 +98,17 @@
 	 */
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 8, 40 })
-	void callersOfAServiceThatTakesLittleAreRefusedAtOnce(int daemons) {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, daemons, 3, TargetKind.SERVICE);
-			world.traffic(60);
+	void callersOfAServiceWithLowLimitsAreRejectedAtOnce(int daemons) {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, daemons, 3, TargetKind.SERVICE);
+			world.sendRequests(60);
 			world.run(4);
 			for (int target = 0; target < 3; target++) {
-				world.limit(target, OptionalDouble.of(4));
+				world.setLimit(target, OptionalDouble.of(4));
 			}
 			world.run(20);
 			assertThat(world.violations).as("seed " + seed).isEmpty();
-			assertThat(world.daemons()).as("seed " + seed).allMatch((daemon) -> daemon.refusedLate == 0);
+			assertThat(world.daemons()).as("seed " + seed).allMatch((daemon) -> daemon.rejectedLate == 0);
 			assertThat(world.daemons().stream().mapToInt((daemon) -> daemon.served).sum()).as("seed " + seed)
 				.isGreaterThan(4 * 50 + 20 * 6);
 		}
@@ -118,15 +118,15 @@
 	 * Guards against permits that are used twice while daemons come and go.
 	 */
 	@Test
-	void theLimitHoldsWhileDaemonsRestartInTurn() {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, 8, 23, TargetKind.MODEL);
-			world.traffic(23 * 6);
+	void theLimitHoldsDuringARollingRestart() {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, 8, 23, TargetKind.MODEL);
+			world.sendRequests(23 * 6);
 			world.run(4);
-			world.limit(0, OptionalDouble.of(1));
-			world.limit(1, OptionalDouble.of(5));
+			world.setLimit(0, OptionalDouble.of(1));
+			world.setLimit(1, OptionalDouble.of(5));
 			for (int turn = 0; turn < 24; turn++) {
-				final LimitWorldDaemon daemon = world.daemon(turn % 8);
+				final LimitSimulationDaemon daemon = world.daemon(turn % 8);
 				daemon.stop();
 				world.run(1);
 				daemon.start();
@@ -140,15 +140,15 @@
 	 * Guards against a limit that is forgotten when the group of its head is formed anew.
 	 */
 	@Test
-	void theLimitIsTheInstancesWhateverGroupItServes() {
-		for (long seed = 1; seed <= SEEDS; seed++) {
-			final LimitWorld world = new LimitWorld(seed, 8, 6, TargetKind.MODEL);
-			world.traffic(6 * 6);
+	void theLimitAppliesToTheInstanceAcrossItsGroups() {
+		for (long seed = 1; seed <= SEED_COUNT; seed++) {
+			final LimitSimulation world = new LimitSimulation(seed, 8, 6, TargetKind.MODEL);
+			world.sendRequests(6 * 6);
 			world.run(4);
-			world.limit(0, OptionalDouble.of(1));
+			world.setLimit(0, OptionalDouble.of(1));
 			for (int turn = 0; turn < 10; turn++) {
 				world.run(2);
-				world.formAnew(0);
+				world.reformGroup(0);
 			}
 			assertThat(world.violations).as("seed " + seed).isEmpty();
 		}
--- /dev/null
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/quarantine/CrashRegistryTests.java
@@ -0,0 +1,159 @@
+package org.pistachioline.core.quarantine;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+
+import org.junit.jupiter.api.Test;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class CrashRegistryTests {
+
+	private static final long MINUTE_NANOS = 60_000_000_000L;
+
+	private final CrashRegistry registry = new CrashRegistry(GossipQuarantine.CRASHES_TO_QUARANTINE);
+
+	private void crash(long nowNanos, String fingerprint, String targetId, CrashPhase phase) {
+		this.registry.add(nowNanos, fingerprint, new CrashEvidence(targetId, nowNanos, phase, false));
+		this.registry.updateQuarantines(nowNanos);
+	}
+
+	private void quarantine(long nowNanos, String fingerprint) {
+		for (int i = 0; i < GossipQuarantine.CRASHES_TO_QUARANTINE; i++) {
+			crash(nowNanos, fingerprint, fingerprint + i, CrashPhase.STARTING);
+		}
+	}
+
+	@Test
+	void threeCrashesWhileStartingQuarantineARequest() {
+		crash(0, "a", "i-1", CrashPhase.STARTING);
+		crash(0, "a", "i-2", CrashPhase.STARTING);
+		crash(0, "a", "i-2", CrashPhase.STARTING);
+		assertThat(this.registry.isQuarantined("a")).isFalse();
+		crash(0, "a", "i-3", CrashPhase.STARTING);
+		assertThat(this.registry.isQuarantined("a")).isTrue();
+	}
+
+	@Test
+	void sixCrashesWhileInProgressQuarantineARequest() {
+		for (int i = 0; i < 5; i++) {
+			crash(0, "a", "i-" + i, CrashPhase.IN_PROGRESS);
+		}
+		assertThat(this.registry.isQuarantined("a")).isFalse();
+		crash(0, "a", "i-5", CrashPhase.IN_PROGRESS);
+		assertThat(this.registry.isQuarantined("a")).isTrue();
+	}
+
+	@Test
+	void oneCompletionExcusesAllEarlierCrashes() {
+		quarantine(0, "a");
+		this.registry.excuse("a");
+		assertThat(this.registry.isQuarantined("a")).isFalse();
+		crash(0, "a", "i-8", CrashPhase.STARTING);
+		crash(0, "a", "i-9", CrashPhase.STARTING);
+		assertThat(this.registry.isQuarantined("a")).isFalse();
+	}
+
+	/**
+	 * Guards against a popular request that has outlived many targets, and is never
+	 * barred when it begins to crash them.
+	 */
+	@Test
+	void excusedCrashesLeaveRoomForLaterOnes() {
+		for (int i = 0; i < 20; i++) {
+			crash(0, "a", "before-" + i, CrashPhase.STARTING);
+			this.registry.excuse("a");
+		}
+		quarantine(0, "a");
+		assertThat(this.registry.isQuarantined("a")).isTrue();
+	}
+
+	/**
+	 * Guards against a request that is barred since it ran beside one that crashes
+	 * targets three times.
+	 */
+	@Test
+	void aRequestThatOnlyRanBesideTheCulpritIsNotQuarantined() {
+		for (final String targetId : List.of("i-1", "i-2", "i-3")) {
+			crash(0, "culprit", targetId, CrashPhase.STARTING);
+			crash(0, "beside", targetId, CrashPhase.STARTING);
+		}
+		assertThat(this.registry.quarantined()).doesNotContain("beside");
+		crash(0, "culprit", "i-4", CrashPhase.STARTING);
+		assertThat(this.registry.quarantined()).containsExactly("culprit");
+	}
+
+	/**
+	 * Guards against a caller who goes on for hours and costs three targets each time
+	 * that the quarantine has expired.
+	 */
+	@Test
+	void afterAQuarantineOneCrashQuarantinesTheRequestAgain() {
+		quarantine(0, "a");
+		this.registry.onTick(11 * MINUTE_NANOS);
+		assertThat(this.registry.isQuarantined("a")).isFalse();
+		crash(12 * MINUTE_NANOS, "a", "i-9", CrashPhase.STARTING);
+		assertThat(this.registry.isQuarantined("a")).isTrue();
+	}
+
+	@Test
+	void aSuspicionWithoutFurtherCrashesExpires() {
+		crash(0, "a", "i-1", CrashPhase.STARTING);
+		crash(0, "a", "i-2", CrashPhase.STARTING);
+		this.registry.onTick(3 * MINUTE_NANOS);
+		crash(3 * MINUTE_NANOS, "a", "i-3", CrashPhase.STARTING);
+		assertThat(this.registry.isQuarantined("a")).isFalse();
+	}
+
+	/**
+	 * Guards against daemons that come to different verdicts since frames reached them in
+	 * another order, or twice.
+	 */
+	@Test
+	void reportsInAnyOrderLeadToTheSameQuarantines() {
+		final List<SuspectedRequest> told = new ArrayList<>();
+		for (int i = 0; i < 4; i++) {
+			told.add(new SuspectedRequest("a", List.of(new CrashEvidence("i-" + i, i, CrashPhase.STARTING, false))));
+			told.add(new SuspectedRequest("b", List.of(new CrashEvidence("i-" + i, i, CrashPhase.STARTING, false),
+					new CrashEvidence("i-" + i, i, CrashPhase.IN_PROGRESS, i == 2))));
+		}
+		told.addAll(told);
+		final Random random = new Random(7);
+		for (int i = 0; i < 50; i++) {
+			Collections.shuffle(told, random);
+			final GossipQuarantine daemon = new GossipQuarantine();
+			told.forEach((request) -> daemon.onPeerReports(10, List.of(request)));
+			assertThat(daemon.quarantined()).containsExactly("a");
+		}
+	}
+
+	/**
+	 * Guards against an outage, or a caller who makes up bodies, that fills the memory or
+	 * drives out what is barred.
+	 */
+	@Test
+	void theRegistryIsBoundedAndEvictsTheWeakestEvidence() {
+		quarantine(0, "a");
+		for (int i = 0; i < 3 * CrashRegistry.MAX_REQUESTS; i++) {
+			crash(i, "innocent-" + i, "i-" + i, CrashPhase.STARTING);
+		}
+		assertThat(this.registry.isQuarantined("a")).isTrue();
+		assertThat(this.registry.reports(0)).hasSize(CrashRegistry.MAX_REQUESTS);
+		assertThat(this.registry.gossipSample(0)).hasSize(CrashRegistry.MAX_SAMPLED);
+		assertThat(this.registry.knownSuspects()).hasSize(CrashRegistry.MAX_KNOWN_SUSPECTS)
+			.first()
+			.extracting(SuspectedRequest::fingerprint)
+			.isEqualTo("a");
+	}
+
+	@Test
+	void theNumberOfQuarantinedRequestsIsBounded() {
+		for (int i = 0; i < CrashRegistry.MAX_QUARANTINED + 10; i++) {
+			quarantine(0, "a" + i + "-");
+		}
+		assertThat(this.registry.quarantined()).hasSize(CrashRegistry.MAX_QUARANTINED);
+	}
+
+}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/RequestQuarantineTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/RequestQuarantineTests.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.core.quarantine.DeathCounter;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.quarantine.NoQuarantine;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.record.LogRecord;
 import org.pistachioline.core.record.RecordBody;
 import org.pistachioline.core.record.RequestQuarantine;
@@ -32,7 +32,7 @@
 	// that runs it, and its caller resubmits it, each time to another daemon.
 	@Test
 	void aCrashingRequestResubmittedToEveryDaemonCostsTwoGroups() {
-		final Fleet fleet = new Fleet(4, 6, DeathCounter::new);
+		final Fleet fleet = new Fleet(4, 6, LogBasedQuarantine::new);
 		fleet.startBystanders(3);
 		for (int i = 0; i < SUBMISSIONS; i++) {
 			fleet.submitCrashingRequest(i % 4);
@@ -59,7 +59,7 @@
 	// suspect.
 	@Test
 	void copiesSentAtOnceToOneDaemonRunOnOneGroup() {
-		final Fleet fleet = new Fleet(1, 4, DeathCounter::new);
+		final Fleet fleet = new Fleet(1, 4, LogBasedQuarantine::new);
 		for (int i = 0; i < 3; i++) {
 			fleet.arrive(0, CRASHING_REQUEST);
 		}
@@ -73,7 +73,7 @@
 	// crash only afterwards. Two groups are lost, but no third.
 	@Test
 	void copiesSentAtOnceToTwoDaemonsCostTwoGroups() {
-		final Fleet fleet = new Fleet(2, 6, DeathCounter::new);
+		final Fleet fleet = new Fleet(2, 6, LogBasedQuarantine::new);
 		fleet.arrive(0, "filler");
 		fleet.arrive(0, CRASHING_REQUEST);
 		fleet.arrive(1, CRASHING_REQUEST);
@@ -89,7 +89,7 @@
 	// together on the next group, its crash would quarantine all of them.
 	@Test
 	void suspectsOfOneBatchAreNotQuarantinedTogether() {
-		final Fleet fleet = new Fleet(1, 2, DeathCounter::new);
+		final Fleet fleet = new Fleet(1, 2, LogBasedQuarantine::new);
 		for (int i = 0; i < 2 * TrafficSimulation.SLOTS - 1; i++) {
 			fleet.arrive(0, "bystander-" + i);
 		}
@@ -110,7 +110,7 @@
 	// They must complete on the remaining groups.
 	@Test
 	void aRollingOutageQuarantinesNoRequestThatRunsOn() {
-		final Fleet fleet = new Fleet(2, 8, DeathCounter::new);
+		final Fleet fleet = new Fleet(2, 8, LogBasedQuarantine::new);
 		fleet.startBystanders(8);
 		for (int group = 0; group < 5; group++) {
 			fleet.crashTarget("g" + group + "@1");
@@ -138,7 +138,7 @@
 
 		private long nextRequestId = 1;
 
-		Fleet(int daemonCount, int groupCount, Supplier<KillerPolicy> quarantine) {
+		Fleet(int daemonCount, int groupCount, Supplier<QuarantinePolicy> quarantine) {
 			for (int i = 0; i < daemonCount; i++) {
 				this.daemons.add(new TrafficSimulation(quarantine.get()));
 			}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/StreamMigrationTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/StreamMigrationTests.java
@@ -4,7 +4,7 @@
 
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,7 +12,7 @@
 
 	private static final int DELIVERED_TOKENS = 10;
 
-	private final TrafficSimulation simulation = new TrafficSimulation(new DeathCounter());
+	private final TrafficSimulation simulation = new TrafficSimulation(new LogBasedQuarantine());
 
 	private TrafficSimulation.Attempt onlyAttempt() {
 		assertThat(this.simulation.liveAttempts).hasSize(1);
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficInvariantTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficInvariantTests.java
@@ -10,12 +10,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-import org.pistachioline.core.quarantine.DeathCounter;
-import org.pistachioline.core.quarantine.DeathPhase;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
+import org.pistachioline.core.quarantine.GossipQuarantine;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.core.retry.RetryBudget;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -38,7 +38,7 @@
 	@Property(seed = "7201", tries = 400, shrinking = ShrinkingMode.OFF)
 	void eachRequestEndsOnceWithACorrectRunState(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final TrafficSimulation simulation = new TrafficSimulation(new DeathCounter());
+		final TrafficSimulation simulation = new TrafficSimulation(new LogBasedQuarantine());
 		changeTargets(simulation, random);
 		for (int step = 0; step < STEPS; step++) {
 			step(simulation, random);
@@ -64,7 +64,7 @@
 	void eachRelayedRequestEndsOnceWithACorrectRunState(@ForAll long seed) {
 		final Random random = new Random(seed);
 		final TrafficSimulation simulation = new TrafficSimulation(RoutingPolicies.create("a", seed,
-				new RetryBudget(0.2, 100, 10_000_000_000L), () -> 2, new SharedDeaths()));
+				new RetryBudget(0.2, 100, 10_000_000_000L), () -> 2, new GossipQuarantine()));
 		changeTargets(simulation, random);
 		for (int step = 0; step < STEPS; step++) {
 			relayedStep(simulation, random);
@@ -110,8 +110,8 @@
 	}
 
 	private static void reportPeerCrash(TrafficSimulation simulation, Random random) {
-		final TargetDeath death = new TargetDeath("elsewhere-" + random.nextInt(20), simulation.nowNanos,
-				random.nextBoolean() ? DeathPhase.BEGINNING : DeathPhase.UNDER_WAY, random.nextInt(4) == 0);
+		final CrashEvidence death = new CrashEvidence("elsewhere-" + random.nextInt(20), simulation.nowNanos,
+				random.nextBoolean() ? CrashPhase.STARTING : CrashPhase.IN_PROGRESS, random.nextInt(4) == 0);
 		simulation.core.targetCrashes()
 			.onPeerReports(simulation.nowNanos,
 					List.of(new SuspectedRequest("f" + random.nextInt(12), List.of(death))));
--- a/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficSimulation.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/traffic/TrafficSimulation.java
@@ -10,7 +10,7 @@
 import org.pistachioline.core.admission.AdmitAll;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.placement.LeastInFlight;
-import org.pistachioline.core.quarantine.KillerPolicy;
+import org.pistachioline.core.quarantine.QuarantinePolicy;
 import org.pistachioline.core.queueing.FifoQueue;
 import org.pistachioline.core.retry.BudgetedRetry;
 
@@ -40,7 +40,7 @@
 
 	long nowNanos;
 
-	TrafficSimulation(KillerPolicy quarantine) {
+	TrafficSimulation(QuarantinePolicy quarantine) {
 		this(new TrafficPolicies(new AdmitAll(), new FifoQueue(100), new LeastInFlight(), new BudgetedRetry(),
 				quarantine));
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Parts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Components.java
@@ -10,7 +10,7 @@
  * The parts of one daemon, which are started in order and stopped in reverse. Where one
  * fails to start, those before it can still be stopped.
  */
-final class Parts {
+final class Components {
 
 	private final List<Lifecycle> all = new ArrayList<>();
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -66,9 +66,9 @@
 import org.pistachioline.daemon.peer.PeerDuty;
 import org.pistachioline.daemon.peer.PeerTls;
 import org.pistachioline.daemon.peer.PeerTransport;
-import org.pistachioline.daemon.traffic.Exchanges;
-import org.pistachioline.daemon.traffic.KillerReports;
-import org.pistachioline.daemon.traffic.ShareKeeper;
+import org.pistachioline.daemon.traffic.ExchangeStarter;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
+import org.pistachioline.daemon.traffic.LogSuspectReporter;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 import org.pistachioline.protocol.peer.PeerFrame;
@@ -78,9 +78,9 @@
  */
 public final class Daemon implements DaemonView {
 
-	private static final long DRAIN_CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+	private static final long DRAIN_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-	private static final long LONGEST_DRAIN_NANOS = TimeUnit.MINUTES.toNanos(15);
+	private static final long MAX_DRAIN_NANOS = TimeUnit.MINUTES.toNanos(15);
 
 	private final Settings settings;
 
@@ -88,7 +88,7 @@
 
 	private final long incarnation = System.currentTimeMillis();
 
-	private final AtomicLong heartbeats = new AtomicLong();
+	private final AtomicLong heartbeatSequence = new AtomicLong();
 
 	private final AppendDuty appender;
 
@@ -106,17 +106,17 @@
 
 	private final TraceRecorder recorder;
 
-	private final ShareKeeper shares;
+	private final LimitShareUpdater limitShares;
 
 	private final TrafficDuty traffic;
 
-	private final HttpServer callers;
+	private final HttpServer callerServer;
 
-	private final AdminServer admin;
+	private final AdminServer adminServer;
 
 	private final Metrics metrics = new Metrics();
 
-	private final Parts parts = new Parts();
+	private final Components components = new Components();
 
 	private final ConfigFreshness freshness;
 
@@ -129,7 +129,7 @@
 	public Daemon(Settings settings) {
 		this.settings = settings;
 		final HttpCaller http = new HttpCaller(this.system);
-		this.metrics.process(http.meter());
+		this.metrics.addProcessMeters(http.meter());
 		final LogService log = new HttpLogService(http, settings.text(Setting.LOG_ADDRESS));
 		final String selfId = settings.text(Setting.DAEMON_ID);
 		final String writer = selfId + "#" + Long.toString(this.incarnation, Character.MAX_RADIX)
@@ -147,47 +147,51 @@
 		final ClaimService claims = new ClaimService(this.system, log, this.appender,
 				settings.text(Setting.LOG_CLAIMS_STREAM), (int) settings.whole(Setting.LOG_CLAIMS_PARTITIONS));
 		final HttpEngineControl engines = new HttpEngineControl(http);
-		this.peers = new PeerDuty(this.system, this::transport, selfId, this::status, this::seeds,
+		this.peers = new PeerDuty(this.system, this::createTransport, selfId, this::status, this::seedAddresses,
 				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.freshness = new ConfigFreshness(
 				new StalenessBound(Duration.ofSeconds(settings.whole(Setting.LOG_STALENESS_BOUND_SECONDS)).toMillis()),
-				this.config::view, this.peers::others);
+				this.config::view, this.peers::livePeers);
 		this.instances = new FleetDuty(this.system, this.config, this.fleet,
 				new HttpInstanceList(http, settings.text(Setting.INSTANCES_ADDRESS)), engines,
 				new PresenceTransport(selfId, this.peers), writer,
 				new PresenceLimits(TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_INTERVAL_MILLIS)),
 						TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_PRESENCE_BOUND_MILLIS))));
 		this.planner = new PlannerDuty(this.system, this.config, this.fleet, this.instances, engines, this.appender,
-				new GroupPlanner(new WeighedLoss()), selfId, this.peers::daemonIds);
-		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::daemonIds, this.peers::send);
-		this.peers.onClaimFrame(this.claims::onFrame);
+				new GroupPlanner(new WeighedLoss()), selfId, this.peers::activeDaemonIds);
+		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::activeDaemonIds,
+				this.peers::send);
+		this.peers.setClaimReceiver(this.claims::onFrame);
 		this.recorder = new TraceRecorder(settings.flag(Setting.TRACE_RECORD));
-		this.shares = new ShareKeeper(selfId, this.peers::daemonIds, settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
+		this.limitShares = new LimitShareUpdater(selfId, this.peers::activeDaemonIds,
+				settings.whole(Setting.PEERS_HEARTBEAT_MILLIS));
 		this.traffic = new TrafficDuty(this.system,
 				new TrafficCore(StandardPolicies.create(settings.text(Setting.DAEMON_AVAILABILITY_ZONE),
 						this.incarnation ^ ((long) selfId.hashCode() << Integer.SIZE))),
-				this.claims, this.shares, new KillerReports(this.appender, settings.text(Setting.LOG_FLEET_STREAM)),
-				this.recorder);
-		this.peers.onDemand(this.shares::demand,
-				(peer, demand) -> this.traffic.peerDemand(peer.daemonId(), peer.leaving(), demand));
+				this.claims, this.limitShares,
+				new LogSuspectReporter(this.appender, settings.text(Setting.LOG_FLEET_STREAM)), this.recorder);
+		this.peers.setDemandExchange(this.limitShares::demand,
+				(peer, demand) -> this.traffic.onPeerDemand(peer.daemonId(), peer.leaving(), demand));
 		final CacheEventDuty caches = new CacheEventDuty(this.system, engines, this.instances::view,
-				this.traffic::cacheEvents);
+				this.traffic::onCacheEvents);
 		final CallerLimits limits = new CallerLimits(settings.whole(Setting.CALLERS_MAX_BODY_BYTES),
 				settings.whole(Setting.CALLERS_BODY_TIMEOUT_MILLIS),
 				settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS));
-		final CallerHandler callerHandler = new CallerHandler(this, new Exchanges(http, this.traffic), http, limits,
-				writer + "-");
-		this.callers = new HttpServer(this.system, settings.text(Setting.CALLERS_ADDRESS), callerHandler::handle);
-		this.admin = new AdminServer(settings.text(Setting.ADMIN_ADDRESS), new AdminHandler(this));
+		final CallerHandler callerHandler = new CallerHandler(this, new ExchangeStarter(http, this.traffic), http,
+				limits, writer + "-");
+		this.callerServer = new HttpServer(this.system, settings.text(Setting.CALLERS_ADDRESS), callerHandler::handle);
+		this.adminServer = new AdminServer(settings.text(Setting.ADMIN_ADDRESS), new AdminHandler(this));
 		// The state first, then what derives from it, then what shows it, callers last.
 		final CheckpointDuty checkpoints = new CheckpointDuty(this.system, streams(claims), this.appender, selfId,
-				this.peers::daemonIds,
+				this.peers::activeDaemonIds,
 				new CheckpointPolicy(Duration.ofSeconds(settings.whole(Setting.LOG_RETENTION_SECONDS)).toMillis(),
 						settings.whole(Setting.LOG_CHECKPOINT_ENTRIES)));
-		final CheckpointTransfer transfer = new CheckpointTransfer(this.system, this.peers, selfId, exchanged(claims));
-		this.parts.add(List.of(this.appender, this.config, this.fleet, claims, this.peers, this.claims, checkpoints,
-				transfer, this.traffic, this.instances, this.planner, caches, this.admin, this.callers));
-		connect();
+		final CheckpointTransfer transfer = new CheckpointTransfer(this.system, this.peers, selfId,
+				exchangedStreams(claims));
+		this.components
+			.add(List.of(this.appender, this.config, this.fleet, claims, this.peers, this.claims, checkpoints, transfer,
+					this.traffic, this.instances, this.planner, caches, this.adminServer, this.callerServer));
+		registerListeners();
 	}
 
 	private List<StreamDuty<?>> streams(ClaimService claims) {
@@ -196,7 +200,7 @@
 		return streams;
 	}
 
-	private List<ExchangedStream> exchanged(ClaimService claims) {
+	private List<ExchangedStream> exchangedStreams(ClaimService claims) {
 		final List<ExchangedStream> exchanged = new ArrayList<>();
 		exchanged.add(new ExchangedStream(this.config, PeerStatus::configOffset));
 		exchanged.add(new ExchangedStream(this.fleet, PeerStatus::fleetOffset));
@@ -205,7 +209,7 @@
 		return exchanged;
 	}
 
-	private PeerTransport transport(Consumer<PeerFrame> receiver) {
+	private PeerTransport createTransport(Consumer<PeerFrame> receiver) {
 		final String certificate = this.settings.text(Setting.PEERS_TLS_CERTIFICATE);
 		final PeerTls tls = certificate.isEmpty() ? null
 				: PeerTls.read(new File(certificate), new File(this.settings.text(Setting.PEERS_TLS_KEY)),
@@ -214,20 +218,20 @@
 				(int) this.settings.whole(Setting.PEERS_MAX_CONNECTIONS), receiver);
 	}
 
-	private void connect() {
+	private void registerListeners() {
 		final AtomicLong inForce = new AtomicLong();
 		this.config.onChange(() -> {
 			final ConfigState state = this.config.view().state();
 			if (state.version() != inForce.getAndSet(state.version())) {
-				this.traffic.configure(state.manifest());
+				this.traffic.onManifest(state.manifest());
 				Events.log(EventId.CONFIG_IN_FORCE, "version", state.version(), "offset", state.acceptedOffset());
 			}
 		});
-		this.fleet.onChange(() -> this.traffic.fleet(this.fleet.view().state()));
-		this.instances.onChange((view) -> this.traffic.targets(view.targets()));
+		this.fleet.onChange(() -> this.traffic.onFleetState(this.fleet.view().state()));
+		this.instances.onChange((view) -> this.traffic.onTargets(view.targets()));
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.appender, this.peers, this.config, this.fleet);
-		this.parts.all().forEach((part) -> part.rings().forEach(meters::bind));
+		this.components.all().forEach((part) -> part.rings().forEach(meters::bind));
 		this.metrics.gauge("pistachioline.config.version", "Version of the configuration in force",
 				this::configVersion);
 		this.metrics.gauge("pistachioline.config.age", "Milliseconds since the configuration was known to be fresh",
@@ -238,9 +242,10 @@
 	 * Starts all parts in order.
 	 */
 	public void start() {
-		this.parts.start();
+		this.components.start();
 		Events.log(EventId.STARTED, "daemon", this.settings.text(Setting.DAEMON_ID), "callers",
-				this.callers.localAddress(), "admin", this.admin.localAddress(), "peers", this.peers.localAddress());
+				this.callerServer.localAddress(), "admin", this.adminServer.localAddress(), "peers",
+				this.peers.localAddress());
 	}
 
 	/**
@@ -250,15 +255,15 @@
 	public void leave() {
 		Events.log(EventId.STOPPING);
 		this.leaving = true;
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		final long begunAtNanos = System.nanoTime();
 		final long keptNanos = Duration.ofSeconds(this.settings.whole(Setting.CALLERS_ENDPOINT_TTL_SECONDS)).toNanos();
 		while (System.nanoTime() - begunAtNanos < keptNanos) {
-			LockSupport.parkNanos(DRAIN_CHECK_NANOS);
+			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 		}
-		this.traffic.leave();
-		while (this.traffic.held() > 0 && System.nanoTime() - begunAtNanos < LONGEST_DRAIN_NANOS) {
-			LockSupport.parkNanos(DRAIN_CHECK_NANOS);
+		this.traffic.stopAdmission();
+		while (this.traffic.activeRequestCount() > 0 && System.nanoTime() - begunAtNanos < MAX_DRAIN_NANOS) {
+			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 		}
 		stop();
 	}
@@ -267,12 +272,12 @@
 	 * Stops all started parts in reverse order.
 	 */
 	public void stop() {
-		this.parts.stop();
+		this.components.stop();
 		this.system.terminate();
 		Events.log(EventId.STOPPED);
 	}
 
-	private List<String> seeds() {
+	private List<String> seedAddresses() {
 		final List<String> seeds = new ArrayList<>(this.settings.texts(Setting.PEERS_SEEDS));
 		final String pool = this.settings.text(Setting.INSTANCES_DAEMON_POOL);
 		for (final Instance instance : this.instances.view().instances()) {
@@ -285,9 +290,9 @@
 
 	private PeerStatus status() {
 		return new PeerStatus(this.settings.text(Setting.DAEMON_ID), this.peers.localAddress(),
-				this.callers.localAddress(), this.admin.localAddress(),
+				this.callerServer.localAddress(), this.adminServer.localAddress(),
 				this.settings.text(Setting.DAEMON_AVAILABILITY_ZONE), this.incarnation,
-				this.heartbeats.incrementAndGet(), configVersion(), this.config.view().nextOffset(),
+				this.heartbeatSequence.incrementAndGet(), configVersion(), this.config.view().nextOffset(),
 				this.fleet.view().nextOffset(), notReadyReason().isEmpty(), this.leaving, loadRatio(),
 				this.freshness.logAgeMillis());
 	}
@@ -300,12 +305,12 @@
 			.mapToInt(TargetView::slots)
 			.sum();
 		// Each daemon may use its part of the slots; above 1 requests wait here.
-		return this.traffic.held() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
+		return this.traffic.activeRequestCount() * (double) Math.max(1, daemonCount()) / Math.max(1, slots);
 	}
 
 	private int daemonCount() {
 		// Not by way of the peers' list, which asks for this daemon's own status in turn.
-		return this.peers.others().size() + 1;
+		return this.peers.livePeers().size() + 1;
 	}
 
 	@Override
@@ -320,7 +325,7 @@
 
 	@Override
 	public Optional<String> notReadyReason() {
-		if (this.callers.localAddress().isEmpty()) {
+		if (this.callerServer.localAddress().isEmpty()) {
 			return Optional.of("callers are not served yet");
 		}
 		final Optional<String> unknown = StreamReadiness.notReadyReason(this.config.stream(), this.config.view())
@@ -347,7 +352,7 @@
 
 	@Override
 	public List<PeerStatus> daemons() {
-		return this.peers.daemons();
+		return this.peers.liveDaemons();
 	}
 
 	@Override
@@ -357,7 +362,7 @@
 		}
 		final Map<String, Integer> replicas = new HashMap<>();
 		this.instances.view().targets().forEach((target) -> replicas.merge(target.name(), 1, Integer::sum));
-		return Optional.of(this.recorder.lines(this.settings.text(Setting.DAEMON_ID), manifest(), replicas));
+		return Optional.of(this.recorder.toJsonLines(this.settings.text(Setting.DAEMON_ID), manifest(), replicas));
 	}
 
 	@Override
@@ -371,7 +376,7 @@
 		dump.put("daemon", status());
 		dump.put("not_ready_reason", notReadyReason().orElse(""));
 		dump.putAll(new DaemonDump(this.config, this.fleet, this.instances, this.planner, this.appender, this.traffic,
-				this.shares, this.parts.all())
+				this.limitShares, this.components.all())
 			.sections(this.freshness.ageMillis(), daemons()));
 		return dump;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
@@ -18,7 +18,7 @@
 import org.pistachioline.daemon.duty.Ring;
 import org.pistachioline.daemon.fleet.FleetDuty;
 import org.pistachioline.daemon.fleet.PlannerDuty;
-import org.pistachioline.daemon.traffic.ShareKeeper;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -39,20 +39,20 @@
 
 	private final TrafficDuty traffic;
 
-	private final ShareKeeper shares;
+	private final LimitShareUpdater limitShares;
 
-	private final List<Lifecycle> parts;
+	private final List<Lifecycle> components;
 
 	DaemonDump(StreamDuty<ConfigState> config, StreamDuty<FleetState> fleet, FleetDuty instances, PlannerDuty planner,
-			AppendDuty appender, TrafficDuty traffic, ShareKeeper shares, List<Lifecycle> parts) {
+			AppendDuty appender, TrafficDuty traffic, LimitShareUpdater shares, List<Lifecycle> parts) {
 		this.config = config;
 		this.fleet = fleet;
 		this.instances = instances;
 		this.planner = planner;
 		this.appender = appender;
 		this.traffic = traffic;
-		this.shares = shares;
-		this.parts = parts;
+		this.limitShares = shares;
+		this.components = parts;
 	}
 
 	Map<String, Object> sections(long configAgeMillis, List<PeerStatus> daemons) {
@@ -68,7 +68,8 @@
 		sections.put("peers", daemons);
 		sections.put("killers", Map.of("quarantined", this.fleet.view().state().quarantines().values(), "suspected",
 				this.fleet.view().state().suspicions().values()));
-		sections.put("requests", Map.of("held", this.traffic.held(), "queued", this.traffic.queued()));
+		sections.put("requests",
+				Map.of("held", this.traffic.activeRequestCount(), "queued", this.traffic.queuedRequestCount()));
 		sections.put("workspaces", workspaces());
 		sections.put("rings", rings());
 		return sections;
@@ -101,19 +102,19 @@
 		for (final WorkspaceSpec workspace : this.config.view().state().manifest().workspaces()) {
 			rows.add(Map.of("workspace", workspace.name(), "requests_per_second", workspace.requestsPerSecond(),
 					"tokens_in_flight", workspace.tokensInFlight(), "queued_requests", workspace.queuedRequests(),
-					"share_ratio", this.shares.shareRatios().getOrDefault(workspace.name(), 0.0), "demand_per_second",
-					this.shares.demand().getOrDefault(workspace.name(), 0.0), "failures",
-					this.traffic.failures().of(workspace.name())));
+					"share_ratio", this.limitShares.shareRatios().getOrDefault(workspace.name(), 0.0),
+					"demand_per_second", this.limitShares.demand().getOrDefault(workspace.name(), 0.0), "failures",
+					this.traffic.failureCounts().countsByCode(workspace.name())));
 		}
 		return rows;
 	}
 
 	private List<Map<String, Object>> rings() {
 		final List<Map<String, Object>> rows = new ArrayList<>();
-		for (final Lifecycle part : this.parts) {
+		for (final Lifecycle part : this.components) {
 			for (final Ring<?> ring : part.rings()) {
 				rows.add(Map.of("ring", ring.name(), "messages", ring.size(), "capacity", ring.capacity(), "refused",
-						ring.refused()));
+						ring.refusedCount()));
 			}
 		}
 		return rows;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonMeters.java
@@ -39,24 +39,27 @@
 	}
 
 	private void bindTraffic(TrafficDuty traffic) {
-		this.metrics.gauge("pistachioline.requests.held", "Requests that have not ended", traffic::held);
-		this.metrics.gauge("pistachioline.requests.queued", "Requests that wait for a target", traffic::queued);
+		this.metrics.gauge("pistachioline.requests.held", "Requests that have not ended", traffic::activeRequestCount);
+		this.metrics.gauge("pistachioline.requests.queued", "Requests that wait for a target",
+				traffic::queuedRequestCount);
 		this.metrics.gauge("pistachioline.answers.dropped", "Answers that did not match a live attempt",
-				traffic::answersDropped);
-		this.metrics.gauge("pistachioline.targets.limited", "Targets that name a limit", () -> traffic.limits().size());
+				traffic::droppedResponseCount);
+		this.metrics.gauge("pistachioline.targets.limited", "Targets that name a limit",
+				() -> traffic.limitReports().size());
 		this.metrics.gauge("pistachioline.attempts.limited",
 				"Attempts of the last four seconds at targets that name a limit",
-				() -> traffic.limits().stream().mapToInt(LimitReport::recentAttempts).sum());
+				() -> traffic.limitReports().stream().mapToInt(LimitReport::recentAttempts).sum());
 		this.metrics.gauge("pistachioline.targets.backoff", "Targets that want no requests of this daemon",
-				() -> traffic.backoffs().size());
+				() -> traffic.backoffReports().size());
 		this.metrics.gauge("pistachioline.attempts.backoff",
 				"Attempts that were started at targets while they wanted no requests",
-				() -> traffic.backoffs().stream().mapToInt(BackoffReport::attempts).sum());
+				() -> traffic.backoffReports().stream().mapToInt(BackoffReport::attempts).sum());
 		this.metrics.gauge("pistachioline.requests.quarantined",
-				"Requests that are sent nowhere, since targets died under them", traffic.crashes()::quarantinedCount);
+				"Requests that are sent nowhere, since targets died under them",
+				traffic.crashMonitor()::quarantinedCount);
 		for (final ErrorKind kind : ErrorKind.values()) {
 			this.metrics.counter("pistachioline.requests.failed", "Requests that ended with a failure", kind.code(),
-					() -> traffic.failures().total(kind));
+					() -> traffic.failureCounts().total(kind));
 		}
 	}
 
@@ -74,26 +77,27 @@
 
 	private void bindPeers(PeerDuty peers) {
 		this.metrics.gauge("pistachioline.peers.live", "Live daemons, this one included",
-				() -> peers.others().size() + 1);
+				() -> peers.livePeers().size() + 1);
 		this.metrics.gauge("pistachioline.peer.connections", "Open connections with other daemons",
-				peers.transport()::connections);
+				peers.transport()::connectionCount);
 		for (final PeerFrame.BodyCase kind : PeerFrame.BodyCase.values()) {
 			final String name = kind.name().toLowerCase(Locale.ROOT);
-			count("sent", name, kind, peers.transport().sent());
-			count("received", name, kind, peers.transport().received());
+			count("sent", name, kind, peers.transport().sentMeter());
+			count("received", name, kind, peers.transport().receivedMeter());
 		}
 	}
 
 	private void count(String way, String name, PeerFrame.BodyCase kind, PeerMeter meter) {
 		this.metrics.counter("pistachioline.peer.bytes." + way, "Bytes of frames " + way + ", without TCP and TLS",
-				name, () -> meter.bytes(kind));
-		this.metrics.counter("pistachioline.peer.frames." + way, "Frames " + way, name, () -> meter.frames(kind));
+				name, () -> meter.byteCount(kind));
+		this.metrics.counter("pistachioline.peer.frames." + way, "Frames " + way, name, () -> meter.frameCount(kind));
 	}
 
 	void bind(Ring<?> ring) {
 		this.metrics.gauge("pistachioline.ring.messages", "Messages that wait in a ring between duties", ring.name(),
 				ring::size);
-		this.metrics.counter("pistachioline.ring.refused", "Times that a ring had no room", ring.name(), ring::refused);
+		this.metrics.counter("pistachioline.ring.refused", "Times that a ring had no room", ring.name(),
+				ring::refusedCount);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/InstanceSignalDispatcher.java
@@ -10,16 +10,16 @@
  * @param traffic sends requests
  * @param replicas plans groups
  */
-record InstanceNews(TrafficDuty traffic, ReplicaDuty replicas) implements InstanceListener {
+record InstanceSignalDispatcher(TrafficDuty traffic, ReplicaDuty replicas) implements InstanceListener {
 
 	@Override
 	public void onBackoff(String instanceId, long forMillis) {
-		this.traffic.backoffHeard(instanceId, forMillis);
+		this.traffic.onBackoff(instanceId, forMillis);
 	}
 
 	@Override
 	public void onLeaving(String instanceId) {
-		this.traffic.leavingHeard(instanceId);
+		this.traffic.onLeaving(instanceId);
 		this.replicas.onInstanceLeaving(instanceId);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingDaemon.java
@@ -11,11 +11,11 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.endpoints.EndpointSelector;
-import org.pistachioline.core.endpoints.WarmUpRule;
+import org.pistachioline.core.endpoints.WarmUpPolicy;
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.peer.PeerStatus;
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.replica.PlannerCandidates;
 import org.pistachioline.core.replica.ServingInstance;
 import org.pistachioline.core.route.RouteTable;
@@ -32,9 +32,9 @@
 import org.pistachioline.daemon.peer.PeerTransport;
 import org.pistachioline.daemon.relay.Relay;
 import org.pistachioline.daemon.replica.ReplicaDuty;
-import org.pistachioline.daemon.traffic.CrashWatch;
+import org.pistachioline.daemon.traffic.CrashMonitor;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
 import org.pistachioline.daemon.traffic.NoClaims;
-import org.pistachioline.daemon.traffic.ShareKeeper;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
@@ -45,9 +45,9 @@
 public final class RoutingDaemon implements DaemonView {
 
 	/** Word of a peer's leaving or death must be round before callers ask again. */
-	private static final long HEARTBEAT_MILLIS = 300;
+	private static final long HEARTBEAT_INTERVAL_MILLIS = 300;
 
-	private static final int MOST_PEER_CONNECTIONS = 256;
+	private static final int MAX_PEER_CONNECTIONS = 256;
 
 	/** What is left of the time to stop when the last requests are given up. */
 	private static final long STOP_MARGIN_MILLIS = 700;
@@ -56,11 +56,11 @@
 	private static final long LINGER_MILLIS = 3_500;
 
 	/** Some heartbeats, and the time to connect. */
-	private static final long HEAR_OTHERS_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+	private static final long PEER_DISCOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-	private static final long STOP_CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+	private static final long DRAIN_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-	private static final long LONGEST_FIRST_START_NANOS = TimeUnit.MINUTES.toNanos(1);
+	private static final long MAX_FIRST_START_NANOS = TimeUnit.MINUTES.toNanos(1);
 
 	private final RoutingSettings settings;
 
@@ -72,13 +72,13 @@
 
 	private final long startedAtNanos = System.nanoTime();
 
-	private final AtomicLong heartbeats = new AtomicLong();
+	private final AtomicLong heartbeatSequence = new AtomicLong();
 
-	private final AtomicLong lookups = new AtomicLong();
+	private final AtomicLong lookupCount = new AtomicLong();
 
 	private final PeerDuty peers;
 
-	private final ShareKeeper shares;
+	private final LimitShareUpdater limitShares;
 
 	private final TrafficDuty traffic;
 
@@ -90,17 +90,17 @@
 
 	private final Metrics metrics = new Metrics();
 
-	private final Parts parts = new Parts();
+	private final Components components = new Components();
 
-	private volatile RouteTable table = RouteTable.UNKNOWN;
+	private volatile RouteTable routeTable = RouteTable.UNKNOWN;
 
 	private volatile boolean listed;
 
 	private volatile boolean leaving;
 
-	private volatile boolean offered = true;
+	private volatile boolean acceptingTraffic = true;
 
-	private volatile int mostDaemons = 1;
+	private volatile int maxDaemonCount = 1;
 
 	/**
 	 * Wires a daemon.
@@ -112,56 +112,57 @@
 		this.system = system;
 		this.settings = settings;
 		this.ports = ports;
-		this.metrics.process();
+		this.metrics.addProcessMeters();
 		this.peers = new PeerDuty(system,
-				(receiver) -> new PeerTransport(settings.peerAddress(), null, MOST_PEER_CONNECTIONS, receiver),
-				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_MILLIS);
-		this.shares = new ShareKeeper(settings.daemonId(), this.peers::daemonIds, HEARTBEAT_MILLIS);
-		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.shares,
+				(receiver) -> new PeerTransport(settings.peerAddress(), null, MAX_PEER_CONNECTIONS, receiver),
+				settings.daemonId(), this::status, settings::peerSeeds, HEARTBEAT_INTERVAL_MILLIS);
+		this.limitShares = new LimitShareUpdater(settings.daemonId(), this.peers::activeDaemonIds,
+				HEARTBEAT_INTERVAL_MILLIS);
+		this.traffic = new TrafficDuty(system, new TrafficCore(policies()), new NoClaims(), this.limitShares,
 				(suspect, nowMillis) -> {
 					// Daemons tell each other directly of the targets that died.
 				}, new TraceRecorder(false));
 		this.replicas = new ReplicaDuty(system, ports.lease(), ports.orders(), settings.plannerTimes(),
-				this.traffic::targets, this::beforeTraffic);
-		this.listing = new ListingDuty(system, settings.daemonId(), settings.listAgeMillis(), ports.instances(),
-				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::daemonIds, this.peers::send,
+				this.traffic::onTargets, this::isBeforeFirstTraffic);
+		this.listing = new ListingDuty(system, settings.daemonId(), settings.maxListAgeMillis(), ports.instances(),
+				() -> ports.lease().term(System.nanoTime()).isPresent(), this.peers::activeDaemonIds, this.peers::send,
 				this::listed);
-		final InstanceNews news = new InstanceNews(this.traffic, this.replicas);
-		ports.orders().onAnswers(news);
-		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.table, this.traffic,
+		final InstanceSignalDispatcher news = new InstanceSignalDispatcher(this.traffic, this.replicas);
+		ports.orders().setInstanceListener(news);
+		this.relay = new Relay(settings.callerAddress(), ports.dialect(), () -> this.routeTable, this.traffic,
 				this.replicas::onLoadReport, news, () -> this.leaving);
-		this.parts.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing, ports.lease(),
-				new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
-		connect();
+		this.components.add(List.of(this.traffic, this.replicas, this.peers, ports.routes(), this.listing,
+				ports.lease(), new AdminServer(settings.adminAddress(), new AdminHandler(this)), this.relay));
+		registerListeners();
 	}
 
 	private TrafficPolicies policies() {
 		final long seed = this.incarnation ^ ((long) this.settings.daemonId().hashCode() << Integer.SIZE);
 		return RoutingPolicies.create(this.settings.availabilityZone(), seed, this.settings.retryBudget(),
-				this::daemonCount, new SharedDeaths());
+				this::daemonCount, new GossipQuarantine());
 	}
 
-	private void connect() {
-		this.ports.routes().onRoutes((next) -> {
-			this.table = next;
+	private void registerListeners() {
+		this.ports.routes().setRouteListener((next) -> {
+			this.routeTable = next;
 			this.replicas.configure(next);
 			Events.log(EventId.CONFIG_IN_FORCE, "version", next.version());
 		});
-		this.ports.routes().followOthers(() -> this.peers.others().size() + 1, this.peers::newestConfigVersion);
-		this.ports.lease().onlyIf(this::isPlannerCandidate);
-		this.peers.onListingFrame(this.listing::onFrame);
-		this.traffic.onStalled((targetId) -> {
+		this.ports.routes().setFleetView(() -> this.peers.livePeers().size() + 1, this.peers::newestConfigVersion);
+		this.ports.lease().setCandidacy(this::isPlannerCandidate);
+		this.peers.setListingReceiver(this.listing::onFrame);
+		this.traffic.setStallListener((targetId) -> {
 			this.replicas.onTargetStalled(targetId);
-			this.peers.tellStalled(targetId);
+			this.peers.broadcastStall(targetId);
 		});
-		this.peers.onLimits(this.traffic::statedLimits, this.traffic::limitsTold);
-		this.peers.onStalled(this.replicas::onTargetStalled);
-		final CrashWatch crashes = this.traffic.crashes();
-		this.peers.suspects().bind(crashes::sample, crashes::known, crashes::onTold);
-		crashes.onNews(this.peers::tellSuspects);
+		this.peers.setLimitExchange(this.traffic::latestLimits, this.traffic::onPeerLimits);
+		this.peers.setStallListener(this.replicas::onTargetStalled);
+		final CrashMonitor crashes = this.traffic.crashMonitor();
+		this.peers.suspectExchange().bind(crashes::gossipSample, crashes::knownSuspects, crashes::onPeerReports);
+		crashes.setBroadcaster(this.peers::broadcastSuspects);
 		final DaemonMeters meters = new DaemonMeters(this.metrics);
 		meters.bind(this.traffic, this.peers);
-		this.parts.all().forEach((part) -> part.rings().forEach(meters::bind));
+		this.components.all().forEach((part) -> part.rings().forEach(meters::bind));
 		this.metrics.gauge("pistachioline.config.version", "Version of the configuration in force",
 				this::configVersion);
 		this.metrics.gauge("pistachioline.listing.age", "Time since the platform was asked for the known list",
@@ -173,8 +174,8 @@
 	// A daemon that has just started knows of no other, and would take itself for the
 	// first.
 	private boolean isPlannerCandidate() {
-		return System.nanoTime() - this.startedAtNanos >= HEAR_OTHERS_NANOS
-				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.daemonIds());
+		return System.nanoTime() - this.startedAtNanos >= PEER_DISCOVERY_NANOS
+				&& PlannerCandidates.includes(this.settings.daemonId(), this.peers.activeDaemonIds());
 	}
 
 	private void listed(List<ServingInstance> instances) {
@@ -185,20 +186,20 @@
 	// A daemon that has just started counts few others; the most it has ever seen is a
 	// better guess of how many spend from the same budget.
 	private int daemonCount() {
-		this.mostDaemons = Math.max(this.mostDaemons, this.peers.others().size() + 1);
-		return this.mostDaemons;
+		this.maxDaemonCount = Math.max(this.maxDaemonCount, this.peers.livePeers().size() + 1);
+		return this.maxDaemonCount;
 	}
 
-	private boolean beforeTraffic() {
-		return this.settings.firstStart() && this.relay.arrived() == 0
-				&& System.nanoTime() - this.startedAtNanos < LONGEST_FIRST_START_NANOS;
+	private boolean isBeforeFirstTraffic() {
+		return this.settings.firstStart() && this.relay.receivedRequestCount() == 0
+				&& System.nanoTime() - this.startedAtNanos < MAX_FIRST_START_NANOS;
 	}
 
 	/**
 	 * Starts all parts in order.
 	 */
 	public void start() {
-		this.parts.start();
+		this.components.start();
 		Events.log(EventId.STARTED, "daemon", this.settings.daemonId(), "callers", this.settings.callerAddress(),
 				"admin", this.settings.adminAddress(), "peers", this.settings.peerAddress(), "start_millis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.startedAtNanos));
@@ -210,19 +211,19 @@
 	 */
 	public void leave() {
 		final long begunAtNanos = System.nanoTime();
-		Events.log(EventId.STOPPING, "held", this.traffic.held());
+		Events.log(EventId.STOPPING, "held", this.traffic.activeRequestCount());
 		this.leaving = true;
 		this.ports.lease().release();
-		this.peers.beat();
+		this.peers.sendHeartbeat();
 		final long mostNanos = TimeUnit.MILLISECONDS
 			.toNanos(Math.max(0, this.settings.graceMillis() - STOP_MARGIN_MILLIS));
 		final long lingerNanos = Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS));
 		long waitedNanos = 0;
-		while (waitedNanos < lingerNanos || (this.traffic.held() > 0 && waitedNanos < mostNanos)) {
-			LockSupport.parkNanos(STOP_CHECK_NANOS);
+		while (waitedNanos < lingerNanos || (this.traffic.activeRequestCount() > 0 && waitedNanos < mostNanos)) {
+			LockSupport.parkNanos(DRAIN_CHECK_INTERVAL_NANOS);
 			waitedNanos = System.nanoTime() - begunAtNanos;
 		}
-		Events.log(EventId.STOPPED, "held", this.traffic.held(), "waited_millis",
+		Events.log(EventId.STOPPED, "held", this.traffic.activeRequestCount(), "waited_millis",
 				TimeUnit.NANOSECONDS.toMillis(waitedNanos));
 	}
 
@@ -230,7 +231,7 @@
 	 * Stops all started parts in reverse order.
 	 */
 	public void stop() {
-		this.parts.stop();
+		this.components.stop();
 		this.system.terminate();
 	}
 
@@ -239,34 +240,35 @@
 	 * warm.
 	 * @return whether they can
 	 */
-	public boolean mayHoldBack() {
-		return WarmUpRule.mayHoldBack(status(), this.peers.others());
+	public boolean canDeferTraffic() {
+		return WarmUpPolicy.shouldWarmUp(status(), this.peers.livePeers());
 	}
 
 	/**
 	 * Keeps callers away until they are let in again; those who come all the same are
 	 * served.
 	 */
-	public void holdBack() {
-		this.offered = false;
-		this.peers.beat();
+	public void deferTraffic() {
+		this.acceptingTraffic = false;
+		this.peers.sendHeartbeat();
 	}
 
 	/**
 	 * Lets callers be sent here.
 	 */
-	public void offer() {
-		this.offered = true;
-		this.peers.beat();
-		Events.log(EventId.CALLERS_WELCOME, "start_millis",
+	public void acceptTraffic() {
+		this.acceptingTraffic = true;
+		this.peers.sendHeartbeat();
+		Events.log(EventId.TRAFFIC_ACCEPTED, "start_millis",
 				TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.startedAtNanos));
 	}
 
 	private PeerStatus status() {
 		return new PeerStatus(this.settings.daemonId(), this.settings.peerAddress(), this.settings.callerAddress(),
 				this.settings.adminAddress(), this.settings.availabilityZone(), this.incarnation,
-				this.heartbeats.incrementAndGet(), configVersion(), 0, 0, this.offered && notReadyReason().isEmpty(),
-				this.leaving, this.traffic.held(), 0);
+				this.heartbeatSequence.incrementAndGet(), configVersion(), 0, 0,
+				this.acceptingTraffic && notReadyReason().isEmpty(), this.leaving, this.traffic.activeRequestCount(),
+				0);
 	}
 
 	/**
@@ -275,7 +277,8 @@
 	 * @return the addresses, the best first
 	 */
 	public List<String> endpoints(String availabilityZone) {
-		final List<String> chosen = EndpointSelector.choose(daemons(), availabilityZone, this.lookups.getAndIncrement())
+		final List<String> chosen = EndpointSelector
+			.select(daemons(), availabilityZone, this.lookupCount.getAndIncrement())
 			.stream()
 			.map(PeerStatus::callerAddress)
 			.toList();
@@ -322,7 +325,7 @@
 
 	@Override
 	public long configVersion() {
-		return this.table.version();
+		return this.routeTable.version();
 	}
 
 	@Override
@@ -330,7 +333,7 @@
 		if (!this.relay.listening()) {
 			return Optional.of("callers are not served yet");
 		}
-		if (!this.table.isKnown()) {
+		if (!this.routeTable.isKnown()) {
 			return Optional.of("no configuration is known");
 		}
 		if (!this.listed) {
@@ -346,7 +349,7 @@
 
 	@Override
 	public List<PeerStatus> daemons() {
-		return this.peers.daemons();
+		return this.peers.liveDaemons();
 	}
 
 	@Override
@@ -355,13 +358,14 @@
 		dump.put("daemon", status());
 		dump.put("not_ready_reason", notReadyReason().orElse(""));
 		dump.put("config", Map.of("version", configVersion()));
-		dump.put("requests", Map.of("held", this.traffic.held(), "queued", this.traffic.queued()));
+		dump.put("requests",
+				Map.of("held", this.traffic.activeRequestCount(), "queued", this.traffic.queuedRequestCount()));
 		dump.put("listing",
 				Map.of("age_millis", this.listing.ageMillis(), "reads_for_others", this.listing.readsForOthers()));
 		dump.put("serving_targets", this.replicas.servingTargetCount());
-		dump.put("limited_targets", this.traffic.limits());
-		dump.put("backoff_targets", this.traffic.backoffs());
-		dump.put("crash_suspects", this.traffic.crashes().reports());
+		dump.put("limited_targets", this.traffic.limitReports());
+		dump.put("backoff_targets", this.traffic.backoffReports());
+		dump.put("crash_suspects", this.traffic.crashMonitor().reports());
 		dump.put("planned_groups", this.replicas.plannedGroups());
 		dump.put("peers", daemons());
 		return dump;
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingPorts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingPorts.java
@@ -3,7 +3,7 @@
 import org.pistachioline.daemon.port.InstanceSource;
 import org.pistachioline.daemon.port.OrderSender;
 import org.pistachioline.daemon.port.PlannerLease;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
 import org.pistachioline.daemon.port.RouteSource;
 
 /**
@@ -16,6 +16,6 @@
  * @param dialect the headers of callers and targets
  */
 public record RoutingPorts(RouteSource routes, InstanceSource instances, PlannerLease lease, OrderSender orders,
-		RelayDialect dialect) {
+		RelayProtocol dialect) {
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingSettings.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/RoutingSettings.java
@@ -16,13 +16,13 @@
  * @param peerSeeds addresses of daemons to begin with
  * @param firstStart whether the whole system starts for the first time
  * @param graceMillis how long after the order to stop it is ended by force
- * @param listAgeMillis how old the list of instances may become before this daemon reads
- * it for itself
+ * @param maxListAgeMillis how old the list of instances may become before this daemon
+ * reads it for itself
  * @param retryBudget the bound on attempts beyond the first
  * @param plannerTimes the times that planners keep to
  */
 public record RoutingSettings(String daemonId, String availabilityZone, String callerAddress, String adminAddress,
-		String peerAddress, List<String> peerSeeds, boolean firstStart, long graceMillis, long listAgeMillis,
+		String peerAddress, List<String> peerSeeds, boolean firstStart, long graceMillis, long maxListAgeMillis,
 		RetryBudget retryBudget, PlannerTimes plannerTimes) {
 
 	public RoutingSettings {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Duty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Duty.java
@@ -25,10 +25,10 @@
  */
 public final class Duty<M> implements Lifecycle {
 
-	private static final int BATCH = 256;
+	private static final int MAX_BATCH_MESSAGES = 256;
 
 	/** An actor system has each name once; several duties of one kind may run on it. */
-	private static final AtomicLong STARTED = new AtomicLong();
+	private static final AtomicLong NAME_SEQUENCE = new AtomicLong();
 
 	private final ActorSystem<?> system;
 
@@ -38,7 +38,7 @@
 
 	private final Duration tickInterval;
 
-	private final AtomicBoolean awake = new AtomicBoolean();
+	private final AtomicBoolean wakePending = new AtomicBoolean();
 
 	private volatile ActorRef<Signal> actor;
 
@@ -59,7 +59,7 @@
 
 	@Override
 	public void start() {
-		this.actor = this.system.systemActorOf(behavior(), this.ring.name() + '-' + STARTED.incrementAndGet(),
+		this.actor = this.system.systemActorOf(behavior(), this.ring.name() + '-' + NAME_SEQUENCE.incrementAndGet(),
 				DispatcherSelector.fromConfig("pistachioline.duty"));
 		wake();
 	}
@@ -105,7 +105,7 @@
 
 	private void wake() {
 		final ActorRef<Signal> running = this.actor;
-		if (running != null && this.awake.compareAndSet(false, true)) {
+		if (running != null && this.wakePending.compareAndSet(false, true)) {
 			running.tell(Signal.WAKE);
 		}
 	}
@@ -121,7 +121,7 @@
 		switch (signal) {
 			case WAKE -> drain();
 			case TICK -> {
-				guarded(this.handler::onTick);
+				runGuarded(this.handler::onTick);
 				// Should a wake-up ever be lost, the ring waits for one tick and not for
 				// ever.
 				drain();
@@ -134,26 +134,26 @@
 	}
 
 	private void drain() {
-		for (int i = 0; i < BATCH; i++) {
+		for (int i = 0; i < MAX_BATCH_MESSAGES; i++) {
 			final M message = this.ring.poll();
 			if (message == null) {
 				break;
 			}
-			guarded(() -> this.handler.onMessage(message));
+			runGuarded(() -> this.handler.onMessage(message));
 		}
-		this.awake.set(false);
+		this.wakePending.set(false);
 		// A message may have come between the last poll and the line above.
 		if (this.ring.size() > 0) {
 			wake();
 		}
 	}
 
-	private void guarded(Runnable step) {
+	private void runGuarded(Runnable step) {
 		try {
 			step.run();
 		}
 		catch (RuntimeException ex) {
-			Events.log(EventId.DUTY_FAULT, ex, "duty", this.ring.name(), "at",
+			Events.log(EventId.DUTY_FAILED, ex, "duty", this.ring.name(), "at",
 					(ex.getStackTrace().length > 0) ? ex.getStackTrace()[0] : "unknown");
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Ring.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/duty/Ring.java
@@ -12,13 +12,13 @@
  */
 public final class Ring<M> {
 
-	private static final long WAIT_NANOS = 50_000;
+	private static final long RETRY_INTERVAL_NANOS = 50_000;
 
 	private final String name;
 
 	private final MpscArrayQueue<M> queue;
 
-	private final AtomicLong refused = new AtomicLong();
+	private final AtomicLong refusedCount = new AtomicLong();
 
 	/**
 	 * Creates an empty ring.
@@ -39,7 +39,7 @@
 		if (this.queue.offer(message)) {
 			return true;
 		}
-		this.refused.incrementAndGet();
+		this.refusedCount.incrementAndGet();
 		return false;
 	}
 
@@ -50,8 +50,8 @@
 	 */
 	public void put(M message) {
 		while (!this.queue.offer(message)) {
-			this.refused.incrementAndGet();
-			LockSupport.parkNanos(WAIT_NANOS);
+			this.refusedCount.incrementAndGet();
+			LockSupport.parkNanos(RETRY_INTERVAL_NANOS);
 		}
 	}
 
@@ -83,8 +83,8 @@
 	 * Returns how often there was no room.
 	 * @return the number of times
 	 */
-	public long refused() {
-		return this.refused.get();
+	public long refusedCount() {
+		return this.refusedCount.get();
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/Events.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/Events.java
@@ -38,7 +38,7 @@
 	 * be called before any library makes a logger, which would read the file of the other
 	 * forms.
 	 */
-	public static void open() {
+	public static void configure() {
 		// Loading this class has configured it.
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesConfiguration.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesConfiguration.java
@@ -16,15 +16,15 @@
  */
 final class JsonLinesConfiguration extends AbstractConfiguration {
 
-	private static final String OUTPUT = "json-output";
+	private static final String OUTPUT_APPENDER = "json-output";
 
-	private static final String BUFFERED = "json";
+	private static final String BUFFER_APPENDER = "json";
 
 	/** Some seconds of a daemon's events while whoever reads the output does not. */
-	private static final int BUFFERED_EVENTS = 8_192;
+	private static final int BUFFER_CAPACITY_EVENTS = 8_192;
 
 	/** What is buffered when a process ends is written within this time, or lost. */
-	private static final long SHUTDOWN_MILLIS = 1_000;
+	private static final long FLUSH_TIMEOUT_MILLIS = 1_000;
 
 	JsonLinesConfiguration() {
 		super(null, ConfigurationSource.NULL_SOURCE);
@@ -37,7 +37,7 @@
 
 	@Override
 	protected void doConfigure() {
-		final OutputAppender output = new OutputAppender(OUTPUT, new JsonLinesLayout());
+		final OutputAppender output = new OutputAppender(OUTPUT_APPENDER, new JsonLinesLayout());
 		output.start();
 		addAppender(output);
 		addBuffer();
@@ -50,11 +50,11 @@
 	// still: a full buffer drops events, and says so on standard error.
 	private void addBuffer() {
 		final AsyncAppender buffer = AsyncAppender.newBuilder()
-			.setName(BUFFERED)
-			.setAppenderRefs(new AppenderRef[] { AppenderRef.createAppenderRef(OUTPUT, null, null) })
+			.setName(BUFFER_APPENDER)
+			.setAppenderRefs(new AppenderRef[] { AppenderRef.createAppenderRef(OUTPUT_APPENDER, null, null) })
 			.setBlocking(false)
-			.setBufferSize(BUFFERED_EVENTS)
-			.setShutdownTimeout(SHUTDOWN_MILLIS)
+			.setBufferSize(BUFFER_CAPACITY_EVENTS)
+			.setShutdownTimeout(FLUSH_TIMEOUT_MILLIS)
 			.setConfiguration(this)
 			.build();
 		buffer.start();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesLayout.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/event/JsonLinesLayout.java
@@ -24,7 +24,7 @@
 
 	private static final JsonFactory JSON = new JsonFactory();
 
-	private static final int USUAL_LINE_CHARS = 512;
+	private static final int INITIAL_LINE_CHARS = 512;
 
 	private static final int NANOS_PER_MILLI = 1_000_000;
 
@@ -34,7 +34,7 @@
 
 	@Override
 	public String toSerializable(LogEvent event) {
-		final StringWriter line = new StringWriter(USUAL_LINE_CHARS);
+		final StringWriter line = new StringWriter(INITIAL_LINE_CHARS);
 		try (JsonGenerator json = JSON.createGenerator(line)) {
 			json.writeStartObject();
 			json.writeStringField("timestamp", timestamp(event));
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -193,7 +193,7 @@
 	private void logDarkDomains(Set<String> darkDomains) {
 		for (final String domain : darkDomains) {
 			if (!this.plan.get().darkDomains().contains(domain)) {
-				Events.log(EventId.DOMAIN_DARK, "fabric_domain", domain);
+				Events.log(EventId.DOMAIN_UNRESPONSIVE, "fabric_domain", domain);
 			}
 		}
 	}
@@ -238,7 +238,7 @@
 
 	private static void logAccepted(RecordBody body) {
 		if (body instanceof PlannerClaim claim) {
-			Events.log(EventId.PLANNER_TAKEN, "fabric_domain", claim.fabricDomain());
+			Events.log(EventId.PLANNER_CLAIMED, "fabric_domain", claim.fabricDomain());
 		}
 		else if (body instanceof GroupFormation formation) {
 			Events.log(EventId.GROUP_FORMED, "group", formation.groupId(), "model", formation.model());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
@@ -38,7 +38,7 @@
 
 	Map<String, String> zonesByDaemon() {
 		final Map<String, String> zones = new TreeMap<>();
-		for (final PeerStatus daemon : this.peers.daemons()) {
+		for (final PeerStatus daemon : this.peers.liveDaemons()) {
 			if (!daemon.leaving() || daemon.daemonId().equals(this.selfId)) {
 				zones.put(daemon.daemonId(), daemon.availabilityZone());
 			}
@@ -47,7 +47,7 @@
 	}
 
 	void onFrame(Consumer<PeerFrame> receiver) {
-		this.peers.onPresenceFrame(receiver);
+		this.peers.setPresenceReceiver(receiver);
 	}
 
 	void send(PresenceQuestion request) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/CallerHandler.java
@@ -37,9 +37,9 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.traffic.ErrorAnswers;
 import org.pistachioline.daemon.traffic.ErrorBody;
-import org.pistachioline.daemon.traffic.Exchanges;
+import org.pistachioline.daemon.traffic.ErrorResponses;
+import org.pistachioline.daemon.traffic.ExchangeStarter;
 
 /**
  * Serves the callers' endpoints: completions, models, plain services and the list of
@@ -57,7 +57,7 @@
 
 	private final DaemonView daemon;
 
-	private final Exchanges exchanges;
+	private final ExchangeStarter exchanges;
 
 	private final HttpCaller http;
 
@@ -77,7 +77,7 @@
 	 * @param limits the limits on requests
 	 * @param requestIdPrefix the prefix of the request ids, unique to this daemon
 	 */
-	public CallerHandler(DaemonView daemon, Exchanges exchanges, HttpCaller http, CallerLimits limits,
+	public CallerHandler(DaemonView daemon, ExchangeStarter exchanges, HttpCaller http, CallerLimits limits,
 			String requestIdPrefix) {
 		this.daemon = daemon;
 		this.exchanges = exchanges;
@@ -127,7 +127,7 @@
 				.orElseThrow(() -> new PistachiolineException(ErrorKind.MALFORMED_REQUEST));
 			require(this.daemon.manifest().model(completion.model()).isPresent(), ErrorKind.UNKNOWN_MODEL);
 			require(workspace.models().contains(completion.model()), ErrorKind.FORBIDDEN);
-			return this.exchanges.complete(requestInfo(workspace, completion, requestId),
+			return this.exchanges.startCompletion(requestInfo(workspace, completion, requestId),
 					this.requestIdPrefix + requestId, bytes, completion.stream());
 		});
 	}
@@ -171,8 +171,8 @@
 			final long deadlineNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(service.timeoutMillis());
 			final RequestInfo info = new RequestInfo(requestId, workspace.name(), TargetKind.SERVICE, name, 1, 1, 0,
 					deadlineNanos, deadlineNanos, idempotent, claim, "", List.of());
-			return this.exchanges.call(info, this.requestIdPrefix + requestId, request, pathAndQuery, bytes, key,
-					service.timeoutMillis());
+			return this.exchanges.startServiceCall(info, this.requestIdPrefix + requestId, request, pathAndQuery, bytes,
+					key, service.timeoutMillis());
 		});
 	}
 
@@ -193,7 +193,7 @@
 
 	private HttpResponse endpoints(HttpRequest request) {
 		final String zone = request.getUri().query().get("availability_zone").orElse("");
-		final List<PeerStatus> chosen = EndpointSelector.choose(this.daemon.daemons(), zone,
+		final List<PeerStatus> chosen = EndpointSelector.select(this.daemon.daemons(), zone,
 				this.nextEndpointsSequence.getAndIncrement());
 		final List<Map<String, Object>> endpoints = chosen.stream()
 			.map((peer) -> Map.<String, Object>of("address", peer.callerAddress(), "availability_zone",
@@ -216,9 +216,9 @@
 				? failure.getCause() : failure;
 		final ErrorKind kind = errorKindOf(cause);
 		if (kind == ErrorKind.INTERNAL) {
-			Events.log(EventId.REQUEST_FAULT, cause, "request", requestIdText);
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, cause, "request", requestIdText);
 		}
-		return ErrorAnswers.of(requestIdText, kind, kind.runState(), kind.retryable() ? 1_000 : 0);
+		return ErrorResponses.of(requestIdText, kind, kind.runState(), kind.retryable() ? 1_000 : 0);
 	}
 
 	private static ErrorKind errorKindOf(Throwable cause) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/http/ParsingErrors.java
@@ -10,7 +10,7 @@
 import org.apache.pekko.http.scaladsl.settings.ServerSettings;
 
 import org.pistachioline.core.error.ErrorKind;
-import org.pistachioline.daemon.traffic.ErrorAnswers;
+import org.pistachioline.daemon.traffic.ErrorResponses;
 
 /**
  * Answers requests that cannot be parsed, or whose headers exceed the limits, with this
@@ -44,7 +44,7 @@
 		final int code = status.intValue();
 		final boolean tooLarge = code == PAYLOAD_TOO_LARGE || code == URI_TOO_LONG || code == HEADERS_TOO_LARGE;
 		final ErrorKind kind = tooLarge ? ErrorKind.REQUEST_TOO_LARGE : ErrorKind.MALFORMED_REQUEST;
-		final HttpResponse response = ErrorAnswers.of("unparsed", kind, kind.runState(), 0);
+		final HttpResponse response = ErrorResponses.of("unparsed", kind, kind.runState(), 0);
 		return (org.apache.pekko.http.scaladsl.model.HttpResponse) response;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/listing/ListingDuty.java
@@ -121,7 +121,7 @@
 			execute(this.synchronizer.onResponse(nowNanos, answered.response()));
 		}
 		else if (message instanceof ListingMessage.ReadCompleted read) {
-			execute(this.synchronizer.onRead(nowNanos, read.read(), this.source.unsettled()));
+			execute(this.synchronizer.onRead(nowNanos, read.read(), this.source.isExpiryUnreliable()));
 		}
 	}
 
@@ -129,7 +129,7 @@
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
 		execute(this.synchronizer.onTick(nowNanos, this.liveIds, this.isPlanner.getAsBoolean(),
-				this.source.unsettled()));
+				this.source.isExpiryUnreliable()));
 		this.readsForOthers = this.synchronizer.readsForOthers();
 		updateAge(this.synchronizer.ageNanos(nowNanos));
 	}
@@ -142,7 +142,7 @@
 		final boolean now = ageNanos > this.maxAgeNanos;
 		if (now != this.stale) {
 			this.stale = now;
-			Events.log(now ? EventId.LISTING_OLD : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
+			Events.log(now ? EventId.LISTING_STALE : EventId.LISTING_FRESH, "age_millis", this.ageMillis);
 		}
 	}
 
@@ -158,10 +158,10 @@
 				this.listener.accept(publish.instances());
 			}
 			else if (action instanceof ListingAction.ReadSnapshot) {
-				this.source.whole().thenAccept(this::onRead);
+				this.source.readSnapshot().thenAccept(this::onRead);
 			}
 			else if (action instanceof ListingAction.ReadDelta read) {
-				this.source.changes(read.fromOffset()).thenAccept(this::onRead);
+				this.source.readDelta(read.fromOffset()).thenAccept(this::onRead);
 			}
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/Metrics.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/metrics/Metrics.java
@@ -25,13 +25,13 @@
 public final class Metrics {
 
 	// Guarded by this, as the registry is.
-	private final List<Consumer<MeterRegistry>> waiting = new ArrayList<>();
+	private final List<Consumer<MeterRegistry>> pendingRegistrations = new ArrayList<>();
 
 	private PrometheusMeterRegistry registry;
 
 	// Micrometer keeps what a counter reads only weakly; collected, the counter stays at
 	// 0.
-	private final List<Supplier<Number>> counted = new CopyOnWriteArrayList<>();
+	private final List<Supplier<Number>> counterSuppliers = new CopyOnWriteArrayList<>();
 
 	/**
 	 * Adds a gauge.
@@ -51,7 +51,7 @@
 	 * @param value gives its value
 	 */
 	public void counter(String name, String description, String kind, Supplier<Number> value) {
-		this.counted.add(value);
+		this.counterSuppliers.add(value);
 		add((meters) -> FunctionCounter.builder(name, value, (supplier) -> supplier.get().doubleValue())
 			.description(description)
 			.tag("kind", kind)
@@ -76,7 +76,7 @@
 	/**
 	 * Adds the meters of the process: memory and processor time.
 	 */
-	public void process() {
+	public void addProcessMeters() {
 		add(ProcessMeters::bind);
 	}
 
@@ -84,7 +84,7 @@
 	 * Adds the meters of the process: memory, processor time and control traffic.
 	 * @param calls the counts of calls to the platform and to targets
 	 */
-	public void process(CallMeter calls) {
+	public void addProcessMeters(CallMeter calls) {
 		add(ProcessMeters::bind);
 		ProcessMeters.bind(this, calls);
 	}
@@ -94,7 +94,7 @@
 	 * @return the text in the Prometheus form
 	 */
 	public String scrape() {
-		return registered().scrape();
+		return getOrCreateRegistry().scrape();
 	}
 
 	private synchronized void add(Consumer<MeterRegistry> meter) {
@@ -102,15 +102,15 @@
 			meter.accept(this.registry);
 		}
 		else {
-			this.waiting.add(meter);
+			this.pendingRegistrations.add(meter);
 		}
 	}
 
-	private synchronized PrometheusMeterRegistry registered() {
+	private synchronized PrometheusMeterRegistry getOrCreateRegistry() {
 		if (this.registry == null) {
 			this.registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-			this.waiting.forEach((meter) -> meter.accept(this.registry));
-			this.waiting.clear();
+			this.pendingRegistrations.forEach((meter) -> meter.accept(this.registry));
+			this.pendingRegistrations.clear();
 		}
 		return this.registry;
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointFetch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointFetch.java
@@ -24,69 +24,69 @@
 
 	private final String peerId;
 
-	private final long floorOffset;
+	private final long minNextOffset;
 
 	private final ByteArrayOutputStream stateBytes = new ByteArrayOutputStream();
 
 	private long throughOffset;
 
-	private CheckpointCoverage cover = CheckpointCoverage.NONE;
+	private CheckpointCoverage coverage = CheckpointCoverage.NONE;
 
-	private int nextPart;
+	private int nextPartIndex;
 
-	private int parts;
+	private int partCount;
 
-	private long askedAtNanos;
+	private long requestedAtNanos;
 
 	CheckpointFetch(String stream, String selfId, String peerId, long floorOffset) {
 		this.stream = stream;
 		this.selfId = selfId;
 		this.peerId = peerId;
-		this.floorOffset = floorOffset;
+		this.minNextOffset = floorOffset;
 	}
 
 	String peerId() {
 		return this.peerId;
 	}
 
-	long askedAtNanos() {
-		return this.askedAtNanos;
+	long requestedAtNanos() {
+		return this.requestedAtNanos;
 	}
 
-	CheckpointRequest ask(long nowNanos) {
-		this.askedAtNanos = nowNanos;
+	CheckpointRequest nextRequest(long nowNanos) {
+		this.requestedAtNanos = nowNanos;
 		return CheckpointRequest.newBuilder()
 			.setStream(this.stream)
-			.setKnownOffset(this.floorOffset)
-			.setPart(this.nextPart)
+			.setKnownOffset(this.minNextOffset)
+			.setPart(this.nextPartIndex)
 			.setThroughOffset(this.throughOffset)
 			.setRequesterId(this.selfId)
 			.build();
 	}
 
 	Progress onReply(CheckpointReply reply) {
-		if (!reply.getAvailable() || reply.getPart() != this.nextPart || reply.getParts() < 1
+		if (!reply.getAvailable() || reply.getPart() != this.nextPartIndex || reply.getParts() < 1
 				|| reply.getParts() > CheckpointParts.MAX_PARTS
 				|| reply.getState().size() > CheckpointParts.PART_BYTES) {
 			return Progress.FAILED;
 		}
-		if (this.nextPart == 0) {
+		if (this.nextPartIndex == 0) {
 			this.throughOffset = reply.getThroughOffset();
-			this.parts = reply.getParts();
-			this.cover = new CheckpointCoverage(reply.getCoveredThrough(), reply.getNeededSinceMillis());
+			this.partCount = reply.getParts();
+			this.coverage = new CheckpointCoverage(reply.getCoveredThrough(), reply.getNeededSinceMillis());
 		}
-		final boolean tooOld = reply.getThroughOffset() + 1 < this.floorOffset;
-		if (tooOld || reply.getThroughOffset() != this.throughOffset || reply.getParts() != this.parts) {
+		final boolean tooOld = reply.getThroughOffset() + 1 < this.minNextOffset;
+		if (tooOld || reply.getThroughOffset() != this.throughOffset || reply.getParts() != this.partCount) {
 			return Progress.FAILED;
 		}
 		this.stateBytes.writeBytes(reply.getState().toByteArray());
-		this.nextPart++;
-		return (this.nextPart == this.parts) ? Progress.DONE : Progress.MORE;
+		this.nextPartIndex++;
+		return (this.nextPartIndex == this.partCount) ? Progress.COMPLETE : Progress.INCOMPLETE;
 	}
 
 	Optional<StreamSnapshot> snapshot() {
-		return (this.parts > 0 && this.nextPart == this.parts)
-				? Optional.of(new StreamSnapshot(this.throughOffset, this.stateBytes.toByteArray(), this.cover))
+		return (this.partCount > 0 && this.nextPartIndex == this.partCount)
+				? Optional.of(new StreamSnapshot(this.throughOffset, this.stateBytes.toByteArray(), this.coverage))
 				: Optional.empty();
 	}
 
@@ -95,7 +95,7 @@
 	 */
 	enum Progress {
 
-		MORE, DONE, FAILED
+		INCOMPLETE, COMPLETE, FAILED
 
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointOffer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointProvider.java
@@ -21,28 +21,28 @@
  * therefore encoded at most once a second, however many ask, and one encoded checkpoint
  * is kept until nobody has asked for it for a while.
  */
-final class CheckpointOffer {
+final class CheckpointProvider {
 
-	private static final long ENCODE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long MIN_ENCODE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-	private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(10);
+	private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
 	private final Supplier<Optional<StreamSnapshot>> source;
 
 	private List<CheckpointPart> parts = List.of();
 
-	private CheckpointCoverage cover = CheckpointCoverage.NONE;
+	private CheckpointCoverage coverage = CheckpointCoverage.NONE;
 
 	private long encodedAtNanos;
 
-	private long askedAtNanos;
+	private long lastRequestNanos;
 
-	CheckpointOffer(Supplier<Optional<StreamSnapshot>> source) {
+	CheckpointProvider(Supplier<Optional<StreamSnapshot>> source) {
 		this.source = source;
 	}
 
-	CheckpointReply answer(CheckpointRequest request, long nowNanos) {
-		this.askedAtNanos = nowNanos;
+	CheckpointReply respond(CheckpointRequest request, long nowNanos) {
+		this.lastRequestNanos = nowNanos;
 		if (request.getPart() == 0) {
 			refresh(nowNanos);
 		}
@@ -61,25 +61,25 @@
 		return reply.setAvailable(true)
 			.setThroughOffset(part.throughOffset())
 			.setParts(part.parts())
-			.setCoveredThrough(this.cover.throughOffset())
-			.setNeededSinceMillis(this.cover.oldestUncoveredMillis())
+			.setCoveredThrough(this.coverage.throughOffset())
+			.setNeededSinceMillis(this.coverage.oldestUncoveredMillis())
 			.setState(ByteString.copyFrom(part.stateBytes()))
 			.build();
 	}
 
 	private void refresh(long nowNanos) {
-		if (!this.parts.isEmpty() && nowNanos - this.encodedAtNanos < ENCODE_INTERVAL_NANOS) {
+		if (!this.parts.isEmpty() && nowNanos - this.encodedAtNanos < MIN_ENCODE_INTERVAL_NANOS) {
 			return;
 		}
 		final Optional<StreamSnapshot> now = this.source.get();
-		this.cover = now.map(StreamSnapshot::coverage).orElse(CheckpointCoverage.NONE);
+		this.coverage = now.map(StreamSnapshot::coverage).orElse(CheckpointCoverage.NONE);
 		this.parts = now.map((snapshot) -> CheckpointParts.cut(snapshot.throughOffset(), snapshot.stateBytes()))
 			.orElse(List.of());
 		this.encodedAtNanos = nowNanos;
 	}
 
 	void expire(long nowNanos) {
-		if (nowNanos - this.askedAtNanos > KEEP_NANOS) {
+		if (nowNanos - this.lastRequestNanos > RETENTION_NANOS) {
 			this.parts = List.of();
 		}
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CheckpointTransfer.java
@@ -34,7 +34,7 @@
 
 	private static final int RING_CAPACITY = 64;
 
-	private static final Duration TICK = Duration.ofMillis(250);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
 	private static final long REPLY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
@@ -44,15 +44,15 @@
 
 	private final Map<String, ExchangedStream> streams = new LinkedHashMap<>();
 
-	private final Map<String, CheckpointOffer> offers = new HashMap<>();
+	private final Map<String, CheckpointProvider> providers = new HashMap<>();
 
 	private final Map<String, CheckpointFetch> fetches = new HashMap<>();
 
-	private final Map<String, Long> floorOffsets = new HashMap<>();
+	private final Map<String, Long> highestReportedOffsets = new HashMap<>();
 
 	private final Duty<PeerFrame> duty;
 
-	private int turn;
+	private int peerRotation;
 
 	/**
 	 * Creates the transfer.
@@ -66,16 +66,16 @@
 		this.selfId = selfId;
 		for (final ExchangedStream exchanged : streams) {
 			this.streams.put(exchanged.stream().stream(), exchanged);
-			this.offers.put(exchanged.stream().stream(), new CheckpointOffer(exchanged.stream()::snapshot));
+			this.providers.put(exchanged.stream().stream(), new CheckpointProvider(exchanged.stream()::snapshot));
 		}
-		this.duty = new Duty<>(system, "checkpoint-transfer", RING_CAPACITY, TICK, this);
+		this.duty = new Duty<>(system, "checkpoint-transfer", RING_CAPACITY, TICK_INTERVAL, this);
 	}
 
 	@Override
 	public void start() {
 		this.duty.start();
 		// Without room a frame is dropped: the one who asked asks again.
-		this.peers.onCheckpointFrame(this.duty::offer);
+		this.peers.setCheckpointReceiver(this.duty::offer);
 	}
 
 	@Override
@@ -91,46 +91,47 @@
 	@Override
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
-		final List<PeerStatus> others = this.peers.others();
-		this.offers.values().forEach((offer) -> offer.expire(nowNanos));
-		this.streams.values().forEach((exchanged) -> check(exchanged, others, nowNanos));
+		final List<PeerStatus> others = this.peers.livePeers();
+		this.providers.values().forEach((offer) -> offer.expire(nowNanos));
+		this.streams.values().forEach((exchanged) -> fetchIfNeeded(exchanged, others, nowNanos));
 	}
 
-	private void check(ExchangedStream exchanged, List<PeerStatus> others, long nowNanos) {
+	private void fetchIfNeeded(ExchangedStream exchanged, List<PeerStatus> others, long nowNanos) {
 		final String stream = exchanged.stream().stream();
-		final long told = others.stream().mapToLong(exchanged.offsetOf()).max().orElse(0);
-		final long floorOffset = this.floorOffsets.merge(stream, told, Math::max);
+		final long told = others.stream().mapToLong(exchanged.reportedOffset()).max().orElse(0);
+		final long floorOffset = this.highestReportedOffsets.merge(stream, told, Math::max);
 		final CheckpointFetch running = this.fetches.get(stream);
-		if (running != null && nowNanos - running.askedAtNanos() < REPLY_TIMEOUT_NANOS) {
+		if (running != null && nowNanos - running.requestedAtNanos() < REPLY_TIMEOUT_NANOS) {
 			return;
 		}
 		this.fetches.remove(stream);
 		final StreamView<?> view = exchanged.stream().view();
 		final boolean behind = view.complete() && !view.logReachable() && told > view.nextOffset();
 		if (view.needsCheckpoint() || behind) {
-			begin(exchanged, others, Math.max(floorOffset, view.nextOffset()), nowNanos);
+			startFetch(exchanged, others, Math.max(floorOffset, view.nextOffset()), nowNanos);
 		}
 	}
 
-	private void begin(ExchangedStream exchanged, List<PeerStatus> others, long floorOffset, long nowNanos) {
+	private void startFetch(ExchangedStream exchanged, List<PeerStatus> others, long floorOffset, long nowNanos) {
 		final List<PeerStatus> furthest = others.stream()
 			.filter((peer) -> peer.configOffset() > 0)
-			.sorted(Comparator.comparingLong(exchanged.offsetOf()).reversed())
-			.filter((peer) -> exchanged.offsetOf().applyAsLong(peer) == 0
-					|| exchanged.offsetOf().applyAsLong(peer) >= floorOffset)
+			.sorted(Comparator.comparingLong(exchanged.reportedOffset()).reversed())
+			.filter((peer) -> exchanged.reportedOffset().applyAsLong(peer) == 0
+					|| exchanged.reportedOffset().applyAsLong(peer) >= floorOffset)
 			.toList();
 		if (furthest.isEmpty()) {
 			return;
 		}
 		final String stream = exchanged.stream().stream();
-		final String peerId = furthest.get(Math.floorMod(this.turn++, furthest.size())).daemonId();
+		final String peerId = furthest.get(Math.floorMod(this.peerRotation++, furthest.size())).daemonId();
 		final CheckpointFetch fetch = new CheckpointFetch(stream, this.selfId, peerId, floorOffset);
 		this.fetches.put(stream, fetch);
-		ask(fetch, nowNanos);
+		sendRequest(fetch, nowNanos);
 	}
 
-	private void ask(CheckpointFetch fetch, long nowNanos) {
-		this.peers.send(fetch.peerId(), PeerFrame.newBuilder().setCheckpointRequest(fetch.ask(nowNanos)).build());
+	private void sendRequest(CheckpointFetch fetch, long nowNanos) {
+		this.peers.send(fetch.peerId(),
+				PeerFrame.newBuilder().setCheckpointRequest(fetch.nextRequest(nowNanos)).build());
 	}
 
 	@Override
@@ -144,11 +145,11 @@
 	}
 
 	private void onRequest(CheckpointRequest request) {
-		final CheckpointOffer offer = this.offers.get(request.getStream());
+		final CheckpointProvider offer = this.providers.get(request.getStream());
 		if (offer == null) {
 			return;
 		}
-		final CheckpointReply reply = offer.answer(request, System.nanoTime())
+		final CheckpointReply reply = offer.respond(request, System.nanoTime())
 			.toBuilder()
 			.setSenderId(this.selfId)
 			.build();
@@ -161,9 +162,9 @@
 			return;
 		}
 		switch (fetch.onReply(reply)) {
-			case MORE -> ask(fetch, System.nanoTime());
+			case INCOMPLETE -> sendRequest(fetch, System.nanoTime());
 			case FAILED -> this.fetches.remove(reply.getStream());
-			case DONE -> {
+			case COMPLETE -> {
 				this.fetches.remove(reply.getStream());
 				Events.log(EventId.CHECKPOINT_FETCHED, "stream", reply.getStream(), "peer", fetch.peerId(),
 						"through_offset", reply.getThroughOffset());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ConnectionLimit.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ConnectionLimiter.java
@@ -10,23 +10,23 @@
  * Closes a connection at once where there are too many.
  */
 @ChannelHandler.Sharable
-final class ConnectionLimit extends ChannelInboundHandlerAdapter {
+final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
 
 	private final int maxConnections;
 
-	private final AtomicInteger connections = new AtomicInteger();
+	private final AtomicInteger openConnections = new AtomicInteger();
 
-	ConnectionLimit(int maxConnections) {
+	ConnectionLimiter(int maxConnections) {
 		this.maxConnections = maxConnections;
 	}
 
-	int connections() {
-		return this.connections.get();
+	int openConnections() {
+		return this.openConnections.get();
 	}
 
 	@Override
 	public void channelActive(ChannelHandlerContext ctx) {
-		if (this.connections.incrementAndGet() > this.maxConnections) {
+		if (this.openConnections.incrementAndGet() > this.maxConnections) {
 			ctx.close();
 			return;
 		}
@@ -35,7 +35,7 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext ctx) {
-		this.connections.decrementAndGet();
+		this.openConnections.decrementAndGet();
 		ctx.fireChannelInactive();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/CrashCodec.java
@@ -6,9 +6,9 @@
 
 import com.google.protobuf.ByteString;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.CrashedTarget;
 
@@ -22,13 +22,13 @@
 	static final int MAX_REQUESTS = 16;
 
 	/** No verdict needs more. */
-	static final int MAX_DEATHS = 8;
+	static final int MAX_CRASHES = 8;
 
 	private static final int MAX_FINGERPRINT_BYTES = 32;
 
 	private static final int MAX_TARGET_ID_CHARACTERS = 256;
 
-	private static final long MOST_AGE_MILLIS = TimeUnit.HOURS.toMillis(1);
+	private static final long MAX_AGE_MILLIS = TimeUnit.HOURS.toMillis(1);
 
 	private CrashCodec() {
 	}
@@ -40,16 +40,17 @@
 	private static CrashSuspect encode(SuspectedRequest request, long nowNanos) {
 		return CrashSuspect.newBuilder()
 			.setFingerprint(ByteString.copyFrom(HexFormat.of().parseHex(request.fingerprint())))
-			.addAllTargets(request.deaths().stream().limit(MAX_DEATHS).map((death) -> encode(death, nowNanos)).toList())
+			.addAllTargets(
+					request.evidence().stream().limit(MAX_CRASHES).map((death) -> encode(death, nowNanos)).toList())
 			.build();
 	}
 
-	private static CrashedTarget encode(TargetDeath death, long nowNanos) {
-		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - death.diedAtNanos());
+	private static CrashedTarget encode(CrashEvidence death, long nowNanos) {
+		final long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - death.crashedAtNanos());
 		return CrashedTarget.newBuilder()
 			.setTargetId(death.targetId())
-			.setAgeMillis(Math.max(0, Math.min(MOST_AGE_MILLIS, ageMillis)))
-			.setUnderWay(death.phase() == DeathPhase.UNDER_WAY)
+			.setAgeMillis(Math.max(0, Math.min(MAX_AGE_MILLIS, ageMillis)))
+			.setUnderWay(death.phase() == CrashPhase.IN_PROGRESS)
 			.setExcused(death.excused())
 			.build();
 	}
@@ -63,31 +64,31 @@
 	static List<SuspectedRequest> decode(List<CrashSuspect> requests, long nowNanos) {
 		return requests.stream()
 			.limit(MAX_REQUESTS)
-			.filter(CrashCodec::isSound)
+			.filter(CrashCodec::isValid)
 			.map((request) -> new SuspectedRequest(HexFormat.of().formatHex(request.getFingerprint().toByteArray()),
 					request.getTargetsList()
 						.stream()
-						.limit(MAX_DEATHS)
-						.filter(CrashCodec::isSound)
+						.limit(MAX_CRASHES)
+						.filter(CrashCodec::isValid)
 						.map((death) -> decode(death, nowNanos))
 						.toList()))
 			.toList();
 	}
 
-	private static TargetDeath decode(CrashedTarget death, long nowNanos) {
-		return new TargetDeath(death.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(death.getAgeMillis()),
-				death.getUnderWay() ? DeathPhase.UNDER_WAY : DeathPhase.BEGINNING, death.getExcused());
+	private static CrashEvidence decode(CrashedTarget death, long nowNanos) {
+		return new CrashEvidence(death.getTargetId(), nowNanos - TimeUnit.MILLISECONDS.toNanos(death.getAgeMillis()),
+				death.getUnderWay() ? CrashPhase.IN_PROGRESS : CrashPhase.STARTING, death.getExcused());
 	}
 
-	private static boolean isSound(CrashSuspect request) {
+	private static boolean isValid(CrashSuspect request) {
 		final int bytes = request.getFingerprint().size();
 		return bytes > 0 && bytes <= MAX_FINGERPRINT_BYTES && request.getTargetsCount() > 0;
 	}
 
-	private static boolean isSound(CrashedTarget death) {
+	private static boolean isValid(CrashedTarget death) {
 		final long ageMillis = death.getAgeMillis();
 		return !death.getTargetId().isEmpty() && death.getTargetId().length() <= MAX_TARGET_ID_CHARACTERS
-				&& ageMillis >= 0 && ageMillis <= MOST_AGE_MILLIS;
+				&& ageMillis >= 0 && ageMillis <= MAX_AGE_MILLIS;
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ExchangedStream.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/ExchangedStream.java
@@ -9,8 +9,9 @@
  * A stream whose checkpoints daemons give each other.
  *
  * @param stream the stream
- * @param offsetOf what a daemon's heartbeat tells of its offset; 0 where it tells nothing
+ * @param reportedOffset what a daemon's heartbeat tells of its offset; 0 where it tells
+ * nothing
  */
-public record ExchangedStream(StreamDuty<?> stream, ToLongFunction<PeerStatus> offsetOf) {
+public record ExchangedStream(StreamDuty<?> stream, ToLongFunction<PeerStatus> reportedOffset) {
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameRateLimit.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameRateLimiter.java
@@ -13,30 +13,30 @@
 /**
  * Closes a connection that brings frames faster than any peer does.
  */
-final class FrameRateLimit extends ChannelInboundHandlerAdapter {
+final class FrameRateLimiter extends ChannelInboundHandlerAdapter {
 
 	private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-	private final LongSupplier clock;
+	private final LongSupplier clockNanos;
 
-	private long windowAtNanos;
+	private long windowStartNanos;
 
-	private int frames;
+	private int framesInWindow;
 
-	FrameRateLimit(LongSupplier clock) {
-		this.clock = clock;
-		this.windowAtNanos = clock.getAsLong();
+	FrameRateLimiter(LongSupplier clock) {
+		this.clockNanos = clock;
+		this.windowStartNanos = clock.getAsLong();
 	}
 
 	@Override
 	public void channelRead(ChannelHandlerContext ctx, Object message) {
-		final long nowNanos = this.clock.getAsLong();
-		if (nowNanos - this.windowAtNanos >= WINDOW_NANOS) {
-			this.windowAtNanos = nowNanos;
-			this.frames = 0;
+		final long nowNanos = this.clockNanos.getAsLong();
+		if (nowNanos - this.windowStartNanos >= WINDOW_NANOS) {
+			this.windowStartNanos = nowNanos;
+			this.framesInWindow = 0;
 		}
-		this.frames++;
-		if (this.frames > PeerLimits.MAX_FRAMES_PER_SECOND) {
+		this.framesInWindow++;
+		if (this.framesInWindow > PeerLimits.MAX_FRAMES_PER_SECOND) {
 			io.netty.util.ReferenceCountUtil.release(message);
 			if (ctx.channel().isOpen()) {
 				Events.log(EventId.PEER_FRAME_REFUSED, new TooLongFrameException("too many frames a second"), "remote",
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/FrameInitializer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerChannelInitializer.java
@@ -16,13 +16,13 @@
 /**
  * Sets up a link: limits first, then TLS, then frames.
  */
-final class FrameInitializer extends ChannelInitializer<SocketChannel> {
+final class PeerChannelInitializer extends ChannelInitializer<SocketChannel> {
 
-	private static final int LENGTH_BYTES = 4;
+	private static final int LENGTH_PREFIX_BYTES = 4;
 
 	private final PeerTls tls;
 
-	private final ConnectionLimit connections;
+	private final ConnectionLimiter inboundLimiter;
 
 	private final Consumer<PeerFrame> receiver;
 
@@ -32,36 +32,38 @@
 	 * @param connections counts connections that others opened; null on this daemon's own
 	 * @param receiver takes each frame
 	 */
-	FrameInitializer(PeerTls tls, ConnectionLimit connections, Consumer<PeerFrame> receiver) {
+	PeerChannelInitializer(PeerTls tls, ConnectionLimiter connections, Consumer<PeerFrame> receiver) {
 		this.tls = tls;
-		this.connections = connections;
+		this.inboundLimiter = connections;
 		this.receiver = receiver;
 	}
 
 	@Override
 	protected void initChannel(SocketChannel channel) {
 		final ChannelPipeline pipeline = channel.pipeline();
-		final boolean serverSide = this.connections != null;
+		final boolean serverSide = this.inboundLimiter != null;
 		if (serverSide) {
-			pipeline.addLast(this.connections);
+			pipeline.addLast(this.inboundLimiter);
 		}
 		if (this.tls != null) {
 			pipeline.addLast(this.tls.handler(channel, serverSide));
 		}
-		pipeline.addLast(new LengthFieldBasedFrameDecoder(PeerLimits.MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-			.addLast(new FrameRateLimit(System::nanoTime))
+		pipeline
+			.addLast(new LengthFieldBasedFrameDecoder(PeerLimits.MAX_FRAME_BYTES, 0, LENGTH_PREFIX_BYTES, 0,
+					LENGTH_PREFIX_BYTES))
+			.addLast(new FrameRateLimiter(System::nanoTime))
 			// After the decoder, so that bytes which never become a frame count as idle.
 			.addLast(idleHandler(serverSide))
 			.addLast(new ProtobufDecoder(PeerFrame.getDefaultInstance()))
-			.addLast(new LengthFieldPrepender(LENGTH_BYTES))
+			.addLast(new LengthFieldPrepender(LENGTH_PREFIX_BYTES))
 			.addLast(new ProtobufEncoder())
 			.addLast(new FrameHandler(this.receiver));
 	}
 
 	// A daemon's own link is only written to, one that was opened to it is only read.
 	private static IdleStateHandler idleHandler(boolean serverSide) {
-		return serverSide ? new IdleStateHandler(PeerLimits.IDLE_SECONDS, 0, 0)
-				: new IdleStateHandler(0, PeerLimits.IDLE_SECONDS, 0);
+		return serverSide ? new IdleStateHandler(PeerLimits.IDLE_TIMEOUT_SECONDS, 0, 0)
+				: new IdleStateHandler(0, PeerLimits.IDLE_TIMEOUT_SECONDS, 0);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerCodec.java
@@ -22,7 +22,7 @@
 	/** Bounds the part of a beat that grows with the workspaces that have demand. */
 	static final int MAX_WORKSPACES = 64;
 
-	private static final double LEAST_DEMAND = 0.01;
+	private static final double MIN_REQUESTS_PER_SECOND = 0.01;
 
 	private PeerCodec() {
 	}
@@ -46,7 +46,7 @@
 		sample.updates().forEach((news) -> heartbeat.addNews(encode(news)));
 		// Workspaces without demand are left out: an absent one counts as none.
 		demand.forEach((workspace, requestsPerSecond) -> {
-			if (requestsPerSecond >= LEAST_DEMAND && heartbeat.getWorkspaceUseCount() < MAX_WORKSPACES) {
+			if (requestsPerSecond >= MIN_REQUESTS_PER_SECOND && heartbeat.getWorkspaceUseCount() < MAX_WORKSPACES) {
 				heartbeat.addWorkspaceUse(
 						WorkspaceUse.newBuilder().setWorkspace(workspace).setRequestsPerSecond(requestsPerSecond));
 			}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerDuty.java
@@ -18,7 +18,7 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.peer.PeerTable;
 import org.pistachioline.core.quarantine.SuspectedRequest;
@@ -38,14 +38,14 @@
 
 	private static final int RING_CAPACITY = 1024;
 
-	private static final int FAN_OUT = 2;
+	private static final int HEARTBEAT_FAN_OUT = 2;
 
-	private static final int LEAVING_FAN_OUT = 16;
+	private static final int IMMEDIATE_FAN_OUT = 16;
 
 	/** Asks the duty for a heartbeat out of turn; never taken from the network. */
-	private static final PeerFrame BEAT_NOW = PeerFrame.getDefaultInstance();
+	private static final PeerFrame HEARTBEAT_NOW = PeerFrame.getDefaultInstance();
 
-	private static final int LIVE_BEATS = 8;
+	private static final int LIVENESS_HEARTBEATS = 8;
 
 	private final Supplier<PeerStatus> self;
 
@@ -57,36 +57,36 @@
 
 	private final PeerTransport transport;
 
-	private volatile Consumer<PeerFrame> checkpointFrames = (frame) -> {
+	private volatile Consumer<PeerFrame> checkpointReceiver = (frame) -> {
 	};
 
-	private volatile Consumer<PeerFrame> presenceFrames = (frame) -> {
+	private volatile Consumer<PeerFrame> presenceReceiver = (frame) -> {
 	};
 
-	private volatile Consumer<PeerFrame> claimFrames = (frame) -> {
+	private volatile Consumer<PeerFrame> claimReceiver = (frame) -> {
 	};
 
-	private volatile Consumer<PeerFrame> listingFrames = (frame) -> {
+	private volatile Consumer<PeerFrame> listingReceiver = (frame) -> {
 	};
 
-	private volatile Consumer<String> stalledTargets = (targetId) -> {
+	private volatile Consumer<String> stallListener = (targetId) -> {
 	};
 
-	private volatile Supplier<Map<String, Double>> demand = Map::of;
+	private volatile Supplier<Map<String, Double>> ownDemand = Map::of;
 
 	private volatile BiConsumer<PeerStatus, Map<String, Double>> demandReceiver = (status, told) -> {
 	};
 
-	private volatile Supplier<List<StatedLimit>> limits = List::of;
+	private volatile Supplier<List<AdvertisedLimit>> ownLimits = List::of;
 
-	private volatile Consumer<List<StatedLimit>> limitReceiver = (told) -> {
+	private volatile Consumer<List<AdvertisedLimit>> limitReceiver = (told) -> {
 	};
 
-	private final SuspectExchange suspects = new SuspectExchange();
+	private final SuspectExchange suspectExchange = new SuspectExchange();
 
 	private volatile long newestConfigVersion;
 
-	private final AtomicReference<List<PeerStatus>> live = new AtomicReference<>(List.of());
+	private final AtomicReference<List<PeerStatus>> livePeers = new AtomicReference<>(List.of());
 
 	/**
 	 * Creates the duty.
@@ -101,7 +101,7 @@
 			Supplier<PeerStatus> self, Supplier<List<String>> seeds, long heartbeatMillis) {
 		this.self = self;
 		this.seeds = seeds;
-		this.table = new PeerTable(selfId, Duration.ofMillis(LIVE_BEATS * heartbeatMillis).toNanos());
+		this.table = new PeerTable(selfId, Duration.ofMillis(LIVENESS_HEARTBEATS * heartbeatMillis).toNanos());
 		this.duty = new Duty<>(system, "peers", RING_CAPACITY, Duration.ofMillis(heartbeatMillis), this);
 		// A frame for which there is no room is dropped: the next beat brings newer word.
 		this.transport = transport.apply(this::onFrame);
@@ -128,8 +128,8 @@
 	 * Returns the live daemons, this one included.
 	 * @return what each says of itself
 	 */
-	public List<PeerStatus> daemons() {
-		final List<PeerStatus> daemons = new ArrayList<>(this.live.get());
+	public List<PeerStatus> liveDaemons() {
+		final List<PeerStatus> daemons = new ArrayList<>(this.livePeers.get());
 		daemons.add(this.self.get());
 		return daemons;
 	}
@@ -138,8 +138,8 @@
 	 * Returns the live daemons besides this one.
 	 * @return what each says of itself
 	 */
-	public List<PeerStatus> others() {
-		return this.live.get();
+	public List<PeerStatus> livePeers() {
+		return this.livePeers.get();
 	}
 
 	/**
@@ -155,8 +155,8 @@
 	 * Returns the names of the live daemons that are not leaving, this one included.
 	 * @return the names
 	 */
-	public Set<String> daemonIds() {
-		return daemons().stream()
+	public Set<String> activeDaemonIds() {
+		return liveDaemons().stream()
 			.filter((daemon) -> !daemon.leaving())
 			.map(PeerStatus::daemonId)
 			.collect(Collectors.toCollection(TreeSet::new));
@@ -174,16 +174,16 @@
 	 * Sets what takes frames with checkpoints.
 	 * @param receiver takes them; it must not block
 	 */
-	public void onCheckpointFrame(Consumer<PeerFrame> receiver) {
-		this.checkpointFrames = receiver;
+	public void setCheckpointReceiver(Consumer<PeerFrame> receiver) {
+		this.checkpointReceiver = receiver;
 	}
 
 	/**
 	 * Sets what takes frames about claims.
 	 * @param receiver takes them; it must not block
 	 */
-	public void onClaimFrame(Consumer<PeerFrame> receiver) {
-		this.claimFrames = receiver;
+	public void setClaimReceiver(Consumer<PeerFrame> receiver) {
+		this.claimReceiver = receiver;
 	}
 
 	/**
@@ -198,24 +198,24 @@
 	 * Sets what takes frames about presence.
 	 * @param receiver takes them; it must not block
 	 */
-	public void onPresenceFrame(Consumer<PeerFrame> receiver) {
-		this.presenceFrames = receiver;
+	public void setPresenceReceiver(Consumer<PeerFrame> receiver) {
+		this.presenceReceiver = receiver;
 	}
 
 	/**
 	 * Sets what takes frames about the list of instances.
 	 * @param receiver takes them; it must not block
 	 */
-	public void onListingFrame(Consumer<PeerFrame> receiver) {
-		this.listingFrames = receiver;
+	public void setListingReceiver(Consumer<PeerFrame> receiver) {
+		this.listingReceiver = receiver;
 	}
 
 	/**
 	 * Sets what is told of targets at which other daemons' requests stand still.
 	 * @param receiver takes a target's id; it must not block
 	 */
-	public void onStalled(Consumer<String> receiver) {
-		this.stalledTargets = receiver;
+	public void setStallListener(Consumer<String> receiver) {
+		this.stallListener = receiver;
 	}
 
 	/**
@@ -223,11 +223,11 @@
 	 * plans acts on it, and it may not have a request there itself.
 	 * @param targetId the target
 	 */
-	public void tellStalled(String targetId) {
+	public void broadcastStall(String targetId) {
 		final PeerFrame frame = PeerFrame.newBuilder()
 			.setStallNotice(StallNotice.newBuilder().addTargetIds(targetId))
 			.build();
-		this.live.get().forEach((peer) -> this.transport.send(peer.peerAddress(), frame));
+		this.livePeers.get().forEach((peer) -> this.transport.send(peer.peerAddress(), frame));
 	}
 
 	/**
@@ -237,7 +237,7 @@
 	 * @param frame the frame
 	 */
 	public void send(String daemonId, PeerFrame frame) {
-		this.live.get()
+		this.livePeers.get()
 			.stream()
 			.filter((peer) -> peer.daemonId().equals(daemonId))
 			.findFirst()
@@ -249,8 +249,9 @@
 	 * @param own this daemon's demand
 	 * @param receiver takes a peer's; it must not block
 	 */
-	public void onDemand(Supplier<Map<String, Double>> own, BiConsumer<PeerStatus, Map<String, Double>> receiver) {
-		this.demand = own;
+	public void setDemandExchange(Supplier<Map<String, Double>> own,
+			BiConsumer<PeerStatus, Map<String, Double>> receiver) {
+		this.ownDemand = own;
 		this.demandReceiver = receiver;
 	}
 
@@ -259,8 +260,8 @@
 	 * @param own what this daemon knows
 	 * @param receiver takes what a peer knows; it must not block
 	 */
-	public void onLimits(Supplier<List<StatedLimit>> own, Consumer<List<StatedLimit>> receiver) {
-		this.limits = own;
+	public void setLimitExchange(Supplier<List<AdvertisedLimit>> own, Consumer<List<AdvertisedLimit>> receiver) {
+		this.ownLimits = own;
 		this.limitReceiver = receiver;
 	}
 
@@ -268,8 +269,8 @@
 	 * Returns what is told of requests under which targets died.
 	 * @return what daemons tell each other
 	 */
-	public SuspectExchange suspects() {
-		return this.suspects;
+	public SuspectExchange suspectExchange() {
+		return this.suspectExchange;
 	}
 
 	/**
@@ -277,14 +278,14 @@
 	 * finds them warned. Heartbeats make up for frames that are lost.
 	 * @param requests the requests
 	 */
-	public void tellSuspects(List<SuspectedRequest> requests) {
-		final PeerFrame frame = SuspectExchange.notice(requests, System.nanoTime());
-		this.live.get().forEach((peer) -> this.transport.send(peer.peerAddress(), frame));
+	public void broadcastSuspects(List<SuspectedRequest> requests) {
+		final PeerFrame frame = SuspectExchange.toNotice(requests, System.nanoTime());
+		this.livePeers.get().forEach((peer) -> this.transport.send(peer.peerAddress(), frame));
 	}
 
 	private void onFrame(PeerFrame frame) {
 		if (frame.hasListingQuestion() || frame.hasListingAnswer()) {
-			this.listingFrames.accept(frame);
+			this.listingReceiver.accept(frame);
 		}
 		else if (frame.getBodyCase() != PeerFrame.BodyCase.BODY_NOT_SET) {
 			this.duty.offer(frame);
@@ -294,27 +295,27 @@
 	@Override
 	public void onMessage(PeerFrame frame) {
 		if (frame.getBodyCase() == PeerFrame.BodyCase.BODY_NOT_SET) {
-			beat(LEAVING_FAN_OUT);
+			sendHeartbeat(IMMEDIATE_FAN_OUT);
 			return;
 		}
 		if (frame.hasPresenceQuestion() || frame.hasPresenceAnswer()) {
-			this.presenceFrames.accept(frame);
+			this.presenceReceiver.accept(frame);
 			return;
 		}
 		if (frame.hasClaimQuestion() || frame.hasClaimAnswer() || frame.hasClaimNote() || frame.hasClaimReceipt()) {
-			this.claimFrames.accept(frame);
+			this.claimReceiver.accept(frame);
 			return;
 		}
 		if (frame.hasCheckpointRequest() || frame.hasCheckpointReply()) {
-			this.checkpointFrames.accept(frame);
+			this.checkpointReceiver.accept(frame);
 			return;
 		}
 		if (frame.hasStallNotice()) {
-			frame.getStallNotice().getTargetIdsList().forEach(this.stalledTargets);
+			frame.getStallNotice().getTargetIdsList().forEach(this.stallListener);
 			return;
 		}
 		if (frame.hasCrashNotice()) {
-			this.suspects.take(frame.getCrashNotice().getSuspectsList(), System.nanoTime());
+			this.suspectExchange.onPeerSuspects(frame.getCrashNotice().getSuspectsList(), System.nanoTime());
 			return;
 		}
 		if (!frame.hasHeartbeat()) {
@@ -323,22 +324,23 @@
 		final long nowNanos = System.nanoTime();
 		final PeerStatus sender = PeerCodec.decode(frame.getHeartbeat().getSender());
 		if (!this.table.isLive(sender, nowNanos)) {
-			this.suspects.greet(nowNanos, (greeting) -> this.transport.send(sender.peerAddress(), greeting));
+			this.suspectExchange.sendToNewcomer(nowNanos,
+					(greeting) -> this.transport.send(sender.peerAddress(), greeting));
 		}
 		merge(sender, nowNanos);
 		frame.getHeartbeat().getKnownList().forEach((status) -> merge(PeerCodec.decode(status), nowNanos));
 		frame.getHeartbeat().getNewsList().forEach((news) -> {
 			if (this.table.merge(PeerCodec.decode(news), nowNanos)) {
-				Events.log(EventId.PEER_FOUND, "daemon", news.getDaemonId());
+				Events.log(EventId.PEER_DISCOVERED, "daemon", news.getDaemonId());
 			}
 		});
 		if (frame.getHeartbeat().getTargetLimitsCount() > 0) {
 			this.limitReceiver.accept(LimitCodec.decode(frame.getHeartbeat(), nowNanos));
 		}
-		this.suspects.take(frame.getHeartbeat().getCrashSuspectsList(), nowNanos);
+		this.suspectExchange.onPeerSuspects(frame.getHeartbeat().getCrashSuspectsList(), nowNanos);
 		// The next tick shows the rest.
 		if (this.table.takeChanged()) {
-			setLive(this.table.live(nowNanos));
+			updateLivePeers(this.table.live(nowNanos));
 		}
 		this.demandReceiver.accept(sender, frame.getHeartbeat()
 			.getWorkspaceUseList()
@@ -349,26 +351,26 @@
 
 	private void merge(PeerStatus status, long nowNanos) {
 		if (this.table.merge(status, nowNanos)) {
-			Events.log(EventId.PEER_FOUND, "daemon", status.daemonId(), "address", status.peerAddress());
+			Events.log(EventId.PEER_DISCOVERED, "daemon", status.daemonId(), "address", status.peerAddress());
 		}
 	}
 
 	@Override
 	public void onTick() {
 		final List<PeerStatus> known = this.table.live(System.nanoTime());
-		noteLost(known);
-		setLive(known);
-		beat(FAN_OUT);
+		logLostPeers(known);
+		updateLivePeers(known);
+		sendHeartbeat(HEARTBEAT_FAN_OUT);
 	}
 
-	private void setLive(List<PeerStatus> known) {
-		this.live.set(known);
+	private void updateLivePeers(List<PeerStatus> known) {
+		this.livePeers.set(known);
 		this.newestConfigVersion = known.stream().mapToLong(PeerStatus::configVersion).max().orElse(0);
 	}
 
-	private void noteLost(List<PeerStatus> known) {
+	private void logLostPeers(List<PeerStatus> known) {
 		final Set<String> now = known.stream().map(PeerStatus::daemonId).collect(Collectors.toSet());
-		for (final PeerStatus before : this.live.get()) {
+		for (final PeerStatus before : this.livePeers.get()) {
 			if (!now.contains(before.daemonId())) {
 				Events.log(EventId.PEER_LOST, "daemon", before.daemonId(), "address", before.peerAddress());
 			}
@@ -378,17 +380,18 @@
 	/**
 	 * Sends one heartbeat to many peers soon, so that they learn of a change at once.
 	 */
-	public void beat() {
-		this.duty.offer(BEAT_NOW);
+	public void sendHeartbeat() {
+		this.duty.offer(HEARTBEAT_NOW);
 	}
 
-	private void beat(int fanOut) {
+	private void sendHeartbeat(int fanOut) {
 		final PeerStatus status = this.self.get();
 		final long nowNanos = System.nanoTime();
-		final PeerFrame frame = PeerCodec.heartbeat(status, this.table.sample(nowNanos), this.demand.get(),
-				LimitCodec.encode(this.limits.get(), nowNanos), this.suspects.forHeartbeat(nowNanos));
+		final PeerFrame frame = PeerCodec.heartbeat(status, this.table.sample(nowNanos), this.ownDemand.get(),
+				LimitCodec.encode(this.ownLimits.get(), nowNanos),
+				this.suspectExchange.encodeHeartbeatSample(nowNanos));
 		final Set<String> addresses = new TreeSet<>(this.seeds.get());
-		this.live.get().forEach((peer) -> addresses.add(peer.peerAddress()));
+		this.livePeers.get().forEach((peer) -> addresses.add(peer.peerAddress()));
 		addresses.remove(status.peerAddress());
 		final List<String> chosen = new ArrayList<>(addresses);
 		Collections.shuffle(chosen, ThreadLocalRandom.current());
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerLimits.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerLimits.java
@@ -24,10 +24,10 @@
 	 * peers, so that links not in use are closed on either side and their number stays
 	 * bounded in a large fleet.
 	 */
-	static final int IDLE_SECONDS = 15;
+	static final int IDLE_TIMEOUT_SECONDS = 15;
 
 	/** How long a TLS handshake may take. */
-	static final int HANDSHAKE_MILLIS = 3_000;
+	static final int HANDSHAKE_TIMEOUT_MILLIS = 3_000;
 
 	private PeerLimits() {
 	}
