--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerMeter.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerMeter.java
@@ -11,22 +11,22 @@
  */
 public final class PeerMeter {
 
-	private static final int LENGTH_BYTES = 4;
+	private static final int LENGTH_PREFIX_BYTES = 4;
 
-	private final Map<PeerFrame.BodyCase, LongAdder> frames = new EnumMap<>(PeerFrame.BodyCase.class);
+	private final Map<PeerFrame.BodyCase, LongAdder> frameCount = new EnumMap<>(PeerFrame.BodyCase.class);
 
-	private final Map<PeerFrame.BodyCase, LongAdder> bytes = new EnumMap<>(PeerFrame.BodyCase.class);
+	private final Map<PeerFrame.BodyCase, LongAdder> byteCount = new EnumMap<>(PeerFrame.BodyCase.class);
 
 	PeerMeter() {
 		for (final PeerFrame.BodyCase kind : PeerFrame.BodyCase.values()) {
-			this.frames.put(kind, new LongAdder());
-			this.bytes.put(kind, new LongAdder());
+			this.frameCount.put(kind, new LongAdder());
+			this.byteCount.put(kind, new LongAdder());
 		}
 	}
 
 	void count(PeerFrame frame) {
-		this.frames.get(frame.getBodyCase()).increment();
-		this.bytes.get(frame.getBodyCase()).add(frame.getSerializedSize() + LENGTH_BYTES);
+		this.frameCount.get(frame.getBodyCase()).increment();
+		this.byteCount.get(frame.getBodyCase()).add(frame.getSerializedSize() + LENGTH_PREFIX_BYTES);
 	}
 
 	/**
@@ -34,8 +34,8 @@
 	 * @param kind the kind of frame
 	 * @return the frames since the start
 	 */
-	public long frames(PeerFrame.BodyCase kind) {
-		return this.frames.get(kind).sum();
+	public long frameCount(PeerFrame.BodyCase kind) {
+		return this.frameCount.get(kind).sum();
 	}
 
 	/**
@@ -43,8 +43,8 @@
 	 * @param kind the kind of frame
 	 * @return the bytes since the start
 	 */
-	public long bytes(PeerFrame.BodyCase kind) {
-		return this.bytes.get(kind).sum();
+	public long byteCount(PeerFrame.BodyCase kind) {
+		return this.byteCount.get(kind).sum();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTls.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTls.java
@@ -17,13 +17,13 @@
  */
 public final class PeerTls {
 
-	private final SslContext server;
+	private final SslContext serverContext;
 
-	private final SslContext client;
+	private final SslContext clientContext;
 
 	private PeerTls(SslContext server, SslContext client) {
-		this.server = server;
-		this.client = client;
+		this.serverContext = server;
+		this.clientContext = client;
 	}
 
 	/**
@@ -54,8 +54,8 @@
 	}
 
 	SslHandler handler(SocketChannel channel, boolean serverSide) {
-		final SslHandler handler = (serverSide ? this.server : this.client).newHandler(channel.alloc());
-		handler.setHandshakeTimeoutMillis(PeerLimits.HANDSHAKE_MILLIS);
+		final SslHandler handler = (serverSide ? this.serverContext : this.clientContext).newHandler(channel.alloc());
+		handler.setHandshakeTimeoutMillis(PeerLimits.HANDSHAKE_TIMEOUT_MILLIS);
 		return handler;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTransport.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/PeerTransport.java
@@ -46,17 +46,17 @@
 
 	private final Consumer<PeerFrame> receiver;
 
-	private final ConnectionLimit connections;
+	private final ConnectionLimiter connectionCount;
 
-	private final PeerMeter sent = new PeerMeter();
+	private final PeerMeter sentMeter = new PeerMeter();
 
-	private final PeerMeter received = new PeerMeter();
+	private final PeerMeter receivedMeter = new PeerMeter();
 
-	private final Map<String, ChannelFuture> links = new ConcurrentHashMap<>();
+	private final Map<String, ChannelFuture> outboundConnections = new ConcurrentHashMap<>();
 
-	private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+	private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-	private Channel server;
+	private Channel serverChannel;
 
 	/**
 	 * Creates a transport.
@@ -68,20 +68,20 @@
 	public PeerTransport(String address, PeerTls tls, int maxConnections, Consumer<PeerFrame> receiver) {
 		this.address = address;
 		this.tls = tls;
-		this.connections = new ConnectionLimit(maxConnections);
+		this.connectionCount = new ConnectionLimiter(maxConnections);
 		this.receiver = (frame) -> {
-			this.received.count(frame);
+			this.receivedMeter.count(frame);
 			receiver.accept(frame);
 		};
 	}
 
 	@Override
 	public void start() {
-		this.server = new ServerBootstrap().group(this.loops)
+		this.serverChannel = new ServerBootstrap().group(this.eventLoops)
 			.channel(NioServerSocketChannel.class)
 			.option(ChannelOption.ALLOCATOR, ALLOCATOR)
 			.childOption(ChannelOption.ALLOCATOR, ALLOCATOR)
-			.childHandler(new FrameInitializer(this.tls, this.connections, this.receiver))
+			.childHandler(new PeerChannelInitializer(this.tls, this.connectionCount, this.receiver))
 			.bind(socketOf(this.address))
 			.syncUninterruptibly()
 			.channel();
@@ -89,10 +89,10 @@
 
 	@Override
 	public void stop() {
-		if (this.server != null) {
-			this.server.close().syncUninterruptibly();
+		if (this.serverChannel != null) {
+			this.serverChannel.close().syncUninterruptibly();
 		}
-		this.loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+		this.eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 * @return the address, as host and port
 	 */
 	public String localAddress() {
-		final InetSocketAddress local = (InetSocketAddress) this.server.localAddress();
+		final InetSocketAddress local = (InetSocketAddress) this.serverChannel.localAddress();
 		return local.getAddress().getHostAddress() + ":" + local.getPort();
 	}
 
@@ -108,24 +108,24 @@
 	 * Returns what was sent.
 	 * @return the counts
 	 */
-	public PeerMeter sent() {
-		return this.sent;
+	public PeerMeter sentMeter() {
+		return this.sentMeter;
 	}
 
 	/**
 	 * Returns what was received.
 	 * @return the counts
 	 */
-	public PeerMeter received() {
-		return this.received;
+	public PeerMeter receivedMeter() {
+		return this.receivedMeter;
 	}
 
 	/**
 	 * Returns how many connections are open, both ways.
 	 * @return how many
 	 */
-	public int connections() {
-		return this.connections.connections() + this.links.size();
+	public int connectionCount() {
+		return this.connectionCount.openConnections() + this.outboundConnections.size();
 	}
 
 	/**
@@ -137,7 +137,7 @@
 	 * @param frame the frame
 	 */
 	public void send(String peerAddress, PeerFrame frame) {
-		final ChannelFuture link = this.links.computeIfAbsent(peerAddress, this::connect);
+		final ChannelFuture link = this.outboundConnections.computeIfAbsent(peerAddress, this::connect);
 		if (link.isDone()) {
 			write(peerAddress, link, frame);
 		}
@@ -149,27 +149,27 @@
 
 	private void write(String peerAddress, ChannelFuture link, PeerFrame frame) {
 		if (!link.isSuccess() || !link.channel().isActive()) {
-			this.links.remove(peerAddress, link);
+			this.outboundConnections.remove(peerAddress, link);
 			return;
 		}
 		if (link.channel().isWritable()) {
-			this.sent.count(frame);
+			this.sentMeter.count(frame);
 			link.channel().writeAndFlush(frame, link.channel().voidPromise());
 		}
 	}
 
 	private ChannelFuture connect(String peerAddress) {
-		final ChannelFuture link = new Bootstrap().group(this.loops)
+		final ChannelFuture link = new Bootstrap().group(this.eventLoops)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.ALLOCATOR, ALLOCATOR)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-			.handler(new FrameInitializer(this.tls, null, this.receiver))
+			.handler(new PeerChannelInitializer(this.tls, null, this.receiver))
 			.connect(socketOf(peerAddress));
 		// A link that idles out must not stay in the table, or addresses of daemons long
 		// replaced would pile up.
-		link.channel().closeFuture().addListener((closed) -> this.links.remove(peerAddress, link));
+		link.channel().closeFuture().addListener((closed) -> this.outboundConnections.remove(peerAddress, link));
 		return link;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/SuspectExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/peer/SuspectExchange.java
@@ -14,9 +14,9 @@
  */
 public final class SuspectExchange {
 
-	private volatile Supplier<List<SuspectedRequest>> sample = List::of;
+	private volatile Supplier<List<SuspectedRequest>> heartbeatSample = List::of;
 
-	private volatile Supplier<List<SuspectedRequest>> known = List::of;
+	private volatile Supplier<List<SuspectedRequest>> newcomerSuspects = List::of;
 
 	private volatile Consumer<List<SuspectedRequest>> receiver = (told) -> {
 	};
@@ -29,13 +29,13 @@
 	 */
 	public void bind(Supplier<List<SuspectedRequest>> heartbeatSample, Supplier<List<SuspectedRequest>> forNewcomers,
 			Consumer<List<SuspectedRequest>> listener) {
-		this.sample = heartbeatSample;
-		this.known = forNewcomers;
+		this.heartbeatSample = heartbeatSample;
+		this.newcomerSuspects = forNewcomers;
 		this.receiver = listener;
 	}
 
-	List<CrashSuspect> forHeartbeat(long nowNanos) {
-		return CrashCodec.encode(this.sample.get(), nowNanos);
+	List<CrashSuspect> encodeHeartbeatSample(long nowNanos) {
+		return CrashCodec.encode(this.heartbeatSample.get(), nowNanos);
 	}
 
 	/**
@@ -44,20 +44,20 @@
 	 * @param nowNanos the monotonic time
 	 * @param link sends a frame to that daemon
 	 */
-	void greet(long nowNanos, Consumer<PeerFrame> link) {
-		final List<SuspectedRequest> all = this.known.get();
+	void sendToNewcomer(long nowNanos, Consumer<PeerFrame> link) {
+		final List<SuspectedRequest> all = this.newcomerSuspects.get();
 		if (!all.isEmpty()) {
-			link.accept(notice(all, nowNanos));
+			link.accept(toNotice(all, nowNanos));
 		}
 	}
 
-	static PeerFrame notice(List<SuspectedRequest> requests, long nowNanos) {
+	static PeerFrame toNotice(List<SuspectedRequest> requests, long nowNanos) {
 		return PeerFrame.newBuilder()
 			.setCrashNotice(CrashNotice.newBuilder().addAllSuspects(CrashCodec.encode(requests, nowNanos)))
 			.build();
 	}
 
-	void take(List<CrashSuspect> told, long nowNanos) {
+	void onPeerSuspects(List<CrashSuspect> told, long nowNanos) {
 		if (!told.isEmpty()) {
 			this.receiver.accept(CrashCodec.decode(told, nowNanos));
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/InstanceSource.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/InstanceSource.java
@@ -13,20 +13,20 @@
 	 * Reads the newest record of every instance.
 	 * @return what came of it; it never fails
 	 */
-	CompletableFuture<ListingRead> whole();
+	CompletableFuture<ListingRead> readSnapshot();
 
 	/**
 	 * Reads the records from an offset on.
 	 * @param fromOffset the offset
 	 * @return what came of it; it never fails
 	 */
-	CompletableFuture<ListingRead> changes(long fromOffset);
+	CompletableFuture<ListingRead> readDelta(long fromOffset);
 
 	/**
 	 * Returns whether entries that vanish may merely have lapsed, as the platform was
 	 * away.
 	 * @return whether it is away, or came back lately
 	 */
-	boolean unsettled();
+	boolean isExpiryUnreliable();
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/OrderSender.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/OrderSender.java
@@ -24,7 +24,7 @@
 	 * answers to orders and questions; called before the start.
 	 * @param listener hears it
 	 */
-	void onAnswers(InstanceListener listener);
+	void setInstanceListener(InstanceListener listener);
 
 	/**
 	 * Asks an instance whether it lives.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/PlannerLease.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/PlannerLease.java
@@ -22,7 +22,7 @@
 	 * Sets who asks for the lease; whoever holds it keeps it until it is lost.
 	 * @param isCandidate returns whether this daemon asks; it must not block
 	 */
-	void onlyIf(BooleanSupplier isCandidate);
+	void setCandidacy(BooleanSupplier isCandidate);
 
 	/**
 	 * Gives the lease up, so that another daemon need not wait until it lapses.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RelayDialect.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RelayProtocol.java
@@ -13,7 +13,7 @@
 /**
  * Reads and writes the headers of callers and targets.
  */
-public interface RelayDialect {
+public interface RelayProtocol {
 
 	/**
 	 * Reads a caller's request.
@@ -22,7 +22,7 @@
 	 * @throws org.pistachioline.core.error.PistachiolineException with
 	 * {@code MALFORMED_REQUEST} where its headers cannot be understood
 	 */
-	CallHead read(HeaderFields headers);
+	RequestMetadata readRequest(HeaderFields headers);
 
 	/**
 	 * Writes the request that goes to a target.
@@ -32,7 +32,7 @@
 	 * @param lastEventId the last event that the caller has; empty where it has none
 	 * @return the request
 	 */
-	WebRequest toTarget(RelayedCall call, TargetView target, long leftMillis, Optional<String> lastEventId);
+	WebRequest toTargetRequest(RelayedRequest call, TargetView target, long leftMillis, Optional<String> lastEventId);
 
 	/**
 	 * Judges the head of a target's answer.
@@ -40,7 +40,7 @@
 	 * @param answer the answer's head
 	 * @return the verdict
 	 */
-	AnswerVerdict judge(RelayedCall call, AnswerHead answer);
+	ResponseVerdict classify(RelayedRequest call, AnswerHead answer);
 
 	/**
 	 * Reads the limit that a target names on an answer.
@@ -62,7 +62,7 @@
 	 * @param answer the answer's head
 	 * @return whether it does; never on an answer that may be another instance's
 	 */
-	boolean leaving(AnswerHead answer);
+	boolean isLeaving(AnswerHead answer);
 
 	/**
 	 * Reads what a target says of its load on an answer.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RelayedCall.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RelayedRequest.java
@@ -8,14 +8,14 @@
 /**
  * A caller's request, read as a whole, so that it can be sent more than once.
  *
- * @param head what the caller said of it
+ * @param metadata what the caller said of it
  * @param method the method
- * @param target path and query as they were sent
+ * @param pathAndQuery path and query as they were sent
  * @param headers the headers that concern more than one connection
  * @param body the body
  * @param workspace the caller's workspace; empty where the route needs no key
  */
-public record RelayedCall(CallHead head, String method, String target, HeaderFields headers, Body body,
-		Optional<String> workspace) {
+public record RelayedRequest(RequestMetadata metadata, String method, String pathAndQuery, HeaderFields headers,
+		Body body, Optional<String> workspace) {
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/AnswerVerdict.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/ResponseVerdict.java
@@ -3,10 +3,10 @@
 /**
  * What the head of a target's answer is worth.
  */
-public enum AnswerVerdict {
+public enum ResponseVerdict {
 
 	/** It is the target's own answer to this request and goes to the caller as it is. */
-	ANSWER,
+	VALID,
 
 	/** The target ran the request and failed. */
 	FAILURE,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RouteSource.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/port/RouteSource.java
@@ -17,7 +17,7 @@
 	 * Sets what takes each new configuration; called before the start.
 	 * @param receiver takes it; it must not block
 	 */
-	void onRoutes(Consumer<RouteTable> receiver);
+	void setRouteListener(Consumer<RouteTable> receiver);
 
 	/**
 	 * Sets what tells of the other daemons; called before the start. Where there are many
@@ -26,6 +26,6 @@
 	 * @param daemons returns how many daemons live, this one included
 	 * @param newestVersion returns the newest version that is in force on another
 	 */
-	void followOthers(IntSupplier daemons, LongSupplier newestVersion);
+	void setFleetView(IntSupplier daemons, LongSupplier newestVersion);
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/LiveStreams.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/ActiveStreams.java
@@ -6,28 +6,28 @@
 /**
  * The streams that are being relayed; one timer asks all of them for their progress.
  */
-final class LiveStreams {
+final class ActiveStreams {
 
 	/**
 	 * Four times within the time after which a silent target counts as standing still.
 	 */
-	static final long REPORT_MILLIS = 150;
+	static final long PROGRESS_INTERVAL_MILLIS = 150;
 
-	private final Set<EventRelay> streams = new HashSet<>();
+	private final Set<SseEventForwarder> streams = new HashSet<>();
 
-	void add(EventRelay stream) {
+	void add(SseEventForwarder stream) {
 		this.streams.add(stream);
 	}
 
-	void remove(EventRelay stream) {
+	void remove(SseEventForwarder stream) {
 		this.streams.remove(stream);
 	}
 
 	/**
 	 * Lets each stream tell how far it is; called on the loop's thread.
 	 */
-	void report() {
-		this.streams.forEach(EventRelay::report);
+	void reportProgress() {
+		this.streams.forEach(SseEventForwarder::reportProgress);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/BackoffGate.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-import org.pistachioline.core.backoff.BackoffBook;
+import org.pistachioline.core.backoff.BackoffRegistry;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.daemon.port.InstanceListener;
 
@@ -18,7 +18,7 @@
  */
 final class BackoffGate {
 
-	private final BackoffBook heard = new BackoffBook();
+	private final BackoffRegistry backoffs = new BackoffRegistry();
 
 	private final InstanceListener listener;
 
@@ -34,26 +34,26 @@
 		this.clockNanos = clockNanos;
 	}
 
-	void hearBackoff(String targetId, OptionalLong forMillis) {
+	void onBackoff(String targetId, OptionalLong forMillis) {
 		if (forMillis.isPresent()) {
 			final String instanceId = TargetView.instanceId(targetId);
 			final long nowNanos = this.clockNanos.getAsLong();
-			this.heard.onBackoff(nowNanos, instanceId, TimeUnit.MILLISECONDS.toNanos(forMillis.getAsLong()));
+			this.backoffs.onBackoff(nowNanos, instanceId, TimeUnit.MILLISECONDS.toNanos(forMillis.getAsLong()));
 			this.listener.onBackoff(instanceId, forMillis.getAsLong());
-			this.heard.retain(nowNanos, Set.of());
+			this.backoffs.retain(nowNanos, Set.of());
 		}
 	}
 
-	void hearLeaving(String targetId) {
+	void onLeaving(String targetId) {
 		final String instanceId = TargetView.instanceId(targetId);
-		if (this.heard.onLeaving(instanceId)) {
-			this.heard.retain(this.clockNanos.getAsLong(), Set.of());
+		if (this.backoffs.onLeaving(instanceId)) {
+			this.backoffs.retain(this.clockNanos.getAsLong(), Set.of());
 			this.listener.onLeaving(instanceId);
 		}
 	}
 
 	boolean maySend(String targetId) {
-		return !this.heard.holds(this.clockNanos.getAsLong(), TargetView.instanceId(targetId));
+		return !this.backoffs.isActive(this.clockNanos.getAsLong(), TargetView.instanceId(targetId));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerAnswer.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CallerResponse.java
@@ -9,17 +9,17 @@
 /**
  * The one answer that a caller gets, whatever number of attempts it takes.
  */
-final class CallerAnswer {
+final class CallerResponse {
 
 	private final WebReply reply;
 
 	private final BooleanSupplier leaving;
 
-	private boolean begun;
+	private boolean streamStarted;
 
-	private boolean over;
+	private boolean ended;
 
-	CallerAnswer(WebReply reply, BooleanSupplier leaving) {
+	CallerResponse(WebReply reply, BooleanSupplier leaving) {
 		this.reply = reply;
 		this.leaving = leaving;
 	}
@@ -28,22 +28,22 @@
 	 * Begins a stream. The head of the first attempt is the answer's head.
 	 * @param head the head of the target's answer
 	 */
-	void stream(AnswerHead head) {
-		if (!this.begun && !this.over) {
-			this.begun = true;
-			this.reply.begin(onLeaving(TargetAnswer.passedOn(head)));
+	void startStream(AnswerHead head) {
+		if (!this.streamStarted && !this.ended) {
+			this.streamStarted = true;
+			this.reply.begin(closeConnectionIfLeaving(TargetResponse.withoutHopByHopHeaders(head)));
 			this.reply.flush();
 		}
 	}
 
 	// Callers move to other daemons with their next request and not in the middle of one.
-	private AnswerHead onLeaving(AnswerHead head) {
+	private AnswerHead closeConnectionIfLeaving(AnswerHead head) {
 		return this.leaving.getAsBoolean() ? new AnswerHead(head.status(), head.headers().with("Connection", "close"))
 				: head;
 	}
 
-	void piece(byte[] bytes, int offset, int length) {
-		if (!this.over) {
+	void write(byte[] bytes, int offset, int length) {
+		if (!this.ended) {
 			this.reply.piece(bytes, offset, length);
 		}
 	}
@@ -52,7 +52,7 @@
 		this.reply.flush();
 	}
 
-	boolean writable() {
+	boolean isWritable() {
 		return this.reply.writable();
 	}
 
@@ -60,16 +60,16 @@
 	 * Gives a whole answer, unless one has begun.
 	 * @param whole the answer
 	 */
-	void whole(WebAnswer whole) {
-		this.over = true;
-		this.reply.whole(new WebAnswer(onLeaving(whole.head()), whole.body()));
+	void sendComplete(WebAnswer whole) {
+		this.ended = true;
+		this.reply.whole(new WebAnswer(closeConnectionIfLeaving(whole.head()), whole.body()));
 	}
 
 	/**
 	 * Ends a stream well.
 	 */
-	void finish() {
-		this.over = true;
+	void finishStream() {
+		this.ended = true;
 		this.reply.end();
 	}
 
@@ -80,12 +80,12 @@
 	 * @return whether the caller got the answer and not a broken stream
 	 */
 	boolean fail(WebAnswer failure) {
-		if (this.begun) {
-			this.over = true;
+		if (this.streamStarted) {
+			this.ended = true;
 			this.reply.breakOff();
 			return false;
 		}
-		whole(failure);
+		sendComplete(failure);
 		return true;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CrashProbe.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/CrashProbe.java
@@ -20,11 +20,11 @@
  */
 final class CrashProbe {
 
-	private final BiConsumer<String, Consumer<Boolean>> askWhetherRefused;
+	private final BiConsumer<String, Consumer<Boolean>> connectionProbe;
 
 	private final Consumer<TargetCrash> listener;
 
-	private final Map<String, Victims> asked = new HashMap<>();
+	private final Map<String, AffectedRequests> pendingProbes = new HashMap<>();
 
 	/**
 	 * Creates a probe.
@@ -32,7 +32,7 @@
 	 * @param listener is told of targets that have died
 	 */
 	CrashProbe(BiConsumer<String, Consumer<Boolean>> askWhetherRefused, Consumer<TargetCrash> listener) {
-		this.askWhetherRefused = askWhetherRefused;
+		this.connectionProbe = askWhetherRefused;
 		this.listener = listener;
 	}
 
@@ -40,32 +40,33 @@
 	 * Takes word that a target broke off under a request.
 	 * @param target the target
 	 * @param fingerprint the request's fingerprint
-	 * @param underWay whether it had been answering for a while
+	 * @param inProgress whether it had been answering for a while
 	 */
-	void onBreak(TargetView target, String fingerprint, boolean underWay) {
-		final Victims known = this.asked.get(target.targetId());
-		final Victims victims = (known != null) ? known : new Victims(new HashSet<>(), new HashSet<>());
-		(underWay ? victims.underWay() : victims.beginning()).add(fingerprint);
+	void onConnectionBroken(TargetView target, String fingerprint, boolean underWay) {
+		final AffectedRequests known = this.pendingProbes.get(target.targetId());
+		final AffectedRequests victims = (known != null) ? known
+				: new AffectedRequests(new HashSet<>(), new HashSet<>());
+		(underWay ? victims.inProgress() : victims.starting()).add(fingerprint);
 		if (known == null) {
-			this.asked.put(target.targetId(), victims);
-			this.askWhetherRefused.accept(target.address(), (refused) -> onAnswer(target.targetId(), refused));
+			this.pendingProbes.put(target.targetId(), victims);
+			this.connectionProbe.accept(target.address(), (refused) -> onProbeResult(target.targetId(), refused));
 		}
 	}
 
-	private void onAnswer(String targetId, boolean refused) {
-		final Victims victims = this.asked.remove(targetId);
+	private void onProbeResult(String targetId, boolean refused) {
+		final AffectedRequests victims = this.pendingProbes.remove(targetId);
 		if (refused) {
-			this.listener.accept(new TargetCrash(targetId, victims.beginning(), victims.underWay()));
+			this.listener.accept(new TargetCrash(targetId, victims.starting(), victims.inProgress()));
 		}
 	}
 
 	/**
 	 * What a target was running for this daemon when it broke off.
 	 *
-	 * @param beginning what it had just begun, or not yet
-	 * @param underWay what it had been answering for a while
+	 * @param starting what it had just begun, or not yet
+	 * @param inProgress what it had been answering for a while
 	 */
-	private record Victims(Set<String> beginning, Set<String> underWay) {
+	private record AffectedRequests(Set<String> starting, Set<String> inProgress) {
 
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/ConnectionHeaders.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/HopByHopHeaders.java
@@ -8,13 +8,13 @@
 /**
  * Tells the headers that concern one connection from those that are passed on.
  */
-final class ConnectionHeaders {
+final class HopByHopHeaders {
 
-	private static final Set<String> OF_CONNECTION = Set.of("connection", "keep-alive", "proxy-authenticate",
+	private static final Set<String> NAMES = Set.of("connection", "keep-alive", "proxy-authenticate",
 			"proxy-authorization", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "expect",
 			"content-length");
 
-	private ConnectionHeaders() {
+	private HopByHopHeaders() {
 	}
 
 	/**
@@ -22,8 +22,8 @@
 	 * @param headers the headers of a request or an answer
 	 * @return those that do not concern the connection
 	 */
-	static HeaderFields passedOn(HeaderFields headers) {
-		return headers.without((name) -> OF_CONNECTION.contains(name.toLowerCase(Locale.ROOT)));
+	static HeaderFields removeFrom(HeaderFields headers) {
+		return headers.without((name) -> NAMES.contains(name.toLowerCase(Locale.ROOT)));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/Relay.java
@@ -10,7 +10,7 @@
 import org.pistachioline.core.route.RouteTable;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -20,20 +20,20 @@
 public final class Relay implements Lifecycle {
 
 	/** A target in another zone answers within milliseconds; one that is gone never. */
-	private static final int CONNECT_MILLIS = 700;
+	private static final int CONNECT_TIMEOUT_MILLIS = 700;
 
 	/** Shorter than the few seconds for which targets keep idle connections. */
-	private static final long KEEP_IDLE_MILLIS = 1_500;
+	private static final long IDLE_CONNECTION_MILLIS = 1_500;
 
-	private static final int MOST_IDLE_PER_TARGET = 6;
+	private static final int MAX_IDLE_PER_TARGET = 6;
 
 	private final WebLoop loop = new WebLoop("relay");
 
-	private final LiveStreams streams = new LiveStreams();
+	private final ActiveStreams streams = new ActiveStreams();
 
 	private final RelayHandler handler;
 
-	private final CallerServer callers;
+	private final CallerServer callerServer;
 
 	/**
 	 * Creates the path.
@@ -45,25 +45,27 @@
 	 * @param instances is told what targets want of this daemon
 	 * @param leaving whether the daemon is about to stop
 	 */
-	public Relay(String address, RelayDialect dialect, Supplier<RouteTable> routes, TrafficDuty traffic,
+	public Relay(String address, RelayProtocol dialect, Supplier<RouteTable> routes, TrafficDuty traffic,
 			BiConsumer<String, LoadReport> loads, InstanceListener instances, BooleanSupplier leaving) {
-		final WebClient client = new WebClient(this.loop, CONNECT_MILLIS, KEEP_IDLE_MILLIS, MOST_IDLE_PER_TARGET);
-		final RelayTools tools = new RelayTools(this.loop, client, dialect, this.streams, traffic::callerGone,
-				new TargetNews(loads, traffic), new BackoffGate(instances, System::nanoTime),
-				new CrashProbe(client::askWhetherRefused, traffic.crashes()::onCrash));
+		final WebClient client = new WebClient(this.loop, CONNECT_TIMEOUT_MILLIS, IDLE_CONNECTION_MILLIS,
+				MAX_IDLE_PER_TARGET);
+		final RelayContext tools = new RelayContext(this.loop, client, dialect, this.streams,
+				traffic::onCallerDisconnected, new TargetReportDispatcher(loads, traffic),
+				new BackoffGate(instances, System::nanoTime),
+				new CrashProbe(client::askWhetherRefused, traffic.crashMonitor()::onCrash));
 		this.handler = new RelayHandler(routes, tools, traffic, leaving);
-		this.callers = new CallerServer(this.loop, address, this.handler, routes);
+		this.callerServer = new CallerServer(this.loop, address, this.handler, routes);
 	}
 
 	@Override
 	public void start() {
-		this.callers.start();
-		this.loop.every(this.streams::report, LiveStreams.REPORT_MILLIS);
+		this.callerServer.start();
+		this.loop.every(this.streams::reportProgress, ActiveStreams.PROGRESS_INTERVAL_MILLIS);
 	}
 
 	@Override
 	public void stop() {
-		this.callers.stop();
+		this.callerServer.stop();
 		this.loop.close();
 	}
 
@@ -71,8 +73,8 @@
 	 * Returns how many requests have come.
 	 * @return the number of requests
 	 */
-	public long arrived() {
-		return this.handler.arrived();
+	public long receivedRequestCount() {
+		return this.handler.receivedRequestCount();
 	}
 
 	/**
@@ -80,7 +82,7 @@
 	 * @return the address, as host and port; empty until it listens
 	 */
 	public String callerAddress() {
-		return this.callers.localAddress();
+		return this.callerServer.localAddress();
 	}
 
 	/**
@@ -88,7 +90,7 @@
 	 * @return whether callers can connect
 	 */
 	public boolean listening() {
-		return this.callers.listening();
+		return this.callerServer.listening();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAttempt.java
@@ -12,8 +12,8 @@
 import org.pistachioline.core.traffic.AttemptOutcome;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.AnswerVerdict;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.port.ResponseVerdict;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 /**
@@ -27,10 +27,10 @@
 	private static final int OK = 200;
 
 	/** No whole answer of a target is larger; more would fill this process's memory. */
-	private static final int MOST_ANSWER_BYTES = 16 * 1024 * 1024;
+	private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 	/** A target that has given more was not crashed by what it read first. */
-	private static final int FEW_EVENTS = 3;
+	private static final int STARTING_PHASE_EVENTS = 3;
 
 	private final RelayExchange exchange;
 
@@ -38,19 +38,19 @@
 
 	private final AttemptListener listener;
 
-	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+	private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
 
-	private WebCall call;
+	private WebCall targetCall;
 
 	private long sentAtNanos;
 
-	private AnswerHead head;
+	private AnswerHead responseHead;
 
-	private AttemptOutcome unlessBroken;
+	private AttemptOutcome expectedOutcome;
 
-	private EventRelay events;
+	private SseEventForwarder eventForwarder;
 
-	private boolean over;
+	private boolean ended;
 
 	RelayAttempt(RelayExchange exchange, TrafficAction.Start start, AttemptListener listener) {
 		this.exchange = exchange;
@@ -63,19 +63,19 @@
 	}
 
 	void send(long leftMillis) {
-		final RelayTools tools = this.exchange.tools();
+		final RelayContext tools = this.exchange.context();
 		this.sentAtNanos = System.nanoTime();
-		this.call = tools.client()
+		this.targetCall = tools.client()
 			.send(this.start.target().address(),
-					tools.dialect()
-						.toTarget(this.exchange.call(), this.start.target(), leftMillis,
+					tools.protocol()
+						.toTargetRequest(this.exchange.request(), this.start.target(), leftMillis,
 								this.exchange.position().lastEventId()),
 					!this.exchange.info().idempotent(), this);
 	}
 
 	@Override
 	public boolean onSending() {
-		final boolean wanted = this.exchange.tools().gate().maySend(this.start.target().targetId());
+		final boolean wanted = this.exchange.context().backoffGate().maySend(this.start.target().targetId());
 		if (!wanted) {
 			end(AttemptOutcome.WITHHELD);
 		}
@@ -84,23 +84,23 @@
 
 	@Override
 	public void onHead(AnswerHead received) {
-		final RelayDialect dialect = this.exchange.tools().dialect();
-		this.head = received;
+		final RelayProtocol dialect = this.exchange.context().protocol();
+		this.responseHead = received;
 		dialect.load(received, System.nanoTime())
-			.ifPresent((load) -> this.exchange.tools().targets().onLoad(this.start.target().targetId(), load));
-		final AnswerVerdict verdict = dialect.judge(this.exchange.call(), received);
-		hearLimit(verdict, dialect.requestLimit(received));
-		if (verdict != AnswerVerdict.MISMATCHED) {
-			hearBackoff(dialect, received);
+			.ifPresent((load) -> this.exchange.context().targetReports().onLoad(this.start.target().targetId(), load));
+		final ResponseVerdict verdict = dialect.classify(this.exchange.request(), received);
+		reportLimit(verdict, dialect.requestLimit(received));
+		if (verdict != ResponseVerdict.MISMATCHED) {
+			reportBackoff(dialect, received);
 		}
 		switch (verdict) {
-			case DECLINED -> expect(AttemptOutcome.DECLINED);
-			case FAILURE -> expect(AttemptOutcome.FAILURE_ANSWERED);
-			case MISMATCHED -> giveUp(AttemptOutcome.MISMATCHED);
-			case ANSWER -> {
-				expect(AttemptOutcome.COMPLETE);
+			case DECLINED -> expectOutcome(AttemptOutcome.DECLINED);
+			case FAILURE -> expectOutcome(AttemptOutcome.FAILURE_ANSWERED);
+			case MISMATCHED -> abort(AttemptOutcome.MISMATCHED);
+			case VALID -> {
+				expectOutcome(AttemptOutcome.COMPLETE);
 				if (this.exchange.streaming() && received.status() == OK) {
-					stream();
+					startStream();
 				}
 			}
 		}
@@ -108,93 +108,94 @@
 
 	// A refusal or a failure may leave the limit out, and an answer that is not the
 	// target's says nothing of it.
-	private void hearLimit(AnswerVerdict verdict, OptionalDouble requestsPerSecond) {
-		final boolean named = requestsPerSecond.isPresent() && verdict != AnswerVerdict.MISMATCHED;
-		if (named || verdict == AnswerVerdict.ANSWER) {
-			this.exchange.tools()
-				.targets()
+	private void reportLimit(ResponseVerdict verdict, OptionalDouble requestsPerSecond) {
+		final boolean named = requestsPerSecond.isPresent() && verdict != ResponseVerdict.MISMATCHED;
+		if (named || verdict == ResponseVerdict.VALID) {
+			this.exchange.context()
+				.targetReports()
 				.onLimit(this.start.target().targetId(), this.sentAtNanos, requestsPerSecond);
 		}
 	}
 
-	private void hearBackoff(RelayDialect dialect, AnswerHead received) {
+	private void reportBackoff(RelayProtocol dialect, AnswerHead received) {
 		final String targetId = this.start.target().targetId();
-		this.exchange.tools().gate().hearBackoff(targetId, dialect.backoffMillis(received));
-		if (dialect.leaving(received)) {
-			this.exchange.tools().gate().hearLeaving(targetId);
+		this.exchange.context().backoffGate().onBackoff(targetId, dialect.backoffMillis(received));
+		if (dialect.isLeaving(received)) {
+			this.exchange.context().backoffGate().onLeaving(targetId);
 		}
 	}
 
-	private void expect(AttemptOutcome how) {
-		this.unlessBroken = how;
+	private void expectOutcome(AttemptOutcome how) {
+		this.expectedOutcome = how;
 	}
 
-	private void stream() {
-		this.events = new EventRelay(id(), this.exchange.position(), this.listener);
-		this.exchange.tools().streams().add(this.events);
-		this.exchange.answer().stream(this.head);
-		callerTakesMore(this.exchange.answer().writable());
+	private void startStream() {
+		this.eventForwarder = new SseEventForwarder(id(), this.exchange.position(), this.listener);
+		this.exchange.context().streams().add(this.eventForwarder);
+		this.exchange.response().startStream(this.responseHead);
+		onCallerWritable(this.exchange.response().isWritable());
 	}
 
 	@Override
 	public void onBytes(byte[] bytes) {
-		if (this.events != null) {
-			if (!this.events.take(bytes, this.exchange.answer())) {
-				giveUp(AttemptOutcome.MISMATCHED);
+		if (this.eventForwarder != null) {
+			if (!this.eventForwarder.forward(bytes, this.exchange.response())) {
+				abort(AttemptOutcome.MISMATCHED);
 			}
 		}
-		else if (this.body.size() + bytes.length > MOST_ANSWER_BYTES) {
-			giveUp(AttemptOutcome.BROKEN);
+		else if (this.responseBody.size() + bytes.length > MAX_RESPONSE_BYTES) {
+			abort(AttemptOutcome.BROKEN);
 		}
 		else {
-			this.body.writeBytes(bytes);
+			this.responseBody.writeBytes(bytes);
 		}
 	}
 
 	@Override
 	public void onBatchEnd() {
-		if (this.events != null) {
-			this.exchange.answer().flush();
+		if (this.eventForwarder != null) {
+			this.exchange.response().flush();
 		}
 	}
 
 	@Override
 	public void onEnd() {
-		if (this.events != null) {
-			this.exchange.answer().flush();
-			end(this.events.endInOrder());
+		if (this.eventForwarder != null) {
+			this.exchange.response().flush();
+			end(this.eventForwarder.outcomeAtEnd());
 			return;
 		}
-		if (this.unlessBroken != AttemptOutcome.DECLINED) {
-			this.exchange.keep(TargetAnswer.of(this.head, this.body.toByteArray()), this.unlessBroken);
+		if (this.expectedOutcome != AttemptOutcome.DECLINED) {
+			this.exchange.storeResponse(TargetResponse.of(this.responseHead, this.responseBody.toByteArray()),
+					this.expectedOutcome);
 		}
-		end(this.unlessBroken);
+		end(this.expectedOutcome);
 	}
 
 	@Override
 	public void onFailure(Throwable failure) {
 		// A target that said it has not run the request said so, whatever happens to the
 		// rest of its answer.
-		if (this.unlessBroken == AttemptOutcome.DECLINED) {
+		if (this.expectedOutcome == AttemptOutcome.DECLINED) {
 			end(AttemptOutcome.DECLINED);
 		}
 		else {
 			final boolean connected = !(failure instanceof NotConnectedException);
-			if (connected && !this.over) {
-				onBreak();
+			if (connected && !this.ended) {
+				reportBrokenConnection();
 			}
 			end(connected ? AttemptOutcome.BROKEN : AttemptOutcome.NOT_CONNECTED);
 		}
 	}
 
 	void cancel() {
-		giveUp(AttemptOutcome.CANCELLED);
+		abort(AttemptOutcome.CANCELLED);
 	}
 
-	private void giveUp(AttemptOutcome how) {
-		if (!this.over) {
-			if (this.call != null) {
-				this.call.abort();
+	private void abort(AttemptOutcome how) {
+		if (!this.ended) {
+			if (this.targetCall != null) {
+				this.targetCall.abort();
 			}
 			end(how);
 		}
@@ -204,31 +205,33 @@
 	 * Reads the target only as fast as the caller reads, so that no events pile up here.
 	 * @param writable whether the caller takes more
 	 */
-	void callerTakesMore(boolean writable) {
-		if (this.events != null && !this.over) {
-			this.events.callerIsSlow(!writable);
-			this.call.reading(writable);
+	void onCallerWritable(boolean writable) {
+		if (this.eventForwarder != null && !this.ended) {
+			this.eventForwarder.callerBlocked(!writable);
+			this.targetCall.reading(writable);
 		}
 	}
 
 	private void end(AttemptOutcome how) {
-		if (this.over) {
+		if (this.ended) {
 			return;
 		}
-		this.over = true;
-		if (this.events != null) {
-			this.exchange.tools().streams().remove(this.events);
+		this.ended = true;
+		if (this.eventForwarder != null) {
+			this.exchange.context().streams().remove(this.eventForwarder);
 		}
-		this.listener.onEnd(id(), how, this.exchange.position().events());
+		this.listener.onEnd(id(), how, this.exchange.position().deliveredEvents());
 	}
 
-	private void onBreak() {
-		final int given = this.exchange.position().events() - this.start.resumeFromTokens();
+	private void reportBrokenConnection() {
+		final int given = this.exchange.position().deliveredEvents() - this.start.resumeFromTokens();
 		final String fingerprint = this.exchange.info().fingerprint();
-		Events.log(EventId.TARGET_BROKE_OFF, "request", this.exchange.call().head().requestId(), "fingerprint",
-				fingerprint, "target", this.start.target().targetId(), "status",
-				(this.head != null) ? this.head.status() : 0, "events", given);
-		this.exchange.tools().crashes().onBreak(this.start.target(), fingerprint, given > FEW_EVENTS);
+		Events.log(EventId.TARGET_CONNECTION_LOST, "request", this.exchange.request().metadata().requestId(),
+				"fingerprint", fingerprint, "target", this.start.target().targetId(), "status",
+				(this.responseHead != null) ? this.responseHead.status() : 0, "events", given);
+		this.exchange.context()
+			.crashProbe()
+			.onConnectionBroken(this.start.target(), fingerprint, given > STARTING_PHASE_EVENTS);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayAnswers.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayErrorResponses.java
@@ -10,11 +10,11 @@
 /**
  * Writes this daemon's own answers to relayed requests.
  */
-final class RelayAnswers {
+final class RelayErrorResponses {
 
 	private static final double MILLIS_PER_SECOND = 1_000;
 
-	private RelayAnswers() {
+	private RelayErrorResponses() {
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayExchange.java
@@ -13,7 +13,7 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TrafficAction;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
 import org.pistachioline.daemon.traffic.AttemptListener;
 import org.pistachioline.daemon.traffic.Exchange;
 
@@ -28,37 +28,37 @@
 
 	private final RequestInfo info;
 
-	private final RelayedCall call;
+	private final RelayedRequest request;
 
 	private final boolean streaming;
 
-	private final RelayTools tools;
+	private final RelayContext context;
 
-	private final CallerAnswer answer;
+	private final CallerResponse response;
 
 	private final StreamPosition position;
 
 	private final long arrivedAtNanos = System.nanoTime();
 
-	private RelayAttempt live;
+	private RelayAttempt currentAttempt;
 
-	private TargetAnswer complete;
+	private TargetResponse completeResponse;
 
-	private TargetAnswer failure;
+	private TargetResponse failureResponse;
 
-	private int attempts;
+	private int attemptCount;
 
 	private String lastTargetId = "";
 
-	private boolean gone;
+	private boolean callerDisconnected;
 
-	RelayExchange(RequestInfo info, RelayedCall call, boolean streaming, RelayTools tools, CallerAnswer answer) {
+	RelayExchange(RequestInfo info, RelayedRequest call, boolean streaming, RelayContext tools, CallerResponse answer) {
 		this.info = info;
-		this.call = call;
+		this.request = call;
 		this.streaming = streaming;
-		this.tools = tools;
-		this.answer = answer;
-		this.position = new StreamPosition(call.head().lastEventId());
+		this.context = tools;
+		this.response = answer;
+		this.position = new StreamPosition(call.metadata().lastEventId());
 	}
 
 	@Override
@@ -66,16 +66,16 @@
 		return this.info;
 	}
 
-	RelayedCall call() {
-		return this.call;
+	RelayedRequest request() {
+		return this.request;
 	}
 
-	RelayTools tools() {
-		return this.tools;
+	RelayContext context() {
+		return this.context;
 	}
 
-	CallerAnswer answer() {
-		return this.answer;
+	CallerResponse response() {
+		return this.response;
 	}
 
 	StreamPosition position() {
@@ -88,32 +88,32 @@
 
 	@Override
 	public void start(TrafficAction.Start start, AttemptListener listener) {
-		this.tools.loop().execute(() -> begin(start, listener));
+		this.context.loop().execute(() -> startAttempt(start, listener));
 	}
 
-	private void begin(TrafficAction.Start start, AttemptListener listener) {
-		if (this.gone) {
+	private void startAttempt(TrafficAction.Start start, AttemptListener listener) {
+		if (this.callerDisconnected) {
 			// The order to send was on its way when the caller left. On a daemon that
 			// runs
 			// late that is most of a second, and the target would work for nobody.
-			listener.onEnd(start.attempt(), AttemptOutcome.CANCELLED, this.position.events());
+			listener.onEnd(start.attempt(), AttemptOutcome.CANCELLED, this.position.deliveredEvents());
 			return;
 		}
-		if (!this.tools.gate().maySend(start.target().targetId())) {
-			listener.onEnd(start.attempt(), AttemptOutcome.WITHHELD, this.position.events());
+		if (!this.context.backoffGate().maySend(start.target().targetId())) {
+			listener.onEnd(start.attempt(), AttemptOutcome.WITHHELD, this.position.deliveredEvents());
 			return;
 		}
 		final long leftMillis = Math.max(1,
 				TimeUnit.NANOSECONDS.toMillis(this.info.totalDeadlineNanos() - System.nanoTime()));
-		this.attempts++;
-		if (this.attempts > 1) {
-			Events.log(EventId.REQUEST_RESENT, "request", this.call.head().requestId(), "attempt", this.attempts,
-					"from", this.lastTargetId, "to", start.target().targetId(), "events", start.resumeFromTokens(),
-					"left_millis", leftMillis);
+		this.attemptCount++;
+		if (this.attemptCount > 1) {
+			Events.log(EventId.REQUEST_RETRIED, "request", this.request.metadata().requestId(), "attempt",
+					this.attemptCount, "from", this.lastTargetId, "to", start.target().targetId(), "events",
+					start.resumeFromTokens(), "left_millis", leftMillis);
 		}
 		this.lastTargetId = start.target().targetId();
-		this.live = new RelayAttempt(this, start, listener);
-		this.live.send(leftMillis);
+		this.currentAttempt = new RelayAttempt(this, start, listener);
+		this.currentAttempt.send(leftMillis);
 	}
 
 	/**
@@ -121,61 +121,61 @@
 	 * @param whole the answer
 	 * @param how how the attempt ended
 	 */
-	void keep(TargetAnswer whole, AttemptOutcome how) {
+	void storeResponse(TargetResponse whole, AttemptOutcome how) {
 		if (how == AttemptOutcome.COMPLETE) {
-			this.complete = whole;
+			this.completeResponse = whole;
 		}
 		else {
-			this.failure = whole;
+			this.failureResponse = whole;
 		}
 	}
 
 	@Override
 	public void cancel(AttemptId attempt) {
-		this.tools.loop().execute(() -> {
-			if (this.live != null && this.live.id().equals(attempt)) {
-				this.live.cancel();
+		this.context.loop().execute(() -> {
+			if (this.currentAttempt != null && this.currentAttempt.id().equals(attempt)) {
+				this.currentAttempt.cancel();
 			}
 		});
 	}
 
 	@Override
 	public void finish() {
-		this.tools.loop().execute(() -> {
-			if (this.complete != null) {
-				this.answer.whole(this.complete.answer());
+		this.context.loop().execute(() -> {
+			if (this.completeResponse != null) {
+				this.response.sendComplete(this.completeResponse.response());
 			}
 			else {
-				this.answer.finish();
+				this.response.finishStream();
 			}
 		});
 	}
 
 	@Override
 	public void fail(ErrorKind kind, RunState runState, long retryAfterMillis) {
-		this.tools.loop().execute(() -> giveUp(kind, runState, retryAfterMillis));
+		this.context.loop().execute(() -> sendFailure(kind, runState, retryAfterMillis));
 	}
 
-	private void giveUp(ErrorKind kind, RunState runState, long retryAfterMillis) {
+	private void sendFailure(ErrorKind kind, RunState runState, long retryAfterMillis) {
 		// A target's own word of what went wrong is worth more than ours, unless it would
 		// promise that the request has not run.
-		final boolean passOn = kind == ErrorKind.TARGET_FAILED && this.failure != null
-				&& !this.failure.promisesNotRun();
-		final WebAnswer failed = passOn ? this.failure.answer()
-				: RelayAnswers.of(this.call.head().requestId(), kindFor(kind, runState), runState, retryAfterMillis);
-		final boolean whole = this.answer.fail(failed);
+		final boolean passOn = kind == ErrorKind.TARGET_FAILED && this.failureResponse != null
+				&& !this.failureResponse.promisesNotRun();
+		final WebAnswer failed = passOn ? this.failureResponse.response() : RelayErrorResponses
+			.of(this.request.metadata().requestId(), kindConsistentWith(kind, runState), runState, retryAfterMillis);
+		final boolean whole = this.response.fail(failed);
 		if (kind != ErrorKind.CALLER_GONE) {
-			Events.log(EventId.REQUEST_FAILED, "request", this.call.head().requestId(), "kind", kind.code(), "run",
-					runState.headerValue(), "status", whole ? failed.status() : 0, "name", this.info.name(),
+			Events.log(EventId.REQUEST_FAILED, "request", this.request.metadata().requestId(), "kind", kind.code(),
+					"run", runState.headerValue(), "status", whole ? failed.status() : 0, "name", this.info.name(),
 					"workspace", this.info.workspace(), "fingerprint", this.info.fingerprint(), "attempts",
-					this.attempts, "last_target", this.lastTargetId, "events", this.position.events(), "held_millis",
-					TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedAtNanos), "retry_after_millis",
-					retryAfterMillis);
+					this.attemptCount, "last_target", this.lastTargetId, "events", this.position.deliveredEvents(),
+					"held_millis", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - this.arrivedAtNanos),
+					"retry_after_millis", retryAfterMillis);
 		}
 	}
 
 	// A status that promises that the request has not run must be true.
-	private static ErrorKind kindFor(ErrorKind kind, RunState runState) {
+	private static ErrorKind kindConsistentWith(ErrorKind kind, RunState runState) {
 		return (kind.promisesNotRun() && runState != RunState.NOT_RUN) ? ErrorKind.TARGET_FAILED : kind;
 	}
 
@@ -186,20 +186,20 @@
 
 	@Override
 	public void onGone() {
-		this.gone = true;
+		this.callerDisconnected = true;
 		// Told first: an attempt that ends while the traffic duty still holds the request
 		// is sent to another target, for nobody.
-		this.tools.callerGone().accept(this.info.requestId());
+		this.context.disconnectListener().accept(this.info.requestId());
 		// Not only by way of the traffic duty: the target works for nobody from now on.
-		if (this.live != null) {
-			this.live.cancel();
+		if (this.currentAttempt != null) {
+			this.currentAttempt.cancel();
 		}
 	}
 
 	@Override
 	public void onWritable(boolean writable) {
-		if (this.live != null) {
-			this.live.callerTakesMore(writable);
+		if (this.currentAttempt != null) {
+			this.currentAttempt.onCallerWritable(writable);
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayHandler.java
@@ -32,8 +32,8 @@
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.daemon.event.Events;
-import org.pistachioline.daemon.port.CallHead;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
@@ -48,14 +48,14 @@
 	 * A restarted daemon knows its configuration within a second, and is warm within a
 	 * few.
 	 */
-	private static final long LEAST_RETRY_MILLIS = 1_000;
+	private static final long MIN_RETRY_AFTER_MILLIS = 1_000;
 
 	/** Stands in logs and answers for the id of a request that was not read. */
-	private static final String UNREAD = "unknown";
+	private static final String UNKNOWN_REQUEST_ID = "unknown";
 
 	private final Supplier<RouteTable> routes;
 
-	private final RelayTools tools;
+	private final RelayContext context;
 
 	private final TrafficDuty traffic;
 
@@ -63,55 +63,55 @@
 
 	private final AtomicLong nextRequestId = new AtomicLong(1);
 
-	RelayHandler(Supplier<RouteTable> routes, RelayTools tools, TrafficDuty traffic, BooleanSupplier leaving) {
+	RelayHandler(Supplier<RouteTable> routes, RelayContext tools, TrafficDuty traffic, BooleanSupplier leaving) {
 		this.routes = routes;
-		this.tools = tools;
+		this.context = tools;
 		this.traffic = traffic;
 		this.leaving = leaving;
 	}
 
-	long arrived() {
+	long receivedRequestCount() {
 		return this.nextRequestId.get() - 1;
 	}
 
 	@Override
 	public void handle(WebRequest request, WebReply reply) {
 		final long id = this.nextRequestId.getAndIncrement();
-		final CallerAnswer answer = new CallerAnswer(reply, this.leaving);
+		final CallerResponse answer = new CallerResponse(reply, this.leaving);
 		try {
 			route(id, request, reply, answer);
 		}
 		catch (RuntimeException ex) {
-			answer.whole(refuse(request, ex));
+			answer.sendComplete(refusalOf(request, ex));
 		}
 	}
 
-	private void route(long id, WebRequest request, WebReply reply, CallerAnswer answer) {
+	private void route(long id, WebRequest request, WebReply reply, CallerResponse answer) {
 		final long arrivedAtNanos = System.nanoTime();
 		final RouteTable table = this.routes.get();
 		require(table.isKnown(), ErrorKind.NOT_READY);
-		final CallHead head = this.tools.dialect().read(request.headers());
+		final RequestMetadata head = this.context.protocol().readRequest(request.headers());
 		final Route route = table.route(request.headers().first("Host").orElse(""), request.path())
 			.orElseThrow(() -> new PistachiolineException(ErrorKind.NOT_FOUND));
-		final Optional<WorkspaceApiKeys> holder = holderOf(table, head);
+		final Optional<WorkspaceApiKeys> holder = findApiKeyHolder(table, head);
 		final boolean open = route.anonymous() || table.workspaceApiKeys().isEmpty();
 		require(open || holder.isPresent(), ErrorKind.UNAUTHENTICATED);
 		final Optional<String> workspace = open ? Optional.empty() : holder.map(WorkspaceApiKeys::name);
-		final RelayedCall call = new RelayedCall(head, request.method(), request.target(),
-				ConnectionHeaders.passedOn(request.headers()), request.body(), workspace);
-		final RequestInfo info = infoOf(id, arrivedAtNanos, table, route, call, holder);
-		final RelayExchange exchange = new RelayExchange(info, call, route.kind() == RouteKind.STREAM, this.tools,
+		final RelayedRequest call = new RelayedRequest(head, request.method(), request.target(),
+				HopByHopHeaders.removeFrom(request.headers()), request.body(), workspace);
+		final RequestInfo info = requestInfoOf(id, arrivedAtNanos, table, route, call, holder);
+		final RelayExchange exchange = new RelayExchange(info, call, route.kind() == RouteKind.STREAM, this.context,
 				answer);
 		reply.listen(exchange);
-		this.traffic.arrive(exchange);
+		this.traffic.submit(exchange);
 	}
 
-	private static RequestInfo infoOf(long id, long arrivedAtNanos, RouteTable table, Route route, RelayedCall call,
-			Optional<WorkspaceApiKeys> holder) {
-		final CallHead head = call.head();
+	private static RequestInfo requestInfoOf(long id, long arrivedAtNanos, RouteTable table, Route route,
+			RelayedRequest call, Optional<WorkspaceApiKeys> holder) {
+		final RequestMetadata head = call.metadata();
 		final String service = route.selectService(ThreadLocalRandom.current().nextDouble());
 		final boolean grouped = table.service(service).filter((spec) -> spec.grouped()).isPresent();
-		final long waitMillis = Math.min(route.timeoutMillis(), head.waitMillis().orElse(route.timeoutMillis()));
+		final long waitMillis = Math.min(route.timeoutMillis(), head.timeoutMillis().orElse(route.timeoutMillis()));
 		final long deadlineNanos = arrivedAtNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
 		final long startNanos = arrivedAtNanos
 				+ TimeUnit.MILLISECONDS.toNanos(QueueTimeBudget.maxQueueMillis(route, waitMillis));
@@ -125,11 +125,11 @@
 
 	// All hashes are compared each time, so that the time of an answer tells nothing of
 	// how much of a guess was right.
-	private static Optional<WorkspaceApiKeys> holderOf(RouteTable table, CallHead head) {
-		if (head.key().isEmpty()) {
+	private static Optional<WorkspaceApiKeys> findApiKeyHolder(RouteTable table, RequestMetadata head) {
+		if (head.apiKey().isEmpty()) {
 			return Optional.empty();
 		}
-		final byte[] hash = DigestUtils.sha256(head.key().get().getBytes(StandardCharsets.UTF_8));
+		final byte[] hash = DigestUtils.sha256(head.apiKey().get().getBytes(StandardCharsets.UTF_8));
 		WorkspaceApiKeys found = null;
 		for (final WorkspaceApiKeys holder : table.workspaceApiKeys()) {
 			for (final String keySha256 : holder.keySha256()) {
@@ -141,16 +141,16 @@
 		return Optional.ofNullable(found);
 	}
 
-	private WebAnswer refuse(WebRequest request, RuntimeException cause) {
+	private WebAnswer refusalOf(WebRequest request, RuntimeException cause) {
 		final ErrorKind kind = (cause instanceof PistachiolineException known) ? known.kind() : ErrorKind.INTERNAL;
-		final String requestId = idOf(request);
+		final String requestId = requestIdOf(request);
 		if (kind == ErrorKind.INTERNAL) {
-			Events.log(EventId.REQUEST_FAULT, cause, "request", requestId);
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, cause, "request", requestId);
 		}
 		else {
 			logRefusal(requestId, kind, request.path());
 		}
-		return RelayAnswers.of(requestId, kind, RunState.NOT_RUN, kind.retryable() ? retryAfterMillis() : 0);
+		return RelayErrorResponses.of(requestId, kind, RunState.NOT_RUN, kind.retryable() ? retryAfterMillis() : 0);
 	}
 
 	@Override
@@ -160,8 +160,8 @@
 			case TOO_SLOW -> ErrorKind.REQUEST_TIMEOUT;
 			case BODY_TOO_LARGE, HEAD_TOO_LARGE -> ErrorKind.REQUEST_TOO_LARGE;
 		};
-		logRefusal(UNREAD, kind, "");
-		return RelayAnswers.of(UNREAD, kind, RunState.NOT_RUN, 0);
+		logRefusal(UNKNOWN_REQUEST_ID, kind, "");
+		return RelayErrorResponses.of(UNKNOWN_REQUEST_ID, kind, RunState.NOT_RUN, 0);
 	}
 
 	private void logRefusal(String requestId, ErrorKind kind, String path) {
@@ -171,16 +171,16 @@
 
 	// Spread, so that callers who were refused together do not come back together.
 	private static long retryAfterMillis() {
-		return LEAST_RETRY_MILLIS + ThreadLocalRandom.current().nextLong(LEAST_RETRY_MILLIS);
+		return MIN_RETRY_AFTER_MILLIS + ThreadLocalRandom.current().nextLong(MIN_RETRY_AFTER_MILLIS);
 	}
 
-	private String idOf(WebRequest request) {
+	private String requestIdOf(WebRequest request) {
 		try {
-			return this.tools.dialect().read(request.headers()).requestId();
+			return this.context.protocol().readRequest(request.headers()).requestId();
 		}
 		catch (PistachiolineException ex) {
 			// The refusal that is being written says just this.
-			return UNREAD;
+			return UNKNOWN_REQUEST_ID;
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RequestFingerprint.java
@@ -6,7 +6,7 @@
 
 import org.apache.commons.codec.digest.DigestUtils;
 
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayedRequest;
 
 /**
  * Tells whether two calls ask for the same thing, whatever the ids of their attempts.
@@ -18,7 +18,7 @@
 final class RequestFingerprint {
 
 	/** Half of the digest: enough for no two calls of a fleet to have the same. */
-	private static final int BYTES = 16;
+	private static final int FINGERPRINT_BYTES = 16;
 
 	private static final byte SEPARATOR = 0;
 
@@ -30,13 +30,13 @@
 	 * @param call the call
 	 * @return the fingerprint, in hex
 	 */
-	static String of(RelayedCall call) {
+	static String of(RelayedRequest call) {
 		final MessageDigest digest = DigestUtils.getSha256Digest();
 		add(digest, call.method());
-		add(digest, call.target());
+		add(digest, call.pathAndQuery());
 		add(digest, call.workspace().orElse(""));
 		call.body().digest(digest);
-		return HexFormat.of().formatHex(digest.digest(), 0, BYTES);
+		return HexFormat.of().formatHex(digest.digest(), 0, FINGERPRINT_BYTES);
 	}
 
 	private static void add(MessageDigest digest, String part) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/EventRelay.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/SseEventForwarder.java
@@ -16,12 +16,12 @@
  * them. While the caller reads slowly it tells of progress all the same, so that a slow
  * caller is not taken for a target that stands still.
  */
-final class EventRelay {
+final class SseEventForwarder {
 
 	/** No event of the engines is near this size; it bounds the memory of one stream. */
-	private static final int LARGEST_EVENT_BYTES = 256 * 1024;
+	private static final int MAX_EVENT_BYTES = 256 * 1024;
 
-	private static final byte[] NOTHING = new byte[0];
+	private static final byte[] NO_BYTES = new byte[0];
 
 	private final AttemptId attempt;
 
@@ -29,19 +29,19 @@
 
 	private final AttemptListener listener;
 
-	private byte[] rest = NOTHING;
+	private byte[] partialEvent = NO_BYTES;
 
-	private boolean told;
+	private boolean firstEventReported;
 
-	private boolean callerIsSlow;
+	private boolean callerBlocked;
 
-	private int toldEvents;
+	private int reportedEvents;
 
-	EventRelay(AttemptId attempt, StreamPosition position, AttemptListener listener) {
+	SseEventForwarder(AttemptId attempt, StreamPosition position, AttemptListener listener) {
 		this.attempt = attempt;
 		this.position = position;
 		this.listener = listener;
-		this.toldEvents = position.events();
+		this.reportedEvents = position.deliveredEvents();
 	}
 
 	/**
@@ -50,19 +50,19 @@
 	 * @param answer takes the events that the caller does not have yet
 	 * @return whether the target goes on; not if it sends an event without an end
 	 */
-	boolean take(byte[] bytes, CallerAnswer answer) {
-		final byte[] all = (this.rest.length == 0) ? bytes : join(this.rest, bytes);
-		final int before = this.position.events();
-		this.position.pass(all, answer::piece);
+	boolean forward(byte[] bytes, CallerResponse answer) {
+		final byte[] all = (this.partialEvent.length == 0) ? bytes : concatenate(this.partialEvent, bytes);
+		final int before = this.position.deliveredEvents();
+		this.position.forwardNewEvents(all, answer::write);
 		final int consumed = this.position.consumedBytes();
-		this.rest = (consumed == all.length) ? NOTHING : Arrays.copyOfRange(all, consumed, all.length);
-		if (!this.told && this.position.events() > before) {
-			tell();
+		this.partialEvent = (consumed == all.length) ? NO_BYTES : Arrays.copyOfRange(all, consumed, all.length);
+		if (!this.firstEventReported && this.position.deliveredEvents() > before) {
+			notifyListener();
 		}
-		return this.rest.length <= LARGEST_EVENT_BYTES;
+		return this.partialEvent.length <= MAX_EVENT_BYTES;
 	}
 
-	private static byte[] join(byte[] first, byte[] second) {
+	private static byte[] concatenate(byte[] first, byte[] second) {
 		final byte[] all = Arrays.copyOf(first, first.length + second.length);
 		System.arraycopy(second, 0, all, first.length, second.length);
 		return all;
@@ -72,32 +72,32 @@
 	 * Says whether the caller has ceased to read.
 	 * @param slow whether it has
 	 */
-	void callerIsSlow(boolean slow) {
-		this.callerIsSlow = slow;
+	void callerBlocked(boolean slow) {
+		this.callerBlocked = slow;
 	}
 
 	/**
 	 * Tells of progress where there was some, or where the caller is what there is to
 	 * wait for.
 	 */
-	void report() {
-		if (this.told && (this.callerIsSlow || this.position.events() > this.toldEvents)) {
-			tell();
+	void reportProgress() {
+		if (this.firstEventReported && (this.callerBlocked || this.position.deliveredEvents() > this.reportedEvents)) {
+			notifyListener();
 		}
 	}
 
-	private void tell() {
-		this.told = true;
-		this.toldEvents = this.position.events();
-		this.listener.onProgress(this.attempt, this.toldEvents);
+	private void notifyListener() {
+		this.firstEventReported = true;
+		this.reportedEvents = this.position.deliveredEvents();
+		this.listener.onProgress(this.attempt, this.reportedEvents);
 	}
 
 	/**
 	 * Returns how the attempt ended, where the target's answer ended in order.
 	 * @return the end; an answer without a length may stop anywhere and still end so
 	 */
-	AttemptOutcome endInOrder() {
-		return new String(this.rest, StandardCharsets.UTF_8).isBlank() ? AttemptOutcome.COMPLETE
+	AttemptOutcome outcomeAtEnd() {
+		return new String(this.partialEvent, StandardCharsets.UTF_8).isBlank() ? AttemptOutcome.COMPLETE
 				: AttemptOutcome.BROKEN;
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/RelayStack.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StandaloneRelay.java
@@ -6,7 +6,7 @@
 
 import org.apache.pekko.actor.typed.ActorSystem;
 
-import org.pistachioline.core.quarantine.SharedDeaths;
+import org.pistachioline.core.quarantine.GossipQuarantine;
 import org.pistachioline.core.retry.RetryBudget;
 import org.pistachioline.core.route.RouteTable;
 import org.pistachioline.core.traffic.RoutingPolicies;
@@ -14,18 +14,18 @@
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.daemon.Lifecycle;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.traffic.LimitShareUpdater;
 import org.pistachioline.daemon.traffic.NoClaims;
-import org.pistachioline.daemon.traffic.ShareKeeper;
 import org.pistachioline.daemon.traffic.TraceRecorder;
 import org.pistachioline.daemon.traffic.TrafficDuty;
 
 /**
  * The relay alone, with a fixed configuration and fixed targets and without a platform.
  */
-public final class RelayStack implements Lifecycle {
+public final class StandaloneRelay implements Lifecycle {
 
-	private static final String SELF = "stack";
+	private static final String DAEMON_ID = "stack";
 
 	private static final int RETRIES_PER_SECOND = 100;
 
@@ -45,23 +45,26 @@
 	 * @param table the configuration
 	 * @param targets the targets
 	 */
-	public RelayStack(ActorSystem<?> system, String callerAddress, RelayDialect dialect, RouteTable table,
+	public StandaloneRelay(ActorSystem<?> system, String callerAddress, RelayProtocol dialect, RouteTable table,
 			List<TargetView> targets) {
 		this.targets = List.copyOf(targets);
-		this.traffic = new TrafficDuty(system, new TrafficCore(RoutingPolicies.create("", 1,
-				new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1, new SharedDeaths())),
-				new NoClaims(), new ShareKeeper(SELF, () -> Set.of(SELF), HEARTBEAT_MILLIS), (suspect, nowMillis) -> {
+		this.traffic = new TrafficDuty(system,
+				new TrafficCore(RoutingPolicies.create("", 1,
+						new RetryBudget(1, RETRIES_PER_SECOND, Duration.ofSeconds(1).toNanos()), () -> 1,
+						new GossipQuarantine())),
+				new NoClaims(), new LimitShareUpdater(DAEMON_ID, () -> Set.of(DAEMON_ID), HEARTBEAT_MILLIS),
+				(suspect, nowMillis) -> {
 					// Nothing crashes these targets.
 				}, new TraceRecorder(false));
 		this.relay = new Relay(callerAddress, dialect, () -> table, this.traffic, (targetId, load) -> {
 			// The targets are fixed, and so is what is known of them.
-		}, new SteadyInstances(), () -> false);
+		}, new NoOpInstanceListener(), () -> false);
 	}
 
 	@Override
 	public void start() {
 		this.traffic.start();
-		this.traffic.targets(this.targets);
+		this.traffic.onTargets(this.targets);
 		this.relay.start();
 	}
 
@@ -79,7 +82,7 @@
 		return this.relay.callerAddress();
 	}
 
-	private static final class SteadyInstances implements InstanceListener {
+	private static final class NoOpInstanceListener implements InstanceListener {
 
 		@Override
 		public void onBackoff(String instanceId, long forMillis) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StreamPosition.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/StreamPosition.java
@@ -11,11 +11,11 @@
 	private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
 	/** More digits than a long holds are no id of ours. */
-	private static final int MOST_DIGITS = 18;
+	private static final int MAX_ID_DIGITS = 18;
 
 	private String lastEventId;
 
-	private int events;
+	private int deliveredEvents;
 
 	private int consumedBytes;
 
@@ -27,8 +27,8 @@
 		return Optional.ofNullable(this.lastEventId);
 	}
 
-	int events() {
-		return this.events;
+	int deliveredEvents() {
+		return this.deliveredEvents;
 	}
 
 	/**
@@ -44,38 +44,38 @@
 	 * @param bytes what has arrived and was not taken yet
 	 * @param receiver takes the events that the caller does not have yet
 	 */
-	void pass(byte[] bytes, PieceReceiver receiver) {
+	void forwardNewEvents(byte[] bytes, SliceReceiver receiver) {
 		int start = 0;
-		int end = endOfEvent(bytes, start);
+		int end = eventEnd(bytes, start);
 		while (end >= 0) {
 			if (isNew(bytes, start, end)) {
-				receiver.take(bytes, start, end - start);
-				this.events++;
+				receiver.accept(bytes, start, end - start);
+				this.deliveredEvents++;
 			}
 			start = end;
-			end = endOfEvent(bytes, start);
+			end = eventEnd(bytes, start);
 		}
 		this.consumedBytes = start;
 	}
 
 	private boolean isNew(byte[] bytes, int start, int end) {
-		final String id = idOf(bytes, start, end);
+		final String id = eventIdOf(bytes, start, end);
 		if (id == null) {
 			return true;
 		}
 		final String last = this.lastEventId;
-		if (last != null && isNumber(id) && isNumber(last) && Long.parseLong(id) <= Long.parseLong(last)) {
+		if (last != null && isNumericId(id) && isNumericId(last) && Long.parseLong(id) <= Long.parseLong(last)) {
 			return false;
 		}
 		this.lastEventId = id;
 		return true;
 	}
 
-	private static boolean isNumber(String text) {
-		return !text.isEmpty() && text.length() <= MOST_DIGITS && text.chars().allMatch((c) -> c >= '0' && c <= '9');
+	private static boolean isNumericId(String text) {
+		return !text.isEmpty() && text.length() <= MAX_ID_DIGITS && text.chars().allMatch((c) -> c >= '0' && c <= '9');
 	}
 
-	private static String idOf(byte[] bytes, int start, int end) {
+	private static String eventIdOf(byte[] bytes, int start, int end) {
 		int line = start;
 		while (line < end) {
 			int lineEnd = line;
@@ -105,7 +105,7 @@
 	}
 
 	// An event ends with an empty line, whichever line ends its sender uses.
-	private static int endOfEvent(byte[] bytes, int start) {
+	private static int eventEnd(byte[] bytes, int start) {
 		for (int i = start; i + 1 < bytes.length; i++) {
 			if (bytes[i] == '\n' && bytes[i + 1] == '\n') {
 				return i + 2;
@@ -121,7 +121,7 @@
 	 * Takes a part of an array that does not change any more.
 	 */
 	@FunctionalInterface
-	interface PieceReceiver {
+	interface SliceReceiver {
 
 		/**
 		 * Takes a part.
@@ -129,7 +129,7 @@
 		 * @param offset where the part begins
 		 * @param length its length in bytes
 		 */
-		void take(byte[] bytes, int offset, int length);
+		void accept(byte[] bytes, int offset, int length);
 
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetNews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportDispatcher.java
@@ -9,19 +9,20 @@
 /**
  * Hands what targets say of themselves to the duties that decide by it.
  *
- * @param loads is told of loads, by target
+ * @param loadReceiver is told of loads, by target
  * @param traffic is told of limits
  */
-record TargetNews(BiConsumer<String, LoadReport> loads, TrafficDuty traffic) implements TargetListener {
+record TargetReportDispatcher(BiConsumer<String, LoadReport> loadReceiver,
+		TrafficDuty traffic) implements TargetReportListener {
 
 	@Override
 	public void onLoad(String targetId, LoadReport load) {
-		this.loads.accept(targetId, load);
+		this.loadReceiver.accept(targetId, load);
 	}
 
 	@Override
 	public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
-		this.traffic.limitHeard(targetId, sentAtNanos, requestsPerSecond);
+		this.traffic.onLimit(targetId, sentAtNanos, requestsPerSecond);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetListener.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/relay/TargetReportListener.java
@@ -7,7 +7,7 @@
 /**
  * Hears what targets say of themselves in their answers, on the loop's thread.
  */
-interface TargetListener {
+interface TargetReportListener {
 
 	/**
 	 * Called where an answer tells the target's load.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/ReplicaDuty.java
@@ -300,7 +300,7 @@
 	}
 
 	private static void logSummary(ServiceSpec service, PoolSummary summary) {
-		Events.log(EventId.POOL_SUMMED_UP, "service", service.name(), "listed", summary.listed(), "draining",
+		Events.log(EventId.POOL_SUMMARY, "service", service.name(), "listed", summary.listed(), "draining",
 				summary.draining(), "serving", summary.serving(), "forming", summary.forming(), "waiting",
 				summary.waiting(), "free_warm", summary.freeWarm(), "free_empty", summary.freeEmpty(), "loading",
 				summary.loading());
@@ -314,7 +314,7 @@
 
 	private void sendOrder(ReplicaOrder order, long term) {
 		this.orderSender.send(order, term).thenAccept((outcome) -> {
-			Events.log(EventId.ORDER_GIVEN, "order", order.verb(), "instance", order.instance().id(), "subject",
+			Events.log(EventId.ORDER_COMPLETED, "order", order.verb(), "instance", order.instance().id(), "subject",
 					order.subject(), "term", term, "outcome", outcome, "listed_in",
 					reportedMembership(order.instance()));
 			this.duty.offer(new ReplicaMessage.OrderCompleted(order, outcome));
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/replica/UnresponsiveInstances.java
@@ -88,7 +88,7 @@
 		}
 		answeredById.forEach((id, answered) -> {
 			if (!answered) {
-				Events.log(EventId.INSTANCE_SILENT, "instance", id, "asked", answeredById.size());
+				Events.log(EventId.INSTANCE_UNRESPONSIVE, "instance", id, "asked", answeredById.size());
 				this.unresponsiveUntilNanos.put(id, nowNanos + UNRESPONSIVE_NANOS);
 			}
 		});
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ActionRunner.java
@@ -16,27 +16,27 @@
 
 /**
  * Carries out what the core decides, for the requests that have not ended. One thread
- * calls it, but for {@link #settle}, {@link #onStalled} and {@link #failures}.
+ * calls it, but for {@link #settle}, {@link #setStallListener} and {@link #failures}.
  */
 final class ActionRunner {
 
 	private final Claims claims;
 
-	private final ClaimBook claimBook;
+	private final RequestClaims requestClaims;
 
-	private final KillerSink killers;
+	private final SuspectReporter suspectReporter;
 
 	private final TraceRecorder recorder;
 
 	private final AttemptListener listener;
 
-	private final Consumer<TrafficMessage.Claimed> claimed;
+	private final Consumer<TrafficMessage.Claimed> claimResults;
 
 	private final Map<Long, Exchange> exchanges = new HashMap<>();
 
 	private final FailureCounts failures = new FailureCounts();
 
-	private volatile Consumer<String> stalledTargets = (targetId) -> {
+	private volatile Consumer<String> stallListener = (targetId) -> {
 	};
 
 	/**
@@ -47,18 +47,18 @@
 	 * @param listener hears how attempts go
 	 * @param claimed takes verdicts on claims, on any thread
 	 */
-	ActionRunner(Claims claims, KillerSink killers, TraceRecorder recorder, AttemptListener listener,
+	ActionRunner(Claims claims, SuspectReporter killers, TraceRecorder recorder, AttemptListener listener,
 			Consumer<TrafficMessage.Claimed> claimed) {
 		this.claims = claims;
-		this.claimBook = new ClaimBook(claims);
-		this.killers = killers;
+		this.requestClaims = new RequestClaims(claims);
+		this.suspectReporter = killers;
 		this.recorder = recorder;
 		this.listener = listener;
-		this.claimed = claimed;
+		this.claimResults = claimed;
 	}
 
-	void onStalled(Consumer<String> receiver) {
-		this.stalledTargets = receiver;
+	void setStallListener(Consumer<String> receiver) {
+		this.stallListener = receiver;
 	}
 
 	FailureCounts failures() {
@@ -69,16 +69,16 @@
 		this.exchanges.put(exchange.info().requestId(), exchange);
 	}
 
-	void noteClaim(TrafficMessage.Claimed verdict) {
-		this.claimBook.note(verdict, this.exchanges.containsKey(verdict.requestId()));
+	void onClaimResult(TrafficMessage.Claimed verdict) {
+		this.requestClaims.recordResult(verdict, this.exchanges.containsKey(verdict.requestId()));
 	}
 
-	void forgetOutcome(long requestId) {
-		this.claimBook.forgetOutcome(requestId);
+	void removeOutcome(long requestId) {
+		this.requestClaims.removeOutcome(requestId);
 	}
 
 	void settle(Exchange exchange, int status, String contentType, String body) {
-		this.claimBook.settle(exchange, status, contentType, body);
+		this.requestClaims.settle(exchange, status, contentType, body);
 	}
 
 	void run(List<TrafficAction> actions) {
@@ -91,18 +91,18 @@
 		}
 		catch (RuntimeException ex) {
 			// The actions after this one are other requests'; left out, those would hang.
-			Events.log(EventId.REQUEST_FAULT, ex, "request", action.requestId());
+			Events.log(EventId.REQUEST_INTERNAL_ERROR, ex, "request", action.requestId());
 		}
 	}
 
 	private void run(TrafficAction action) {
 		// A claim that was granted too late is given back after its request has ended.
 		if (action instanceof TrafficAction.ReportStall stalled) {
-			this.stalledTargets.accept(stalled.targetId());
+			this.stallListener.accept(stalled.targetId());
 			return;
 		}
 		if (action instanceof TrafficAction.Release release) {
-			this.claimBook.release(release);
+			this.requestClaims.release(release);
 			return;
 		}
 		final Exchange exchange = this.exchanges.get(action.requestId());
@@ -120,31 +120,32 @@
 		}
 		else if (action instanceof TrafficAction.Finish finish) {
 			exchange.finish();
-			forget(finish.requestId());
+			removeRequest(finish.requestId());
 		}
 		else if (action instanceof TrafficAction.Fail fail) {
 			this.failures.add(exchange.info().workspace(), fail.kind());
-			this.claimBook.settleUnknown(exchange, fail);
-			forget(fail.requestId());
+			this.requestClaims.settleUnknown(exchange, fail);
+			removeRequest(fail.requestId());
 			exchange.fail(fail.kind(), fail.runState(), fail.retryAfterMillis());
 		}
 		else if (action instanceof TrafficAction.Claim claim) {
 			this.claims.claim(claim.info())
-				.thenAccept((result) -> this.claimed.accept(new TrafficMessage.Claimed(claim.requestId(), result)));
+				.thenAccept(
+						(result) -> this.claimResults.accept(new TrafficMessage.Claimed(claim.requestId(), result)));
 		}
 		else if (action instanceof TrafficAction.Replay replay) {
-			forget(replay.requestId());
+			removeRequest(replay.requestId());
 			replay(exchange);
 		}
 		else if (action instanceof TrafficAction.ReportSuspect suspect) {
-			this.killers.report(suspect, System.currentTimeMillis());
+			this.suspectReporter.report(suspect, System.currentTimeMillis());
 			Events.log(suspect.quarantine() ? EventId.REQUEST_QUARANTINED : EventId.REQUEST_SUSPECTED, "fingerprint",
 					suspect.fingerprint(), "target", suspect.target().targetId());
 		}
 	}
 
 	private void replay(Exchange exchange) {
-		final Optional<KeyOutcome> outcome = this.claimBook.outcome(exchange.info().requestId());
+		final Optional<KeyOutcome> outcome = this.requestClaims.storedOutcome(exchange.info().requestId());
 		if (outcome.isPresent()) {
 			exchange.replay(outcome.get());
 		}
@@ -153,10 +154,10 @@
 		}
 	}
 
-	private void forget(long requestId) {
-		this.recorder.ended(requestId);
+	private void removeRequest(long requestId) {
+		this.recorder.onEnd(requestId);
 		this.exchanges.remove(requestId);
-		this.claimBook.forget(requestId);
+		this.requestClaims.remove(requestId);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BackoffWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BackoffMonitor.java
@@ -11,20 +11,20 @@
 /**
  * Shows the targets that want no requests of this daemon.
  */
-final class BackoffWatch {
+final class BackoffMonitor {
 
 	private volatile List<BackoffReport> reports = List.of();
 
-	void onBackoff(String instanceId, long forNanos) {
+	void logBackoff(String instanceId, long forNanos) {
 		Events.log(EventId.TARGET_BACKOFF, "instance", instanceId, "for_millis",
 				TimeUnit.NANOSECONDS.toMillis(forNanos));
 	}
 
-	void onLeaving(String instanceId) {
+	void logLeaving(String instanceId) {
 		Events.log(EventId.TARGET_LEAVING, "instance", instanceId);
 	}
 
-	void renew(long nowNanos, TrafficCore core) {
+	void refresh(long nowNanos, TrafficCore core) {
 		this.reports = core.targetBackoffs().reports(nowNanos);
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/WholeExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/BufferedExchange.java
@@ -24,7 +24,7 @@
  * A completion that is answered as a whole; it is streamed from the engine all the same,
  * so that a broken attempt is resumed and not run again from the start.
  */
-final class WholeExchange extends ModelExchange {
+final class BufferedExchange extends ModelExchange {
 
 	private static final String DATA_FIELD = "data: ";
 
@@ -36,11 +36,11 @@
 
 	private int promptTokens;
 
-	private CompletionStage<Void> taken = CompletableFuture.completedFuture(null);
+	private CompletionStage<Void> eventsConsumed = CompletableFuture.completedFuture(null);
 
 	private int completionTokens;
 
-	WholeExchange(RequestInfo info, String requestIdText, byte[] engineBody, HttpCaller http) {
+	BufferedExchange(RequestInfo info, String requestIdText, byte[] engineBody, HttpCaller http) {
 		super(info, requestIdText, engineBody, http);
 		this.model = info.name();
 	}
@@ -50,19 +50,19 @@
 		// One attempt after the other: the end of an attempt is reported when its last
 		// event
 		// is passed on, which may be before it was taken here.
-		this.taken = this.taken
-			.thenCompose((before) -> events.runForeach(this::take, http().system()).thenApply((done) -> null));
+		this.eventsConsumed = this.eventsConsumed
+			.thenCompose((before) -> events.runForeach(this::appendEvents, http().system()).thenApply((done) -> null));
 	}
 
-	private synchronized void take(ByteString bytes) {
+	private synchronized void appendEvents(ByteString bytes) {
 		for (final String event : bytes.utf8String().split("\n\n")) {
 			if (event.startsWith(DATA_FIELD + "{")) {
-				add(Json.tree(event.substring(DATA_FIELD.length()).getBytes(StandardCharsets.UTF_8)));
+				appendChunk(Json.tree(event.substring(DATA_FIELD.length()).getBytes(StandardCharsets.UTF_8)));
 			}
 		}
 	}
 
-	private void add(JsonNode chunk) {
+	private void appendChunk(JsonNode chunk) {
 		final JsonNode choice = chunk.path("choices").path(0);
 		this.content.append(choice.path("delta").path("content").asText(""));
 		if (choice.path("finish_reason").isTextual()) {
@@ -76,10 +76,10 @@
 
 	@Override
 	public synchronized void finish() {
-		this.taken.thenRun(this::answer);
+		this.eventsConsumed.thenRun(this::respond);
 	}
 
-	private synchronized void answer() {
+	private synchronized void respond() {
 		final Map<String, Object> message = Map.of("role", "assistant", "content", this.content.toString());
 		final Map<String, Object> body = Map.of("id", "c-" + requestIdText(), "object", "chat.completion", "model",
 				this.model, "choices",
@@ -93,7 +93,7 @@
 
 	@Override
 	public void fail(ErrorKind kind, RunState runState, long retryAfterMillis) {
-		response().complete(ErrorAnswers.of(requestIdText(), kind, runState, retryAfterMillis));
+		response().complete(ErrorResponses.of(requestIdText(), kind, runState, retryAfterMillis));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/CrashMonitor.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.quarantine.DeathReport;
+import org.pistachioline.core.quarantine.CrashReport;
 import org.pistachioline.core.quarantine.SuspectedRequest;
 import org.pistachioline.core.quarantine.TargetCrash;
 import org.pistachioline.core.traffic.TrafficCore;
@@ -16,34 +16,34 @@
 /**
  * Tells the core and other daemons of requests under which targets died, and shows them.
  */
-public final class CrashWatch {
+public final class CrashMonitor {
 
 	/** How old may be what operators and daemons that start are shown. */
-	private static final long SHOWN_NANOS = 500_000_000L;
+	private static final long SNAPSHOT_INTERVAL_NANOS = 500_000_000L;
 
-	private volatile List<DeathReport> reports = List.of();
+	private volatile List<CrashReport> reports = List.of();
 
-	private volatile List<SuspectedRequest> sample = List.of();
+	private volatile List<SuspectedRequest> gossipSample = List.of();
 
-	private volatile List<SuspectedRequest> known = List.of();
+	private volatile List<SuspectedRequest> knownSuspects = List.of();
 
-	private volatile boolean sampled;
+	private volatile boolean sampleTaken;
 
-	private volatile Consumer<List<SuspectedRequest>> peers = (news) -> {
+	private volatile Consumer<List<SuspectedRequest>> broadcaster = (news) -> {
 	};
 
-	private final Predicate<TrafficMessage> duty;
+	private final Predicate<TrafficMessage> inbox;
 
 	private Set<String> quarantined = Set.of();
 
-	private long shownAtNanos = System.nanoTime();
+	private long snapshotAtNanos = System.nanoTime();
 
 	/**
 	 * Creates a watch.
 	 * @param duty takes what other threads tell, unless it has no room
 	 */
-	CrashWatch(Predicate<TrafficMessage> duty) {
-		this.duty = duty;
+	CrashMonitor(Predicate<TrafficMessage> duty) {
+		this.inbox = duty;
 	}
 
 	/**
@@ -52,23 +52,23 @@
 	 * @param crash the target, and what it was running for this daemon
 	 */
 	public void onCrash(TargetCrash crash) {
-		this.duty.test(new TrafficMessage.TargetCrashed(crash));
+		this.inbox.test(new TrafficMessage.TargetCrashed(crash));
 	}
 
 	/**
 	 * Takes what another daemon told; where there is no room a later heartbeat brings it.
 	 * @param requests the requests under which targets died
 	 */
-	public void onTold(List<SuspectedRequest> requests) {
-		this.duty.test(new TrafficMessage.SuspectedTold(requests));
+	public void onPeerReports(List<SuspectedRequest> requests) {
+		this.inbox.test(new TrafficMessage.SuspectedTold(requests));
 	}
 
 	/**
 	 * Sets what tells all other daemons at once; called before the start.
 	 * @param receiver takes the requests; it must not block
 	 */
-	public void onNews(Consumer<List<SuspectedRequest>> receiver) {
-		this.peers = receiver;
+	public void setBroadcaster(Consumer<List<SuspectedRequest>> receiver) {
+		this.broadcaster = receiver;
 	}
 
 	/**
@@ -78,12 +78,12 @@
 	 * @param core the core
 	 * @return whether a request is quarantined since
 	 */
-	boolean hear(long nowNanos, TargetCrash crash, TrafficCore core) {
-		Events.log(EventId.TARGET_DIED, "target", crash.targetId(), "beginning", crash.beginning().size(), "under_way",
-				crash.underWay().size());
+	boolean applyCrash(long nowNanos, TargetCrash crash, TrafficCore core) {
+		Events.log(EventId.TARGET_CRASHED, "target", crash.targetId(), "beginning", crash.startingFingerprints().size(),
+				"under_way", crash.inProgressFingerprints().size());
 		final boolean news = !core.targetCrashes().onCrash(nowNanos, crash).isEmpty();
-		show(nowNanos, core);
-		tell(nowNanos, core);
+		takeSnapshot(nowNanos, core);
+		sendReports(nowNanos, core);
 		return news;
 	}
 
@@ -94,10 +94,10 @@
 	 * @param core the core
 	 * @return whether a request is quarantined since
 	 */
-	boolean hearFromPeer(long nowNanos, List<SuspectedRequest> told, TrafficCore core) {
+	boolean applyPeerReports(long nowNanos, List<SuspectedRequest> told, TrafficCore core) {
 		final boolean news = !core.targetCrashes().onPeerReports(nowNanos, told).isEmpty();
 		if (news) {
-			show(nowNanos, core);
+			takeSnapshot(nowNanos, core);
 		}
 		return news;
 	}
@@ -107,28 +107,28 @@
 	 * @param nowNanos the monotonic time
 	 * @param core the core
 	 */
-	void renew(long nowNanos, TrafficCore core) {
-		tell(nowNanos, core);
-		if (nowNanos - this.shownAtNanos >= SHOWN_NANOS) {
-			show(nowNanos, core);
+	void refresh(long nowNanos, TrafficCore core) {
+		sendReports(nowNanos, core);
+		if (nowNanos - this.snapshotAtNanos >= SNAPSHOT_INTERVAL_NANOS) {
+			takeSnapshot(nowNanos, core);
 		}
 	}
 
-	private void tell(long nowNanos, TrafficCore core) {
+	private void sendReports(long nowNanos, TrafficCore core) {
 		final List<SuspectedRequest> news = core.targetCrashes().drainBroadcast(nowNanos);
 		if (!news.isEmpty()) {
-			this.peers.accept(news);
+			this.broadcaster.accept(news);
 		}
-		if (this.sampled || this.sample.isEmpty()) {
-			this.sample = core.targetCrashes().gossipSample(nowNanos);
-			this.sampled = false;
+		if (this.sampleTaken || this.gossipSample.isEmpty()) {
+			this.gossipSample = core.targetCrashes().gossipSample(nowNanos);
+			this.sampleTaken = false;
 		}
 	}
 
-	private void show(long nowNanos, TrafficCore core) {
-		this.shownAtNanos = nowNanos;
+	private void takeSnapshot(long nowNanos, TrafficCore core) {
+		this.snapshotAtNanos = nowNanos;
 		this.reports = core.targetCrashes().reports(nowNanos);
-		this.known = core.targetCrashes().knownSuspects();
+		this.knownSuspects = core.targetCrashes().knownSuspects();
 		final Set<String> now = core.targetCrashes().quarantined();
 		logChange(now);
 		this.quarantined = now;
@@ -146,16 +146,16 @@
 					report.targetIds()));
 		this.quarantined.stream()
 			.filter((fingerprint) -> !now.contains(fingerprint))
-			.forEach((fingerprint) -> Events.log(EventId.REQUEST_RELEASED, "fingerprint", fingerprint));
+			.forEach((fingerprint) -> Events.log(EventId.QUARANTINE_ENDED, "fingerprint", fingerprint));
 	}
 
 	/**
 	 * Returns what the next heartbeat tells; called by the duty that sends heartbeats.
 	 * @return some requests
 	 */
-	public List<SuspectedRequest> sample() {
-		final List<SuspectedRequest> told = this.sample;
-		this.sampled = true;
+	public List<SuspectedRequest> gossipSample() {
+		final List<SuspectedRequest> told = this.gossipSample;
+		this.sampleTaken = true;
 		return told;
 	}
 
@@ -163,15 +163,15 @@
 	 * Returns what a daemon is told that has just started.
 	 * @return the requests
 	 */
-	public List<SuspectedRequest> known() {
-		return this.known;
+	public List<SuspectedRequest> knownSuspects() {
+		return this.knownSuspects;
 	}
 
 	/**
 	 * Returns the requests under which targets died.
 	 * @return the requests, and which of them are quarantined
 	 */
-	public List<DeathReport> reports() {
+	public List<CrashReport> reports() {
 		return this.reports;
 	}
 
@@ -180,7 +180,7 @@
 	 * @return the number of requests
 	 */
 	public int quarantinedCount() {
-		return (int) this.reports.stream().filter(DeathReport::quarantined).count();
+		return (int) this.reports.stream().filter(CrashReport::quarantined).count();
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ErrorAnswers.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ErrorResponses.java
@@ -15,11 +15,11 @@
 /**
  * Writes the answers to requests that failed.
  */
-public final class ErrorAnswers {
+public final class ErrorResponses {
 
 	private static final long MILLIS_PER_SECOND = 1_000;
 
-	private ErrorAnswers() {
+	private ErrorResponses() {
 	}
 
 	/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/Exchanges.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ExchangeStarter.java
@@ -11,7 +11,7 @@
 /**
  * Starts exchanges and hands them to the traffic duty.
  */
-public final class Exchanges {
+public final class ExchangeStarter {
 
 	private final HttpCaller http;
 
@@ -22,7 +22,7 @@
 	 * @param http the HTTP client
 	 * @param traffic the traffic duty
 	 */
-	public Exchanges(HttpCaller http, TrafficDuty traffic) {
+	public ExchangeStarter(HttpCaller http, TrafficDuty traffic) {
 		this.http = http;
 		this.traffic = traffic;
 	}
@@ -35,11 +35,11 @@
 	 * @param stream whether the answer is streamed
 	 * @return the answer
 	 */
-	public CompletableFuture<HttpResponse> complete(RequestInfo info, String requestIdText, byte[] body,
+	public CompletableFuture<HttpResponse> startCompletion(RequestInfo info, String requestIdText, byte[] body,
 			boolean stream) {
 		final ModelExchange exchange = stream ? new StreamedExchange(info, requestIdText, body, this.http, this.traffic)
-				: new WholeExchange(info, requestIdText, body, this.http);
-		this.traffic.arrive(exchange);
+				: new BufferedExchange(info, requestIdText, body, this.http);
+		this.traffic.submit(exchange);
 		return exchange.response();
 	}
 
@@ -54,12 +54,12 @@
 	 * @param timeoutMillis how long the call may take
 	 * @return the answer
 	 */
-	public CompletableFuture<HttpResponse> call(RequestInfo info, String requestIdText, HttpRequest request,
+	public CompletableFuture<HttpResponse> startServiceCall(RequestInfo info, String requestIdText, HttpRequest request,
 			String pathAndQuery, byte[] body, String idempotencyKey, long timeoutMillis) {
 		final ServiceCall call = new ServiceCall(request.method(), pathAndQuery, request.entity().getContentType(),
 				body, idempotencyKey, timeoutMillis);
 		final ServiceExchange exchange = new ServiceExchange(info, requestIdText, call, this.http, this.traffic);
-		this.traffic.arrive(exchange);
+		this.traffic.submit(exchange);
 		return exchange.response();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/FailureCounts.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/FailureCounts.java
@@ -35,7 +35,7 @@
 	 * @param workspace the workspace
 	 * @return the counts that are not 0, by code
 	 */
-	public Map<String, Long> of(String workspace) {
+	public Map<String, Long> countsByCode(String workspace) {
 		final Map<ErrorKind, Long> byKind = new EnumMap<>(ErrorKind.class);
 		final AtomicLongArray counts = this.countsByWorkspace.get(workspace);
 		for (final ErrorKind kind : ErrorKind.values()) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitMonitor.java
@@ -6,19 +6,19 @@
 import java.util.stream.Collectors;
 
 import org.pistachioline.core.event.EventId;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.daemon.event.Events;
 
 /**
  * Shows the limits that targets name, and says which answers bring news of them.
  */
-final class LimitWatch {
+final class LimitMonitor {
 
-	private volatile Set<String> toldIds = Set.of();
+	private volatile Set<String> latestLimitIds = Set.of();
 
-	private volatile List<StatedLimit> stated = List.of();
+	private volatile List<AdvertisedLimit> latestLimits = List.of();
 
 	private volatile List<LimitReport> reports = List.of();
 
@@ -29,11 +29,11 @@
 	 * @param requestsPerSecond the limit that it names; empty where it names none
 	 * @return whether it may
 	 */
-	boolean isNews(String instanceId, OptionalDouble requestsPerSecond) {
-		return requestsPerSecond.isPresent() || this.toldIds.contains(instanceId);
+	boolean mayChangeLimit(String instanceId, OptionalDouble requestsPerSecond) {
+		return requestsPerSecond.isPresent() || this.latestLimitIds.contains(instanceId);
 	}
 
-	void onChange(StatedLimit heard, boolean toldByPeer) {
+	void logChange(AdvertisedLimit heard, boolean toldByPeer) {
 		if (heard.requestsPerSecond().isPresent()) {
 			Events.log(EventId.TARGET_LIMITED, "instance", heard.instanceId(), "requests_per_second",
 					heard.requestsPerSecond().getAsDouble(), "told_by_peer", toldByPeer);
@@ -43,14 +43,16 @@
 		}
 	}
 
-	void renew(long nowNanos, TrafficCore core) {
+	void refresh(long nowNanos, TrafficCore core) {
 		this.reports = core.targetLimits().reports(nowNanos);
-		this.stated = core.targetLimits().latestLimits(nowNanos);
-		this.toldIds = this.stated.stream().map(StatedLimit::instanceId).collect(Collectors.toUnmodifiableSet());
+		this.latestLimits = core.targetLimits().latestLimits(nowNanos);
+		this.latestLimitIds = this.latestLimits.stream()
+			.map(AdvertisedLimit::instanceId)
+			.collect(Collectors.toUnmodifiableSet());
 	}
 
-	List<StatedLimit> stated() {
-		return this.stated;
+	List<AdvertisedLimit> latestLimits() {
+		return this.latestLimits;
 	}
 
 	List<LimitReport> reports() {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ShareKeeper.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LimitShareUpdater.java
@@ -15,16 +15,16 @@
 /**
  * Renews this daemon's shares of the limits on the traffic duty's thread.
  */
-public final class ShareKeeper {
+public final class LimitShareUpdater {
 
-	private static final long RENEW_NANOS = Duration.ofMillis(250).toNanos();
+	private static final long UPDATE_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
 
 	/** A peer is silent after so many beats: each beat reaches three peers by chance. */
-	private static final int SILENT_BEATS = 12;
+	private static final int SILENCE_TIMEOUT_HEARTBEATS = 12;
 
-	private static final int HOLD_BEATS = 6;
+	private static final int INCREASE_DELAY_HEARTBEATS = 6;
 
-	private static final Duration FORGET = Duration.ofMinutes(1);
+	private static final Duration EXPIRY = Duration.ofMinutes(1);
 
 	private final String selfId;
 
@@ -32,7 +32,7 @@
 
 	private final LimitShares shares;
 
-	private long renewedAtNanos;
+	private long updatedAtNanos;
 
 	private volatile Map<String, Double> demand = Map.of();
 
@@ -44,11 +44,11 @@
 	 * @param liveIds the live daemons that are not leaving, this one included
 	 * @param heartbeatMillis the time between two beats
 	 */
-	public ShareKeeper(String selfId, Supplier<Set<String>> liveIds, long heartbeatMillis) {
+	public LimitShareUpdater(String selfId, Supplier<Set<String>> liveIds, long heartbeatMillis) {
 		this.selfId = selfId;
 		this.liveIds = liveIds;
-		this.shares = new LimitShares(Duration.ofMillis(SILENT_BEATS * heartbeatMillis).toNanos(), FORGET.toNanos(),
-				Duration.ofMillis(HOLD_BEATS * heartbeatMillis).toNanos());
+		this.shares = new LimitShares(Duration.ofMillis(SILENCE_TIMEOUT_HEARTBEATS * heartbeatMillis).toNanos(),
+				EXPIRY.toNanos(), Duration.ofMillis(INCREASE_DELAY_HEARTBEATS * heartbeatMillis).toNanos());
 	}
 
 	/**
@@ -67,15 +67,15 @@
 		return this.shareRatios;
 	}
 
-	void hear(long nowNanos, TrafficMessage.PeerDemand peer) {
+	void onPeerDemand(long nowNanos, TrafficMessage.PeerDemand peer) {
 		this.shares.onPeerDemand(nowNanos, peer.daemonId(), peer.leaving(), peer.demand());
 	}
 
-	List<TrafficAction> renew(long nowNanos, TrafficCore core) {
-		if (nowNanos - this.renewedAtNanos < RENEW_NANOS) {
+	List<TrafficAction> update(long nowNanos, TrafficCore core) {
+		if (nowNanos - this.updatedAtNanos < UPDATE_INTERVAL_NANOS) {
 			return List.of();
 		}
-		this.renewedAtNanos = nowNanos;
+		this.updatedAtNanos = nowNanos;
 		this.demand = core.demand(nowNanos);
 		this.shares.onDemand(this.demand);
 		final Set<String> live = this.liveIds.get();
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/KillerReports.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/LogSuspectReporter.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.record.RecordBody;
 import org.pistachioline.core.record.RequestQuarantine;
 import org.pistachioline.core.record.RequestSuspicion;
@@ -17,7 +17,7 @@
 /**
  * Shares with all daemons which requests groups died under.
  */
-public final class KillerReports implements KillerSink {
+public final class LogSuspectReporter implements SuspectReporter {
 
 	private final AppendDuty appender;
 
@@ -28,7 +28,7 @@
 	 * @param appender appends records
 	 * @param fleetStream the fleet stream's name
 	 */
-	public KillerReports(AppendDuty appender, String fleetStream) {
+	public LogSuspectReporter(AppendDuty appender, String fleetStream) {
 		this.appender = appender;
 		this.fleetStream = fleetStream;
 	}
@@ -41,11 +41,11 @@
 	 */
 	@Override
 	public void report(TrafficAction.ReportSuspect suspect, long nowMillis) {
-		this.appender.append(this.fleetStream, recordOf(suspect, nowMillis));
+		this.appender.append(this.fleetStream, toRecord(suspect, nowMillis));
 	}
 
-	static RecordBody recordOf(TrafficAction.ReportSuspect suspect, long nowMillis) {
-		final long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(DeathCounter.LIFETIME_MINUTES);
+	static RecordBody toRecord(TrafficAction.ReportSuspect suspect, long nowMillis) {
+		final long untilMillis = nowMillis + TimeUnit.MINUTES.toMillis(LogBasedQuarantine.QUARANTINE_MINUTES);
 		final String targetId = suspect.target().targetId();
 		if (suspect.quarantine()) {
 			return new RequestQuarantine(suspect.fingerprint(), untilMillis,
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ModelExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ModelExchange.java
@@ -35,18 +35,18 @@
 
 	private final String requestIdText;
 
-	private final byte[] engineBody;
+	private final byte[] bodyBytes;
 
 	private final HttpCaller http;
 
 	private final CompletableFuture<HttpResponse> response = new CompletableFuture<>();
 
-	private LiveAttempt live;
+	private LiveAttempt liveAttempt;
 
 	ModelExchange(RequestInfo info, String requestIdText, byte[] engineBody, HttpCaller http) {
 		this.info = info;
 		this.requestIdText = requestIdText;
-		this.engineBody = engineBody;
+		this.bodyBytes = engineBody;
 		this.http = http;
 	}
 
@@ -70,13 +70,13 @@
 	@Override
 	public final void start(TrafficAction.Start start, AttemptListener listener) {
 		synchronized (this) {
-			this.live = new LiveAttempt(start, listener);
+			this.liveAttempt = new LiveAttempt(start, listener);
 		}
-		this.http.stream(request(start)).whenComplete((answer, failure) -> {
+		this.http.stream(buildRequest(start)).whenComplete((answer, failure) -> {
 			if (failure != null) {
 				listener.onEnd(start.attempt(), AttemptFailures.classify(failure), start.resumeFromTokens());
 			}
-			else if (!answered(start.attempt())) {
+			else if (!markResponseReceived(start.attempt())) {
 				// Cancelled while it was on its way; closing the connection ends the
 				// engine's work, and keeps the connection from being used again.
 				answer.entity().getDataBytes().runWith(Sink.cancelled(), this.http.system());
@@ -91,16 +91,16 @@
 		});
 	}
 
-	private synchronized boolean answered(AttemptId attempt) {
+	private synchronized boolean markResponseReceived(AttemptId attempt) {
 		if (!isLive(attempt)) {
 			return false;
 		}
-		this.live.answered = true;
+		this.liveAttempt.responseReceived = true;
 		return true;
 	}
 
 	private boolean isLive(AttemptId attempt) {
-		return this.live != null && attempt.equals(this.live.start.attempt());
+		return this.liveAttempt != null && attempt.equals(this.liveAttempt.start.attempt());
 	}
 
 	private void relay(TrafficAction.Start start, HttpResponse answer, AttemptListener listener) {
@@ -110,25 +110,25 @@
 			.viaMat(KillSwitches.single(), Keep.right())
 			.via(new RelayStage(start.attempt(), start.resumeFromTokens(), listener));
 		onEvents(source.mapMaterializedValue((killSwitch) -> {
-			live(start.attempt(), killSwitch);
+			liveAttempt(start.attempt(), killSwitch);
 			return NotUsed.getInstance();
 		}));
 	}
 
-	private synchronized void live(AttemptId attempt, UniqueKillSwitch killSwitch) {
+	private synchronized void liveAttempt(AttemptId attempt, UniqueKillSwitch killSwitch) {
 		if (isLive(attempt)) {
-			this.live.killSwitch = killSwitch;
+			this.liveAttempt.killSwitch = killSwitch;
 		}
 		else {
 			killSwitch.abort(new IllegalStateException("cancelled"));
 		}
 	}
 
-	private HttpRequest request(TrafficAction.Start start) {
+	private HttpRequest buildRequest(TrafficAction.Start start) {
 		final TargetView target = start.target();
 		final String groupId = target.instanceId();
 		return HttpRequest.POST("http://" + target.address() + "/v1/chat/completions")
-			.withEntity(ContentTypes.APPLICATION_JSON, this.engineBody)
+			.withEntity(ContentTypes.APPLICATION_JSON, this.bodyBytes)
 			.addHeader(RawHeader.create("Pistachioline-Attempt", start.attempt().wireForm()))
 			.addHeader(RawHeader.create("Pistachioline-Group", groupId))
 			.addHeader(RawHeader.create("Pistachioline-Group-Epoch", Long.toString(target.epoch())))
@@ -143,14 +143,14 @@
 			if (!isLive(attempt)) {
 				return;
 			}
-			cancelled = this.live;
-			this.live = null;
+			cancelled = this.liveAttempt;
+			this.liveAttempt = null;
 		}
 		if (cancelled.killSwitch != null) {
 			// The relay reports the end, with the exact count of tokens passed on.
 			cancelled.killSwitch.abort(new IllegalStateException("cancelled"));
 		}
-		else if (!cancelled.answered) {
+		else if (!cancelled.responseReceived) {
 			// Nothing of a later answer can reach the caller, so the attempt is over.
 			cancelled.listener.onEnd(attempt, AttemptOutcome.CANCELLED, cancelled.start.resumeFromTokens());
 		}
@@ -173,7 +173,7 @@
 
 		private final AttemptListener listener;
 
-		private boolean answered;
+		private boolean responseReceived;
 
 		private UniqueKillSwitch killSwitch;
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RelayStage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RelayStage.java
@@ -33,14 +33,14 @@
  */
 final class RelayStage extends GraphStage<FlowShape<ByteString, ByteString>> {
 
-	private static final int LARGEST_EVENT_BYTES = 256 * 1024;
+	private static final int MAX_EVENT_BYTES = 256 * 1024;
 
 	/** How often progress is told; a target's speed shows before a long answer ends. */
 	private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-	private static final int MOST_POSITION_DIGITS = 9;
+	private static final int MAX_POSITION_DIGITS = 9;
 
-	private static final String END = "end";
+	private static final String END_POSITION = "end";
 
 	private static final ByteString DONE_EVENT = ByteString.fromString("data: [DONE]\n\n");
 
@@ -97,19 +97,19 @@
 
 	private final class Logic extends TimerGraphStageLogic {
 
-		private final byte[] prefix = (RelayStage.this.attempt.wireForm() + ":").getBytes(StandardCharsets.US_ASCII);
+		private final byte[] idPrefix = (RelayStage.this.attempt.wireForm() + ":").getBytes(StandardCharsets.US_ASCII);
 
-		private ByteString rest = ByteString.emptyByteString();
+		private ByteString partialEvent = ByteString.emptyByteString();
 
-		private boolean restEndsLine;
+		private boolean partialEndsWithNewline;
 
-		private int tokens = RelayStage.this.resumeFromTokens;
+		private int deliveredTokens = RelayStage.this.resumeFromTokens;
 
-		private boolean ended;
+		private boolean endReported;
 
-		private boolean sawEnd;
+		private boolean endSeen;
 
-		private boolean sawDone;
+		private boolean doneSeen;
 
 		private int reportedTokens = RelayStage.this.resumeFromTokens;
 
@@ -119,17 +119,17 @@
 
 				@Override
 				public void onPush() {
-					take(grab(RelayStage.this.in));
+					onChunk(grab(RelayStage.this.in));
 				}
 
 				@Override
 				public void onUpstreamFinish() {
-					close(ByteString.emptyByteString(), AttemptOutcome.BROKEN);
+					completeWith(ByteString.emptyByteString(), AttemptOutcome.BROKEN);
 				}
 
 				@Override
 				public void onUpstreamFailure(Throwable failure) {
-					close(ByteString.emptyByteString(), AttemptOutcome.BROKEN);
+					completeWith(ByteString.emptyByteString(), AttemptOutcome.BROKEN);
 				}
 
 			});
@@ -142,7 +142,7 @@
 
 				@Override
 				public void onDownstreamFinish(Throwable cause) {
-					end(AttemptOutcome.CANCELLED);
+					reportEnd(AttemptOutcome.CANCELLED);
 					cancelStage(cause);
 				}
 
@@ -157,19 +157,19 @@
 		@Override
 		public void onTimer(Object key) {
 			final boolean callerIsSlow = !hasBeenPulled(RelayStage.this.in);
-			if (!this.ended && (callerIsSlow || this.tokens > this.reportedTokens)) {
-				report();
+			if (!this.endReported && (callerIsSlow || this.deliveredTokens > this.reportedTokens)) {
+				reportProgress();
 			}
 		}
 
-		private void report() {
-			this.reportedTokens = this.tokens;
-			RelayStage.this.listener.onProgress(RelayStage.this.attempt, this.tokens);
+		private void reportProgress() {
+			this.reportedTokens = this.deliveredTokens;
+			RelayStage.this.listener.onProgress(RelayStage.this.attempt, this.deliveredTokens);
 		}
 
-		private void close(ByteString passed, AttemptOutcome unlessComplete) {
-			end(this.sawEnd ? AttemptOutcome.COMPLETE : unlessComplete);
-			final boolean addDone = this.sawEnd && !this.sawDone;
+		private void completeWith(ByteString passed, AttemptOutcome unlessComplete) {
+			reportEnd(this.endSeen ? AttemptOutcome.COMPLETE : unlessComplete);
+			final boolean addDone = this.endSeen && !this.doneSeen;
 			final ByteString last = addDone ? passed.concat(DONE_EVENT) : passed;
 			if (last.isEmpty()) {
 				completeStage();
@@ -179,30 +179,30 @@
 			}
 		}
 
-		private void take(ByteString chunk) {
-			if (!endsEvent(chunk) && this.rest.size() + chunk.size() <= LARGEST_EVENT_BYTES) {
+		private void onChunk(ByteString chunk) {
+			if (!endsEvent(chunk) && this.partialEvent.size() + chunk.size() <= MAX_EVENT_BYTES) {
 				// Only what is new is searched: a large event in many small pieces would
 				// otherwise be copied and searched anew for each piece.
-				this.rest = this.rest.concat(chunk);
+				this.partialEvent = this.partialEvent.concat(chunk);
 				pull(RelayStage.this.in);
 				return;
 			}
-			final byte[] bytes = this.rest.concat(chunk).toArray();
+			final byte[] bytes = this.partialEvent.concat(chunk).toArray();
 			final ByteStringBuilder passed = new ByteStringBuilder();
 			int start = 0;
 			int eventEnd = endOfEvent(bytes, start);
 			while (eventEnd >= 0) {
-				if (!pass(bytes, start, eventEnd, passed)) {
-					close(passed.result(), AttemptOutcome.MISMATCHED);
+				if (!appendIfExpected(bytes, start, eventEnd, passed)) {
+					completeWith(passed.result(), AttemptOutcome.MISMATCHED);
 					return;
 				}
 				start = eventEnd;
 				eventEnd = endOfEvent(bytes, start);
 			}
-			this.rest = ByteString.fromArray(bytes, start, bytes.length - start);
-			this.restEndsLine = !this.rest.isEmpty() && bytes[bytes.length - 1] == '\n';
-			if (this.rest.size() > LARGEST_EVENT_BYTES) {
-				close(passed.result(), AttemptOutcome.MISMATCHED);
+			this.partialEvent = ByteString.fromArray(bytes, start, bytes.length - start);
+			this.partialEndsWithNewline = !this.partialEvent.isEmpty() && bytes[bytes.length - 1] == '\n';
+			if (this.partialEvent.size() > MAX_EVENT_BYTES) {
+				completeWith(passed.result(), AttemptOutcome.MISMATCHED);
 				return;
 			}
 			if (passed.isEmpty()) {
@@ -215,41 +215,42 @@
 
 		private boolean endsEvent(ByteString chunk) {
 			final byte[] bytes = chunk.toArray();
-			final boolean acrossTheCut = this.restEndsLine && bytes.length > 0 && bytes[0] == '\n';
-			this.restEndsLine = (bytes.length > 0) ? bytes[bytes.length - 1] == '\n' : this.restEndsLine;
+			final boolean acrossTheCut = this.partialEndsWithNewline && bytes.length > 0 && bytes[0] == '\n';
+			this.partialEndsWithNewline = (bytes.length > 0) ? bytes[bytes.length - 1] == '\n'
+					: this.partialEndsWithNewline;
 			return acrossTheCut || endOfEvent(bytes, 0) >= 0;
 		}
 
-		private boolean pass(byte[] bytes, int start, int eventEnd, ByteStringBuilder passed) {
-			if (eventEnd - start > LARGEST_EVENT_BYTES) {
+		private boolean appendIfExpected(byte[] bytes, int start, int eventEnd, ByteStringBuilder passed) {
+			if (eventEnd - start > MAX_EVENT_BYTES) {
 				return false;
 			}
 			int dataStart = start;
 			if (startsWith(bytes, start, ID_FIELD)) {
 				final int idStart = start + ID_FIELD.length;
 				dataStart = endOfLine(bytes, idStart, eventEnd);
-				if (this.sawEnd || !startsWith(bytes, idStart, this.prefix)
-						|| !inOrder(bytes, idStart + this.prefix.length, dataStart - 1)) {
+				if (this.endSeen || !startsWith(bytes, idStart, this.idPrefix)
+						|| !acceptPosition(bytes, idStart + this.idPrefix.length, dataStart - 1)) {
 					return false;
 				}
 			}
-			else if (!this.sawEnd || this.sawDone) {
+			else if (!this.endSeen || this.doneSeen) {
 				return false;
 			}
 			else {
-				this.sawDone = true;
+				this.doneSeen = true;
 			}
 			passed.putBytes(bytes, dataStart, eventEnd - dataStart);
 			return true;
 		}
 
-		private boolean inOrder(byte[] bytes, int start, int end) {
+		private boolean acceptPosition(byte[] bytes, int start, int end) {
 			final String place = new String(bytes, start, Math.max(0, end - start), StandardCharsets.US_ASCII);
-			if (place.equals(END)) {
-				this.sawEnd = true;
+			if (place.equals(END_POSITION)) {
+				this.endSeen = true;
 				return true;
 			}
-			if (place.isEmpty() || place.length() > MOST_POSITION_DIGITS) {
+			if (place.isEmpty() || place.length() > MAX_POSITION_DIGITS) {
 				return false;
 			}
 			int position = 0;
@@ -260,20 +261,20 @@
 				}
 				position = position * 10 + digit;
 			}
-			if (position != this.tokens) {
+			if (position != this.deliveredTokens) {
 				return false;
 			}
-			this.tokens++;
-			if (this.tokens == RelayStage.this.resumeFromTokens + 1) {
-				report();
+			this.deliveredTokens++;
+			if (this.deliveredTokens == RelayStage.this.resumeFromTokens + 1) {
+				reportProgress();
 			}
 			return true;
 		}
 
-		private void end(AttemptOutcome how) {
-			if (!this.ended) {
-				this.ended = true;
-				RelayStage.this.listener.onEnd(RelayStage.this.attempt, how, this.tokens);
+		private void reportEnd(AttemptOutcome how) {
+			if (!this.endReported) {
+				this.endReported = true;
+				RelayStage.this.listener.onEnd(RelayStage.this.attempt, how, this.deliveredTokens);
 			}
 		}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ClaimBook.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/RequestClaims.java
@@ -13,15 +13,15 @@
  * The claims of the requests that a traffic duty holds, and the outcomes that it was told
  * for them. One thread calls it.
  */
-final class ClaimBook {
+final class RequestClaims {
 
 	private final Claims claims;
 
-	private final Map<Long, Long> offsets = new HashMap<>();
+	private final Map<Long, Long> claimOffsets = new HashMap<>();
 
-	private final Map<Long, KeyOutcome> outcomes = new HashMap<>();
+	private final Map<Long, KeyOutcome> storedOutcomes = new HashMap<>();
 
-	ClaimBook(Claims claims) {
+	RequestClaims(Claims claims) {
 		this.claims = claims;
 	}
 
@@ -30,27 +30,27 @@
 	 * @param claimed the verdict
 	 * @param held whether its request has not ended
 	 */
-	void note(TrafficMessage.Claimed claimed, boolean held) {
+	void recordResult(TrafficMessage.Claimed claimed, boolean held) {
 		if (claimed.result().claimOffset() >= 0 && held) {
-			this.offsets.put(claimed.requestId(), claimed.result().claimOffset());
+			this.claimOffsets.put(claimed.requestId(), claimed.result().claimOffset());
 		}
-		claimed.result().outcome().ifPresent((outcome) -> this.outcomes.put(claimed.requestId(), outcome));
+		claimed.result().outcome().ifPresent((outcome) -> this.storedOutcomes.put(claimed.requestId(), outcome));
 	}
 
-	Optional<KeyOutcome> outcome(long requestId) {
-		return Optional.ofNullable(this.outcomes.get(requestId));
+	Optional<KeyOutcome> storedOutcome(long requestId) {
+		return Optional.ofNullable(this.storedOutcomes.get(requestId));
 	}
 
-	void forgetOutcome(long requestId) {
-		this.outcomes.remove(requestId);
+	void removeOutcome(long requestId) {
+		this.storedOutcomes.remove(requestId);
 	}
 
-	void forget(long requestId) {
-		this.offsets.remove(requestId);
+	void remove(long requestId) {
+		this.claimOffsets.remove(requestId);
 	}
 
 	void release(TrafficAction.Release release) {
-		this.offsets.remove(release.requestId());
+		this.claimOffsets.remove(release.requestId());
 		this.claims.release(release.info(), release.claimOffset());
 	}
 
@@ -60,14 +60,14 @@
 	 * @param fail how it ended
 	 */
 	void settleUnknown(Exchange exchange, TrafficAction.Fail fail) {
-		final Long offset = this.offsets.get(fail.requestId());
+		final Long offset = this.claimOffsets.get(fail.requestId());
 		if (offset != null && fail.runState() != RunState.NOT_RUN) {
 			this.claims.settle(exchange.info(), offset, 0, "", "", true);
 		}
 	}
 
 	void settle(Exchange exchange, int status, String contentType, String body) {
-		final Long offset = this.offsets.get(exchange.info().requestId());
+		final Long offset = this.claimOffsets.get(exchange.info().requestId());
 		if (offset != null) {
 			this.claims.settle(exchange.info(), offset, status, contentType, body, false);
 		}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/ServiceExchange.java
@@ -40,7 +40,7 @@
 
 	private volatile AttemptId liveAttempt;
 
-	private volatile HttpAnswer answer;
+	private volatile HttpAnswer respond;
 
 	ServiceExchange(RequestInfo info, String requestIdText, ServiceCall call, HttpCaller http, TrafficDuty traffic) {
 		this.info = info;
@@ -77,7 +77,7 @@
 				return;
 			}
 			if (start.attempt().equals(this.liveAttempt)) {
-				this.answer = got;
+				this.respond = got;
 			}
 			// An answer that comes after its attempt was given up is dropped by its id.
 			listener.onEnd(start.attempt(), AttemptOutcome.COMPLETE, 0);
@@ -91,12 +91,12 @@
 
 	@Override
 	public void finish() {
-		final HttpAnswer got = this.answer;
+		final HttpAnswer got = this.respond;
 		this.traffic.settle(this, got.status(), got.contentType(), new String(got.bodyBytes(), StandardCharsets.UTF_8));
-		answer(got.status(), got.contentType(), got.bodyBytes());
+		respond(got.status(), got.contentType(), got.bodyBytes());
 	}
 
-	private void answer(int status, String contentType, byte[] bodyBytes) {
+	private void respond(int status, String contentType, byte[] bodyBytes) {
 		final ContentType type = org.apache.pekko.http.javadsl.model.ContentTypes.parse(contentType);
 		this.response.complete(HttpResponse.create()
 			.withStatus(StatusCodes.lookup(status).orElse(StatusCodes.OK))
@@ -106,12 +106,12 @@
 
 	@Override
 	public void fail(ErrorKind kind, RunState runState, long retryAfterMillis) {
-		this.response.complete(ErrorAnswers.of(this.requestIdText, kind, runState, retryAfterMillis));
+		this.response.complete(ErrorResponses.of(this.requestIdText, kind, runState, retryAfterMillis));
 	}
 
 	@Override
 	public void replay(KeyOutcome outcome) {
-		answer(outcome.status(), outcome.contentType(), outcome.body().getBytes(StandardCharsets.UTF_8));
+		respond(outcome.status(), outcome.contentType(), outcome.body().getBytes(StandardCharsets.UTF_8));
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/StreamedExchange.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/StreamedExchange.java
@@ -22,27 +22,27 @@
  */
 final class StreamedExchange extends ModelExchange {
 
-	private static final int MOST_PARTS = 8;
+	private static final int MAX_QUEUED_STREAMS = 8;
 
-	private final BoundedSourceQueue<Source<ByteString, NotUsed>> parts;
+	private final BoundedSourceQueue<Source<ByteString, NotUsed>> attemptStreams;
 
-	private final Source<ByteString, NotUsed> answer;
+	private final Source<ByteString, NotUsed> responseBody;
 
 	StreamedExchange(RequestInfo info, String requestIdText, byte[] engineBody, HttpCaller http, TrafficDuty traffic) {
 		super(info, requestIdText, engineBody, http);
 		final Pair<BoundedSourceQueue<Source<ByteString, NotUsed>>, Source<Source<ByteString, NotUsed>, NotUsed>> queue = Source
-			.<Source<ByteString, NotUsed>>queue(MOST_PARTS)
+			.<Source<ByteString, NotUsed>>queue(MAX_QUEUED_STREAMS)
 			.preMaterialize(http.system());
-		this.parts = queue.first();
-		this.answer = queue.second().flatMapConcat((part) -> part).watchTermination((mat, done) -> {
-			done.whenComplete((ended, failure) -> traffic.callerGone(info.requestId()));
+		this.attemptStreams = queue.first();
+		this.responseBody = queue.second().flatMapConcat((part) -> part).watchTermination((mat, done) -> {
+			done.whenComplete((ended, failure) -> traffic.onCallerDisconnected(info.requestId()));
 			return mat;
 		});
 	}
 
 	@Override
 	void onEvents(Source<ByteString, NotUsed> events) {
-		if (!this.parts.offer(events).isEnqueued()) {
+		if (!this.attemptStreams.offer(events).isEnqueued()) {
 			// The caller has gone. Events that nobody reads would keep the engine at work
 			// and its connection open.
 			events.runWith(Sink.cancelled(), http().system());
@@ -50,7 +50,8 @@
 		}
 		response().complete(HttpResponse.create()
 			.addHeader(RawHeader.create(ErrorBody.REQUEST_ID_HEADER, requestIdText()))
-			.withEntity(HttpEntities.createChunked(ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), this.answer)));
+			.withEntity(
+					HttpEntities.createChunked(ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), this.responseBody)));
 	}
 
 	@Override
@@ -61,9 +62,9 @@
 	@Override
 	public void fail(ErrorKind kind, RunState runState, long retryAfterMillis) {
 		final boolean headLeft = !response()
-			.complete(ErrorAnswers.of(requestIdText(), kind, runState, retryAfterMillis));
-		if (headLeft && !this.parts.isCompleted()) {
-			this.parts.offer(Source.single(ErrorAnswers.event(kind, runState)));
+			.complete(ErrorResponses.of(requestIdText(), kind, runState, retryAfterMillis));
+		if (headLeft && !this.attemptStreams.isCompleted()) {
+			this.attemptStreams.offer(Source.single(ErrorResponses.event(kind, runState)));
 		}
 		complete();
 	}
@@ -72,8 +73,8 @@
 		// Where the caller has gone the answer is closed already, and closing it again is
 		// a
 		// fault that would keep the traffic duty from what it has to do for others.
-		if (!this.parts.isCompleted()) {
-			this.parts.complete();
+		if (!this.attemptStreams.isCompleted()) {
+			this.attemptStreams.complete();
 		}
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/KillerSink.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/SuspectReporter.java
@@ -6,7 +6,7 @@
  * Takes word of requests under which targets died.
  */
 @FunctionalInterface
-public interface KillerSink {
+public interface SuspectReporter {
 
 	/**
 	 * Reports a death.
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetWatch.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TargetMonitor.java
@@ -3,37 +3,37 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.traffic.TrafficCore;
 
 /**
  * Tells the core what targets said of what they take, and of those that died, and shows
  * what of it holds.
  */
-final class TargetWatch {
+final class TargetMonitor {
 
 	private final TrafficCore core;
 
-	private final LimitWatch limits = new LimitWatch();
+	private final LimitMonitor limits = new LimitMonitor();
 
-	private final BackoffWatch backoffs = new BackoffWatch();
+	private final BackoffMonitor backoffs = new BackoffMonitor();
 
-	private final CrashWatch crashes;
+	private final CrashMonitor crashes;
 
-	TargetWatch(TrafficCore core, Predicate<TrafficMessage> duty) {
+	TargetMonitor(TrafficCore core, Predicate<TrafficMessage> duty) {
 		this.core = core;
-		this.crashes = new CrashWatch(duty);
+		this.crashes = new CrashMonitor(duty);
 	}
 
-	LimitWatch limits() {
+	LimitMonitor limits() {
 		return this.limits;
 	}
 
-	BackoffWatch backoffs() {
+	BackoffMonitor backoffs() {
 		return this.backoffs;
 	}
 
-	CrashWatch crashes() {
+	CrashMonitor crashes() {
 		return this.crashes;
 	}
 
@@ -43,12 +43,12 @@
 	 * @param message the message
 	 * @return whether that changes what the core does
 	 */
-	boolean take(long nowNanos, TrafficMessage message) {
+	boolean handle(long nowNanos, TrafficMessage message) {
 		if (message instanceof TrafficMessage.LimitHeard heard) {
 			return onLimit(nowNanos, heard);
 		}
 		if (message instanceof TrafficMessage.LimitsTold told) {
-			return onLimitsChanged(nowNanos, this.core.targetLimits().onPeerLimits(nowNanos, told.stated()), true);
+			return onLimitsChanged(nowNanos, this.core.targetLimits().onPeerLimits(nowNanos, told.limits()), true);
 		}
 		if (message instanceof TrafficMessage.BackoffHeard heard) {
 			return onBackoff(nowNanos, heard);
@@ -57,10 +57,10 @@
 			return onLeaving(nowNanos, heard.instanceId());
 		}
 		if (message instanceof TrafficMessage.TargetCrashed crashed) {
-			return this.crashes.hear(nowNanos, crashed.crash(), this.core);
+			return this.crashes.applyCrash(nowNanos, crashed.crash(), this.core);
 		}
 		if (message instanceof TrafficMessage.SuspectedTold told) {
-			return this.crashes.hearFromPeer(nowNanos, told.requests(), this.core);
+			return this.crashes.applyPeerReports(nowNanos, told.requests(), this.core);
 		}
 		return false;
 	}
@@ -69,23 +69,23 @@
 		return this.core.targetLimits()
 			.onResponse(nowNanos, heard.sentAtNanos(), heard.instanceId(), heard.requestsPerSecond())
 				&& onLimitsChanged(nowNanos,
-						List.of(new StatedLimit(heard.instanceId(), heard.requestsPerSecond(), nowNanos)), false);
+						List.of(new AdvertisedLimit(heard.instanceId(), heard.requestsPerSecond(), nowNanos)), false);
 	}
 
-	private boolean onLimitsChanged(long nowNanos, List<StatedLimit> changed, boolean toldByPeer) {
-		changed.forEach((heard) -> this.limits.onChange(heard, toldByPeer));
+	private boolean onLimitsChanged(long nowNanos, List<AdvertisedLimit> changed, boolean toldByPeer) {
+		changed.forEach((heard) -> this.limits.logChange(heard, toldByPeer));
 		if (!changed.isEmpty()) {
-			this.limits.renew(nowNanos, this.core);
+			this.limits.refresh(nowNanos, this.core);
 		}
 		return !changed.isEmpty();
 	}
 
 	private boolean onBackoff(long nowNanos, TrafficMessage.BackoffHeard heard) {
 		final boolean news = this.core.targetBackoffs()
-			.onBackoff(heard.heardAtNanos(), heard.instanceId(), heard.forNanos());
+			.onBackoff(heard.receivedAtNanos(), heard.instanceId(), heard.forNanos());
 		if (news) {
-			this.backoffs.onBackoff(heard.instanceId(), heard.forNanos());
-			this.backoffs.renew(nowNanos, this.core);
+			this.backoffs.logBackoff(heard.instanceId(), heard.forNanos());
+			this.backoffs.refresh(nowNanos, this.core);
 		}
 		return news;
 	}
@@ -93,16 +93,16 @@
 	private boolean onLeaving(long nowNanos, String instanceId) {
 		final boolean news = this.core.targetBackoffs().onLeaving(nowNanos, instanceId);
 		if (news) {
-			this.backoffs.onLeaving(instanceId);
-			this.backoffs.renew(nowNanos, this.core);
+			this.backoffs.logLeaving(instanceId);
+			this.backoffs.refresh(nowNanos, this.core);
 		}
 		return news;
 	}
 
-	void renew(long nowNanos) {
-		this.limits.renew(nowNanos, this.core);
-		this.backoffs.renew(nowNanos, this.core);
-		this.crashes.renew(nowNanos, this.core);
+	void refresh(long nowNanos) {
+		this.limits.refresh(nowNanos, this.core);
+		this.backoffs.refresh(nowNanos, this.core);
+		this.crashes.refresh(nowNanos, this.core);
 	}
 
 }
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TraceRecorder.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TraceRecorder.java
@@ -22,14 +22,14 @@
  */
 public final class TraceRecorder {
 
-	private static final int MOST_ARRIVALS = 20_000;
+	private static final int MAX_ARRIVALS = 20_000;
 
-	private static final int KEY_DIGITS = 16;
+	private static final int KEY_HASH_DIGITS = 16;
 
 	/** Written where a daemon does not know how fast targets are; to be set by hand. */
-	private static final int USUAL_MILLIS = 20;
+	private static final int PLACEHOLDER_MILLIS = 20;
 
-	private static final int SERVICE_SLOTS = 64;
+	private static final int PLACEHOLDER_SERVICE_SLOTS = 64;
 
 	private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -37,7 +37,7 @@
 
 	private final Deque<Arrival> arrivals = new ArrayDeque<>();
 
-	private final Map<Long, Arrival> running = new HashMap<>();
+	private final Map<Long, Arrival> activeArrivals = new HashMap<>();
 
 	/**
 	 * Creates a recorder.
@@ -60,15 +60,15 @@
 	 * @param nowNanos the monotonic time
 	 * @param info the request
 	 */
-	public synchronized void arrived(long nowNanos, RequestInfo info) {
+	public synchronized void onArrival(long nowNanos, RequestInfo info) {
 		if (!this.recording) {
 			return;
 		}
 		final Arrival arrival = new Arrival(nowNanos, info);
 		this.arrivals.add(arrival);
-		this.running.put(info.requestId(), arrival);
-		if (this.arrivals.size() > MOST_ARRIVALS) {
-			this.running.remove(this.arrivals.poll().info.requestId());
+		this.activeArrivals.put(info.requestId(), arrival);
+		if (this.arrivals.size() > MAX_ARRIVALS) {
+			this.activeArrivals.remove(this.arrivals.poll().info.requestId());
 		}
 	}
 
@@ -77,8 +77,8 @@
 	 * @param requestId the request
 	 * @param tokens the tokens so far
 	 */
-	public synchronized void generated(long requestId, int tokens) {
-		final Arrival arrival = this.running.get(requestId);
+	public synchronized void onTokens(long requestId, int tokens) {
+		final Arrival arrival = this.activeArrivals.get(requestId);
 		if (arrival != null) {
 			arrival.outputTokens = Math.max(arrival.outputTokens, tokens);
 		}
@@ -88,8 +88,8 @@
 	 * Notes that a request has ended.
 	 * @param requestId the request
 	 */
-	public synchronized void ended(long requestId) {
-		this.running.remove(requestId);
+	public synchronized void onEnd(long requestId) {
+		this.activeArrivals.remove(requestId);
 	}
 
 	/**
@@ -99,35 +99,36 @@
 	 * @param replicas how many targets serve each model and service, by name
 	 * @return the lines
 	 */
-	public synchronized String lines(String name, Manifest manifest, Map<String, Integer> replicas) {
+	public synchronized String toJsonLines(String name, Manifest manifest, Map<String, Integer> replicas) {
 		final StringBuilder lines = new StringBuilder();
-		final long firstNanos = this.arrivals.isEmpty() ? 0 : this.arrivals.peekFirst().atNanos;
-		final long lastNanos = this.arrivals.isEmpty() ? 0 : this.arrivals.peekLast().atNanos;
+		final long firstNanos = this.arrivals.isEmpty() ? 0 : this.arrivals.peekFirst().arrivedAtNanos;
+		final long lastNanos = this.arrivals.isEmpty() ? 0 : this.arrivals.peekLast().arrivedAtNanos;
 		append(lines, "header", "name", name, "daemons", 1, "duration_seconds",
 				(lastNanos - firstNanos) / NANOS_PER_MILLI / 1_000, "first_token_millis",
 				manifest.deadlines().firstTokenMillis(), "total_millis", manifest.deadlines().totalMillis());
 		manifest.models()
 			.forEach((model) -> append(lines, "model", "name", model.name(), "replicas",
 					Math.max(1, replicas.getOrDefault(model.name(), 1)), "slots", model.maxConcurrentRequests(),
-					"token_millis", USUAL_MILLIS));
+					"token_millis", PLACEHOLDER_MILLIS));
 		manifest.services()
 			.forEach((service) -> append(lines, "service", "name", service.name(), "replicas",
-					Math.max(1, replicas.getOrDefault(service.name(), 1)), "slots", SERVICE_SLOTS, "call_millis",
-					USUAL_MILLIS));
+					Math.max(1, replicas.getOrDefault(service.name(), 1)), "slots", PLACEHOLDER_SERVICE_SLOTS,
+					"call_millis", PLACEHOLDER_MILLIS));
 		manifest.workspaces()
 			.forEach((workspace) -> append(lines, "workspace", "name", workspace.name(), "weight", workspace.weight(),
 					"requests_per_second", workspace.requestsPerSecond(), "tokens_in_flight",
 					workspace.tokensInFlight(), "queued_requests", workspace.queuedRequests()));
 		this.arrivals.forEach((arrival) -> append(lines, "arrival", "at_millis",
-				(arrival.atNanos - firstNanos) / NANOS_PER_MILLI, "workspace", arrival.info.workspace(), "target",
-				arrival.info.name(), "prompt_tokens", arrival.info.promptTokens(), "output_tokens",
+				(arrival.arrivedAtNanos - firstNanos) / NANOS_PER_MILLI, "workspace", arrival.info.workspace(),
+				"target", arrival.info.name(), "prompt_tokens", arrival.info.promptTokens(), "output_tokens",
 				arrival.outputTokens, "max_output_tokens", arrival.info.maxOutputTokens(), "priority",
 				arrival.info.priority(), "prefix_hashes", arrival.info.prefixHashes(), "key", key(arrival.info)));
 		return lines.toString();
 	}
 
 	private static String key(RequestInfo info) {
-		return info.claim().isRequired() ? DigestUtils.sha256Hex(info.claim().keyHash()).substring(0, KEY_DIGITS) : "";
+		return info.claim().isRequired() ? DigestUtils.sha256Hex(info.claim().keyHash()).substring(0, KEY_HASH_DIGITS)
+				: "";
 	}
 
 	private static void append(StringBuilder lines, String kind, Object... pairs) {
@@ -141,14 +142,14 @@
 
 	private static final class Arrival {
 
-		private final long atNanos;
+		private final long arrivedAtNanos;
 
 		private final RequestInfo info;
 
 		private int outputTokens;
 
 		Arrival(long atNanos, RequestInfo info) {
-			this.atNanos = atNanos;
+			this.arrivedAtNanos = atNanos;
 			this.info = info;
 		}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficDuty.java
@@ -13,8 +13,8 @@
 import org.pistachioline.core.error.ErrorKind;
 import org.pistachioline.core.error.RunState;
 import org.pistachioline.core.event.EventId;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.limit.LimitReport;
-import org.pistachioline.core.limit.StatedLimit;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.state.FleetState;
@@ -41,13 +41,13 @@
 	 * Time limits are noticed half of this late on average. Each tick wakes a thread,
 	 * whether there is anything to do or not.
 	 */
-	private static final Duration TICK = Duration.ofMillis(50);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
-	private static final long KILLERS_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
+	private static final long QUARANTINE_REFRESH_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private final TrafficCore core;
 
-	private final ShareKeeper shares;
+	private final LimitShareUpdater limitShares;
 
 	private final TraceRecorder recorder;
 
@@ -55,17 +55,17 @@
 
 	private final Duty<TrafficMessage> duty;
 
-	private FleetState fleet = FleetState.EMPTY;
+	private FleetState onFleetState = FleetState.EMPTY;
 
-	private long killersAtNanos;
+	private long quarantinesRefreshedAtNanos;
 
-	private final TargetWatch watch;
+	private final TargetMonitor targetMonitor;
 
-	private volatile int held;
+	private volatile int activeRequestCount;
 
-	private volatile int queued;
+	private volatile int queuedRequestCount;
 
-	private volatile long answersDropped;
+	private volatile long droppedResponseCount;
 
 	/**
 	 * Creates the duty.
@@ -76,13 +76,13 @@
 	 * @param killers shares which requests groups died under
 	 * @param recorder keeps recent arrivals, where that is set
 	 */
-	public TrafficDuty(ActorSystem<?> system, TrafficCore core, Claims claims, ShareKeeper shares, KillerSink killers,
-			TraceRecorder recorder) {
+	public TrafficDuty(ActorSystem<?> system, TrafficCore core, Claims claims, LimitShareUpdater shares,
+			SuspectReporter killers, TraceRecorder recorder) {
 		this.recorder = recorder;
-		this.shares = shares;
+		this.limitShares = shares;
 		this.core = core;
-		this.watch = new TargetWatch(core, this::offer);
-		this.duty = new Duty<>(system, "traffic", RING_CAPACITY, TICK, this);
+		this.targetMonitor = new TargetMonitor(core, this::offer);
+		this.duty = new Duty<>(system, "traffic", RING_CAPACITY, TICK_INTERVAL, this);
 		this.runner = new ActionRunner(claims, killers, recorder, this, this.duty::put);
 	}
 
@@ -90,8 +90,8 @@
 	 * Sets what is told of targets that stand still; called before the start.
 	 * @param receiver takes the target's id; it must not block
 	 */
-	public void onStalled(Consumer<String> receiver) {
-		this.runner.onStalled(receiver);
+	public void setStallListener(Consumer<String> receiver) {
+		this.runner.setStallListener(receiver);
 	}
 
 	private boolean offer(TrafficMessage message) {
@@ -117,7 +117,7 @@
 	 * Takes a request; where the ring is full it is refused at once, as not run.
 	 * @param exchange the request
 	 */
-	public void arrive(Exchange exchange) {
+	public void submit(Exchange exchange) {
 		if (!this.duty.offer(new TrafficMessage.Arrived(exchange))) {
 			exchange.fail(ErrorKind.OVERLOADED, RunState.NOT_RUN, 1_000);
 		}
@@ -127,7 +127,7 @@
 	 * Takes over a configuration.
 	 * @param manifest the manifest in force
 	 */
-	public void configure(Manifest manifest) {
+	public void onManifest(Manifest manifest) {
 		this.duty.put(new TrafficMessage.Configured(manifest));
 	}
 
@@ -135,7 +135,7 @@
 	 * Takes over the targets; where the ring is full the next view does.
 	 * @param targets every target
 	 */
-	public void targets(List<TargetView> targets) {
+	public void onTargets(List<TargetView> targets) {
 		this.duty.offer(new TrafficMessage.Targets(targets));
 	}
 
@@ -145,7 +145,7 @@
 	 * @param leaving whether it is about to stop
 	 * @param demand its requests a second, by workspace
 	 */
-	public void peerDemand(String daemonId, boolean leaving, Map<String, Double> demand) {
+	public void onPeerDemand(String daemonId, boolean leaving, Map<String, Double> demand) {
 		this.duty.offer(new TrafficMessage.PeerDemand(daemonId, leaving, demand));
 	}
 
@@ -154,7 +154,7 @@
 	 * requests.
 	 * @param state the state; where the ring is full the next one does
 	 */
-	public void fleet(FleetState state) {
+	public void onFleetState(FleetState state) {
 		this.duty.offer(new TrafficMessage.Fleet(state));
 	}
 
@@ -163,7 +163,7 @@
 	 * lost, which costs a prefill at most.
 	 * @param events what it told
 	 */
-	public void cacheEvents(CacheEvents events) {
+	public void onCacheEvents(CacheEvents events) {
 		this.duty.offer(new TrafficMessage.Cached(events));
 	}
 
@@ -171,7 +171,7 @@
 	 * Takes word that a caller went away.
 	 * @param requestId the request
 	 */
-	public void callerGone(long requestId) {
+	public void onCallerDisconnected(long requestId) {
 		this.duty.put(new TrafficMessage.CallerGone(requestId));
 	}
 
@@ -182,9 +182,9 @@
 	 * @param sentAtNanos when the answer's request was sent, by the monotonic clock
 	 * @param requestsPerSecond the limit that it names; empty where it names none
 	 */
-	public void limitHeard(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
+	public void onLimit(String targetId, long sentAtNanos, OptionalDouble requestsPerSecond) {
 		final String instanceId = TargetView.instanceId(targetId);
-		if (this.watch.limits().isNews(instanceId, requestsPerSecond)) {
+		if (this.targetMonitor.limits().mayChangeLimit(instanceId, requestsPerSecond)) {
 			this.duty.offer(new TrafficMessage.LimitHeard(instanceId, sentAtNanos, requestsPerSecond));
 		}
 	}
@@ -194,7 +194,7 @@
 	 * @param instanceId the target's instance
 	 * @param forMillis for how long
 	 */
-	public void backoffHeard(String instanceId, long forMillis) {
+	public void onBackoff(String instanceId, long forMillis) {
 		this.duty.put(new TrafficMessage.BackoffHeard(instanceId, System.nanoTime(),
 				TimeUnit.MILLISECONDS.toNanos(forMillis)));
 	}
@@ -203,7 +203,7 @@
 	 * Takes word that a target leaves.
 	 * @param instanceId the target's instance
 	 */
-	public void leavingHeard(String instanceId) {
+	public void onLeaving(String instanceId) {
 		this.duty.put(new TrafficMessage.LeavingHeard(instanceId));
 	}
 
@@ -211,8 +211,8 @@
 	 * Returns the targets that want no requests now.
 	 * @return the targets, and what this daemon sent there all the same
 	 */
-	public List<BackoffReport> backoffs() {
-		return this.watch.backoffs().reports();
+	public List<BackoffReport> backoffReports() {
+		return this.targetMonitor.backoffs().reports();
 	}
 
 	/**
@@ -220,7 +220,7 @@
 	 * beat brings it.
 	 * @param stated what the targets said
 	 */
-	public void limitsTold(List<StatedLimit> stated) {
+	public void onPeerLimits(List<AdvertisedLimit> stated) {
 		this.duty.offer(new TrafficMessage.LimitsTold(stated));
 	}
 
@@ -228,16 +228,16 @@
 	 * Returns what other daemons are to be told of targets' limits.
 	 * @return what the targets said last, the newest first
 	 */
-	public List<StatedLimit> statedLimits() {
-		return this.watch.limits().stated();
+	public List<AdvertisedLimit> latestLimits() {
+		return this.targetMonitor.limits().latestLimits();
 	}
 
 	/**
 	 * Returns the limits that targets name now.
 	 * @return the limits, and what this daemon sent there
 	 */
-	public List<LimitReport> limits() {
-		return this.watch.limits().reports();
+	public List<LimitReport> limitReports() {
+		return this.targetMonitor.limits().reports();
 	}
 
 	/**
@@ -245,14 +245,14 @@
 	 * did.
 	 * @return the watch, which any thread may tell
 	 */
-	public CrashWatch crashes() {
-		return this.watch.crashes();
+	public CrashMonitor crashMonitor() {
+		return this.targetMonitor.crashes();
 	}
 
 	/**
 	 * Stops taking new requests.
 	 */
-	public void leave() {
+	public void stopAdmission() {
 		this.duty.put(new TrafficMessage.Leave());
 	}
 
@@ -260,24 +260,24 @@
 	 * Returns how many requests have not ended.
 	 * @return the number of requests
 	 */
-	public int held() {
-		return this.held + this.duty.ring().size();
+	public int activeRequestCount() {
+		return this.activeRequestCount + this.duty.ring().size();
 	}
 
 	/**
 	 * Returns how many answers did not match their attempt or came after it had ended.
 	 * @return the number of dropped answers
 	 */
-	public long answersDropped() {
-		return this.answersDropped;
+	public long droppedResponseCount() {
+		return this.droppedResponseCount;
 	}
 
 	/**
 	 * Returns how many requests wait for a target.
 	 * @return the number of requests
 	 */
-	public int queued() {
-		return this.queued;
+	public int queuedRequestCount() {
+		return this.queuedRequestCount;
 	}
 
 	@Override
@@ -293,20 +293,20 @@
 	@Override
 	public void onTick() {
 		final long nowNanos = System.nanoTime();
-		carryOut(this.core.onTick(nowNanos));
-		carryOut(this.shares.renew(nowNanos, this.core));
-		this.watch.renew(nowNanos);
+		execute(this.core.onTick(nowNanos));
+		execute(this.limitShares.update(nowNanos, this.core));
+		this.targetMonitor.refresh(nowNanos);
 		// Quarantines expire by the wall clock, without a record.
-		if (nowNanos - this.killersAtNanos >= KILLERS_INTERVAL_NANOS) {
-			killers(nowNanos);
+		if (nowNanos - this.quarantinesRefreshedAtNanos >= QUARANTINE_REFRESH_NANOS) {
+			refreshQuarantines(nowNanos);
 		}
 	}
 
-	private void killers(long nowNanos) {
+	private void refreshQuarantines(long nowNanos) {
 		final long nowMillis = System.currentTimeMillis();
-		this.killersAtNanos = nowNanos;
-		carryOut(this.core.onQuarantines(nowNanos, KillerReports.quarantined(this.fleet, nowMillis),
-				KillerReports.suspected(this.fleet, nowMillis)));
+		this.quarantinesRefreshedAtNanos = nowNanos;
+		execute(this.core.onQuarantines(nowNanos, LogSuspectReporter.quarantined(this.onFleetState, nowMillis),
+				LogSuspectReporter.suspected(this.onFleetState, nowMillis)));
 	}
 
 	@Override
@@ -314,38 +314,38 @@
 		final long nowNanos = System.nanoTime();
 		if (message instanceof TrafficMessage.Arrived arrived) {
 			this.runner.add(arrived.exchange());
-			this.recorder.arrived(nowNanos, arrived.exchange().info());
-			carryOut(this.core.onRequest(nowNanos, arrived.exchange().info()));
+			this.recorder.onArrival(nowNanos, arrived.exchange().info());
+			execute(this.core.onRequest(nowNanos, arrived.exchange().info()));
 		}
 		else if (message instanceof TrafficMessage.Progressed progressed) {
-			this.recorder.generated(progressed.attempt().requestId(), progressed.tokensDelivered());
+			this.recorder.onTokens(progressed.attempt().requestId(), progressed.tokensDelivered());
 			this.core.onProgress(nowNanos, progressed.attempt(), progressed.tokensDelivered());
 		}
 		else if (message instanceof TrafficMessage.Ended ended) {
-			this.recorder.generated(ended.attempt().requestId(), ended.tokensDelivered());
-			onEnded(nowNanos, ended);
+			this.recorder.onTokens(ended.attempt().requestId(), ended.tokensDelivered());
+			handleAttemptEnd(nowNanos, ended);
 		}
 		else if (message instanceof TrafficMessage.PeerDemand peer) {
-			this.shares.hear(nowNanos, peer);
+			this.limitShares.onPeerDemand(nowNanos, peer);
 		}
 		else if (message instanceof TrafficMessage.Claimed claimed) {
-			onClaimed(nowNanos, claimed);
+			handleClaimResult(nowNanos, claimed);
 		}
 		else if (message instanceof TrafficMessage.CallerGone gone) {
-			carryOut(this.core.onCallerDisconnected(nowNanos, gone.requestId()));
+			execute(this.core.onCallerDisconnected(nowNanos, gone.requestId()));
 		}
 		else if (message instanceof TrafficMessage.Configured configured) {
-			carryOut(this.core.onManifest(nowNanos, configured.manifest()));
+			execute(this.core.onManifest(nowNanos, configured.manifest()));
 		}
 		else if (message instanceof TrafficMessage.Targets targets) {
-			carryOut(this.core.onTargets(nowNanos, targets.targets()));
+			execute(this.core.onTargets(nowNanos, targets.targets()));
 		}
 		else if (message instanceof TrafficMessage.Fleet agreed) {
-			final boolean changed = agreed.state().quarantines() != this.fleet.quarantines()
-					|| agreed.state().suspicions() != this.fleet.suspicions();
-			this.fleet = agreed.state();
+			final boolean changed = agreed.state().quarantines() != this.onFleetState.quarantines()
+					|| agreed.state().suspicions() != this.onFleetState.suspicions();
+			this.onFleetState = agreed.state();
 			if (changed) {
-				killers(nowNanos);
+				refreshQuarantines(nowNanos);
 			}
 		}
 		else if (message instanceof TrafficMessage.Cached cached) {
@@ -354,42 +354,43 @@
 		else if (message instanceof TrafficMessage.Leave) {
 			this.core.stopAdmission();
 		}
-		else if (this.watch.take(nowNanos, message)) {
-			carryOut(this.core.onTick(nowNanos));
+		else if (this.targetMonitor.handle(nowNanos, message)) {
+			execute(this.core.onTick(nowNanos));
 		}
 	}
 
-	private void onEnded(long nowNanos, TrafficMessage.Ended ended) {
-		final boolean answered = ended.how() == AttemptOutcome.COMPLETE || ended.how() == AttemptOutcome.MISMATCHED;
-		if (ended.how() == AttemptOutcome.MISMATCHED || (answered && !this.core.isLive(ended.attempt()))) {
-			this.answersDropped++;
-			Events.log(EventId.ANSWER_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.how());
+	private void handleAttemptEnd(long nowNanos, TrafficMessage.Ended ended) {
+		final boolean answered = ended.outcome() == AttemptOutcome.COMPLETE
+				|| ended.outcome() == AttemptOutcome.MISMATCHED;
+		if (ended.outcome() == AttemptOutcome.MISMATCHED || (answered && !this.core.isLive(ended.attempt()))) {
+			this.droppedResponseCount++;
+			Events.log(EventId.RESPONSE_DROPPED, "attempt", ended.attempt().wireForm(), "end", ended.outcome());
 		}
-		else if (ended.how() != AttemptOutcome.COMPLETE && ended.how() != AttemptOutcome.CANCELLED
-				&& ended.how() != AttemptOutcome.WITHHELD && this.core.isLive(ended.attempt())) {
-			Events.log(EventId.ATTEMPT_FAILED, "attempt", ended.attempt().wireForm(), "end", ended.how());
+		else if (ended.outcome() != AttemptOutcome.COMPLETE && ended.outcome() != AttemptOutcome.CANCELLED
+				&& ended.outcome() != AttemptOutcome.WITHHELD && this.core.isLive(ended.attempt())) {
+			Events.log(EventId.ATTEMPT_FAILED, "attempt", ended.attempt().wireForm(), "end", ended.outcome());
 		}
-		carryOut(this.core.onAttemptEnd(nowNanos, ended.attempt(), ended.how(), ended.tokensDelivered()));
+		execute(this.core.onAttemptEnd(nowNanos, ended.attempt(), ended.outcome(), ended.tokensDelivered()));
 	}
 
-	private void onClaimed(long nowNanos, TrafficMessage.Claimed claimed) {
-		this.runner.noteClaim(claimed);
-		carryOut(this.core.onClaim(nowNanos, claimed.requestId(), claimed.result().verdict(),
+	private void handleClaimResult(long nowNanos, TrafficMessage.Claimed claimed) {
+		this.runner.onClaimResult(claimed);
+		execute(this.core.onClaim(nowNanos, claimed.requestId(), claimed.result().verdict(),
 				claimed.result().claimOffset()));
-		this.runner.forgetOutcome(claimed.requestId());
+		this.runner.removeOutcome(claimed.requestId());
 	}
 
-	private void carryOut(List<TrafficAction> actions) {
+	private void execute(List<TrafficAction> actions) {
 		this.runner.run(actions);
-		this.held = this.core.activeRequestCount();
-		this.queued = this.core.queuedRequestCount();
+		this.activeRequestCount = this.core.activeRequestCount();
+		this.queuedRequestCount = this.core.queuedRequestCount();
 	}
 
 	/**
 	 * Returns how many requests ended with a failure, for metrics and operators.
 	 * @return the counts
 	 */
-	public FailureCounts failures() {
+	public FailureCounts failureCounts() {
 		return this.runner.failures();
 	}
 
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/traffic/TrafficMessage.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.placement.CacheEvents;
 import org.pistachioline.core.quarantine.SuspectedRequest;
@@ -41,10 +41,10 @@
 	 * An attempt ended.
 	 *
 	 * @param attempt the attempt
-	 * @param how how it ended
+	 * @param outcome how it ended
 	 * @param tokensDelivered the tokens that the caller has
 	 */
-	record Ended(AttemptId attempt, AttemptOutcome how, int tokensDelivered) implements TrafficMessage {
+	record Ended(AttemptId attempt, AttemptOutcome outcome, int tokensDelivered) implements TrafficMessage {
 	}
 
 	/**
@@ -110,10 +110,10 @@
 	 * A target's answer asked for no requests for a while.
 	 *
 	 * @param instanceId the instance
-	 * @param heardAtNanos when the answer came
+	 * @param receivedAtNanos when the answer came
 	 * @param forNanos for how long
 	 */
-	record BackoffHeard(String instanceId, long heardAtNanos, long forNanos) implements TrafficMessage {
+	record BackoffHeard(String instanceId, long receivedAtNanos, long forNanos) implements TrafficMessage {
 	}
 
 	/**
@@ -127,9 +127,9 @@
 	/**
 	 * Another daemon told of targets' limits.
 	 *
-	 * @param stated what the targets said
+	 * @param limits what the targets said
 	 */
-	record LimitsTold(List<StatedLimit> stated) implements TrafficMessage {
+	record LimitsTold(List<AdvertisedLimit> limits) implements TrafficMessage {
 	}
 
 	/**
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/MemoryLog.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/InMemoryLog.java
@@ -19,17 +19,17 @@
 /**
  * The log in memory, with the faults that a test asks for.
  */
-public final class MemoryLog implements LogService {
+public final class InMemoryLog implements LogService {
 
 	private final Map<String, List<byte[]>> entries = new HashMap<>();
 
-	private final List<Runnable> waiting = new ArrayList<>();
+	private final List<Runnable> pendingReads = new ArrayList<>();
 
-	private final List<Runnable> watching = new ArrayList<>();
+	private final List<Runnable> entryWatchers = new ArrayList<>();
 
-	private int lostAnswers;
+	private int responsesToLose;
 
-	private int doubled;
+	private int appendsToDuplicate;
 
 	private boolean hidden;
 
@@ -37,28 +37,28 @@
 	 * Lets the answers of the next appends be lost after they took effect.
 	 * @param count how many
 	 */
-	public synchronized void loseAnswers(int count) {
-		this.lostAnswers = count;
+	public synchronized void loseResponses(int count) {
+		this.responsesToLose = count;
 	}
 
 	/**
 	 * Lets the next appends land twice.
 	 * @param count how many
 	 */
-	public synchronized void landTwice(int count) {
-		this.doubled = count;
+	public synchronized void duplicateAppends(int count) {
+		this.appendsToDuplicate = count;
 	}
 
 	/**
 	 * Withholds new entries from readers, or shows them again.
 	 * @param hide whether to withhold them
 	 */
-	public void hide(boolean hide) {
+	public void setHidden(boolean hide) {
 		final List<Runnable> ready;
 		synchronized (this) {
 			this.hidden = hide;
-			ready = List.copyOf(this.waiting);
-			this.waiting.clear();
+			ready = List.copyOf(this.pendingReads);
+			this.pendingReads.clear();
 		}
 		ready.forEach(Runnable::run);
 	}
@@ -69,14 +69,14 @@
 	 * @param count how many entries
 	 * @return completes with the entries
 	 */
-	public synchronized CompletableFuture<List<byte[]>> await(String stream, int count) {
+	public synchronized CompletableFuture<List<byte[]>> awaitEntries(String stream, int count) {
 		final CompletableFuture<List<byte[]>> done = new CompletableFuture<>();
 		final Runnable check = () -> {
-			if (of(stream).size() >= count) {
-				done.complete(List.copyOf(of(stream)));
+			if (entriesOf(stream).size() >= count) {
+				done.complete(List.copyOf(entriesOf(stream)));
 			}
 		};
-		this.watching.add(check);
+		this.entryWatchers.add(check);
 		check.run();
 		return done;
 	}
@@ -90,7 +90,7 @@
 	 */
 	public <S> S fold(String stream, Reducer<S> reducer) {
 		S state = reducer.initial();
-		final List<byte[]> all = await(stream, 0).join();
+		final List<byte[]> all = awaitEntries(stream, 0).join();
 		try {
 			for (int offset = 0; offset < all.size(); offset++) {
 				for (final LogRecord record : RecordCodec.decode(all.get(offset))) {
@@ -109,23 +109,23 @@
 		final List<Runnable> ready;
 		final CompletableFuture<Long> answer;
 		synchronized (this) {
-			of(stream).add(payloadBytes);
-			final long offset = of(stream).size() - 1L;
-			if (this.doubled > 0) {
-				this.doubled--;
-				of(stream).add(payloadBytes);
+			entriesOf(stream).add(payloadBytes);
+			final long offset = entriesOf(stream).size() - 1L;
+			if (this.appendsToDuplicate > 0) {
+				this.appendsToDuplicate--;
+				entriesOf(stream).add(payloadBytes);
 			}
-			if (this.lostAnswers > 0) {
-				this.lostAnswers--;
+			if (this.responsesToLose > 0) {
+				this.responsesToLose--;
 				answer = CompletableFuture
 					.failedFuture(new AppendException(AppendFailure.AMBIGUOUS, "answer lost", null));
 			}
 			else {
 				answer = CompletableFuture.completedFuture(offset);
 			}
-			this.watching.forEach(Runnable::run);
-			ready = List.copyOf(this.waiting);
-			this.waiting.clear();
+			this.entryWatchers.forEach(Runnable::run);
+			ready = List.copyOf(this.pendingReads);
+			this.pendingReads.clear();
 		}
 		ready.forEach(Runnable::run);
 		return answer;
@@ -141,10 +141,10 @@
 	private void read(String stream, long fromOffset, long waitMillis, CompletableFuture<LogPage> page) {
 		final LogPage found;
 		synchronized (this) {
-			final List<byte[]> all = of(stream);
+			final List<byte[]> all = entriesOf(stream);
 			final boolean nothing = this.hidden || fromOffset >= all.size();
 			if (nothing && waitMillis > 0) {
-				this.waiting.add(() -> read(stream, fromOffset, waitMillis, page));
+				this.pendingReads.add(() -> read(stream, fromOffset, waitMillis, page));
 				return;
 			}
 			final List<LogEntry> read = new ArrayList<>();
@@ -156,7 +156,7 @@
 		page.complete(found);
 	}
 
-	private List<byte[]> of(String stream) {
+	private List<byte[]> entriesOf(String stream) {
 		return this.entries.computeIfAbsent(stream, (key) -> new ArrayList<>());
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimForwarderTests.java
@@ -23,7 +23,7 @@
 import org.pistachioline.core.traffic.ClaimRequirement;
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
-import org.pistachioline.daemon.MemoryLog;
+import org.pistachioline.daemon.InMemoryLog;
 import org.pistachioline.daemon.agreed.AppendDuty;
 import org.pistachioline.protocol.peer.PeerFrame;
 
@@ -38,7 +38,7 @@
 	private static final Set<String> IDS = new TreeSet<>(
 			IntStream.range(0, StreamAssignment.MAX_DAEMONS_ALL_FOLLOW + 1).mapToObj((i) -> "d" + i).toList());
 
-	private final MemoryLog log = new MemoryLog();
+	private final InMemoryLog log = new InMemoryLog();
 
 	private final List<ActorSystem<Void>> systems = new ArrayList<>();
 
@@ -152,7 +152,7 @@
 		this.isLost = (frame) -> false;
 		requester.onFrame(
 				ClaimFrames.claimResponse(1, ClaimResult.granted(folded().find("w", "k").orElseThrow().claimOffset())));
-		this.log.await(STREAM, 2).orTimeout(1, TimeUnit.MINUTES).join();
+		this.log.awaitEntries(STREAM, 2).orTimeout(1, TimeUnit.MINUTES).join();
 		assertThat(folded().entries()).isEmpty();
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/claims/ClaimServiceTests.java
@@ -15,7 +15,7 @@
 import org.pistachioline.core.traffic.ClaimVerdict;
 import org.pistachioline.core.traffic.RequestInfo;
 import org.pistachioline.core.traffic.TargetKind;
-import org.pistachioline.daemon.MemoryLog;
+import org.pistachioline.daemon.InMemoryLog;
 import org.pistachioline.daemon.agreed.AppendDuty;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -28,7 +28,7 @@
 
 	private static final double APPENDS_PER_SECOND = 1_000;
 
-	private final MemoryLog log = new MemoryLog();
+	private final InMemoryLog log = new InMemoryLog();
 
 	private final List<ActorSystem<Void>> systems = new ArrayList<>();
 
@@ -69,8 +69,8 @@
 		final List<CompletableFuture<ClaimResult>> first = new ArrayList<>();
 		final List<CompletableFuture<ClaimResult>> second = new ArrayList<>();
 		final ClaimService two = daemon("two", 60_000);
-		this.log.loseAnswers(5);
-		this.log.landTwice(5);
+		this.log.loseResponses(5);
+		this.log.duplicateAppends(5);
 		for (int i = 0; i < KEYS; i++) {
 			first.add(one.claim(request(i, "k" + i, "d")));
 			second.add(two.claim(request(i, "k" + i, "d")));
@@ -87,11 +87,11 @@
 	@Test
 	void aClaimFoldedAfterTheTimeoutIsReleased() {
 		final ClaimService one = daemon("one", 20);
-		this.log.hide(true);
+		this.log.setHidden(true);
 		final ClaimResult late = one.claim(request(1, "k", "d")).join();
 		assertThat(late.verdict()).isEqualTo(ClaimVerdict.UNAVAILABLE);
-		this.log.hide(false);
-		this.log.await(STREAM, 2).join();
+		this.log.setHidden(false);
+		this.log.awaitEntries(STREAM, 2).join();
 		assertThat(folded().find("w", "k")).isEmpty();
 	}
 
@@ -102,7 +102,7 @@
 		final ClaimService one = daemon("one", 60_000);
 		final ClaimResult granted = one.claim(request(1, "k", "d")).join();
 		one.settle(request(1, "k", "d"), granted.claimOffset(), 201, "application/json", "{}", false);
-		this.log.await(STREAM, 2).join();
+		this.log.awaitEntries(STREAM, 2).join();
 		final ClaimService two = daemon("two", 60_000);
 		assertThat(two.claim(request(2, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.SETTLED);
 		assertThat(two.claim(request(3, "k", "other")).join().verdict()).isEqualTo(ClaimVerdict.REUSED);
@@ -129,7 +129,7 @@
 	void aDaemonThatHasNotReadAllClaimsAnswersWithLimbo() {
 		final ClaimService unread = unstartedService("new", 60_000);
 		assertThat(unread.claim(request(1, "k", "d")).join().verdict()).isEqualTo(ClaimVerdict.LIMBO);
-		assertThat(this.log.await(STREAM, 0).join()).isEmpty();
+		assertThat(this.log.awaitEntries(STREAM, 0).join()).isEmpty();
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/duty/RingLincheckTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/duty/RingLincheckTests.java
@@ -38,7 +38,7 @@
 	// takes its interleavings one by one, so that its length does not hang on the load of
 	// the machine, as that of stress runs does.
 	@Test
-	void noMessageIsLostDoubledOrOvertaken() {
+	void messagesAreNeitherLostNorDuplicatedNorReordered() {
 		new ModelCheckingOptions().iterations(6)
 			.invocationsPerIteration(300)
 			.threads(3)
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/BlockedOutputTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/BlockedOutputTests.java
@@ -12,25 +12,25 @@
 
 class BlockedOutputTests {
 
-	private static final int MOST_CHECKS = 6_000;
+	private static final int MAX_CHECKS = 6_000;
 
-	private static final long CHECK_NANOS = 10_000_000L;
+	private static final long CHECK_INTERVAL_NANOS = 10_000_000L;
 
 	/**
 	 * The program that collects a daemon's output stops reading it. The pipe fills, and a
 	 * daemon that waited for room would serve nobody until someone reads again.
 	 */
 	@Test
-	void aProcessWhoseOutputIsNotReadGoesOn(@TempDir Path folder) throws IOException {
+	void aProcessKeepsRunningWhenItsOutputIsNotRead(@TempDir Path folder) throws IOException {
 		final Path done = folder.resolve("done");
 		final Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
 				"-Dpistachioline.logging.format=json", "-cp", System.getProperty("java.class.path"),
-				ManyEvents.class.getName(), done.toString())
+				EventBurst.class.getName(), done.toString())
 			.redirectError(ProcessBuilder.Redirect.DISCARD)
 			.start();
 		try {
-			for (int i = 0; i < MOST_CHECKS && process.isAlive() && !Files.exists(done); i++) {
-				LockSupport.parkNanos(CHECK_NANOS);
+			for (int i = 0; i < MAX_CHECKS && process.isAlive() && !Files.exists(done); i++) {
+				LockSupport.parkNanos(CHECK_INTERVAL_NANOS);
 			}
 			assertThat(done).exists();
 		}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/ManyEvents.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/EventBurst.java
@@ -9,11 +9,11 @@
 /**
  * A process that writes more events than a pipe and the buffer hold, and then a file.
  */
-public final class ManyEvents {
+public final class EventBurst {
 
-	private static final int EVENTS = 50_000;
+	private static final int EVENT_COUNT = 50_000;
 
-	private ManyEvents() {
+	private EventBurst() {
 	}
 
 	/**
@@ -22,7 +22,7 @@
 	 * @throws IOException if it cannot be written
 	 */
 	public static void main(String[] args) throws IOException {
-		for (int i = 0; i < EVENTS; i++) {
+		for (int i = 0; i < EVENT_COUNT; i++) {
 			Events.log(EventId.REQUEST_REFUSED, "request", i);
 		}
 		Files.writeString(Path.of(args[0]), "done");
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesConfigurationTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesConfigurationTests.java
@@ -11,7 +11,7 @@
 	 * signal, nobody could see afterwards which requests it gave up.
 	 */
 	@Test
-	void loggingDoesNotEndBeforeTheDaemonDoes() {
+	void loggingContinuesUntilTheDaemonStops() {
 		assertThat(new JsonLinesConfiguration().isShutdownHookEnabled()).isFalse();
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesLayoutTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/event/JsonLinesLayoutTests.java
@@ -42,7 +42,7 @@
 	}
 
 	@Test
-	void aTextOfALibraryIsOneLineWithItsCause() {
+	void aLibraryMessageIsOneLineWithItsException() {
 		assertThat(lineOf(new SimpleMessage("it broke"), new IllegalStateException("why")))
 			.endsWith("\"message\":\"it broke\",\"exception\":\"why\"}\n");
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/metrics/MetricsPageTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/metrics/MetricsPageTests.java
@@ -12,7 +12,7 @@
 class MetricsPageTests {
 
 	@Test
-	void thePageOfMetricsHasExactlyTheRowsOfTheCatalogue() throws IOException {
+	void theMetricsPageListsExactlyTheMetrics() throws IOException {
 		final Path page = Path.of(System.getProperty("repository.root"), "docs", "METRICS.md");
 		assertThat(Files.readAllLines(page).stream().filter((line) -> line.startsWith("| `pistachioline_")))
 			.containsExactlyElementsOf(Arrays.stream(Metric.values()).map(Metric::row).toList());
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/metrics/MetricsTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/metrics/MetricsTests.java
@@ -9,7 +9,7 @@
 	private final Metrics metrics = new Metrics();
 
 	@Test
-	void metersAreThereWhetherTheyWereAddedBeforeOrAfterTheFirstQuestion() {
+	void metersAddedBeforeAndAfterTheFirstScrapeAreExposed() {
 		this.metrics.gauge("pistachioline.first", "Added before", () -> 1);
 		this.metrics.counter("pistachioline.second", "Added before", "all", () -> 2);
 		assertThat(this.metrics.scrape()).contains("pistachioline_first 1.0")
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CheckpointExchangeTests.java
@@ -19,17 +19,17 @@
 
 	private static final long THROUGH_OFFSET = 41;
 
-	private static final CheckpointCoverage COVER = new CheckpointCoverage(30, 12_345);
+	private static final CheckpointCoverage COVERAGE = new CheckpointCoverage(30, 12_345);
 
 	private int encodings;
 
-	private long through = THROUGH_OFFSET;
+	private long throughOffset = THROUGH_OFFSET;
 
 	private final byte[] stateBytes = state();
 
-	private final CheckpointOffer offer = new CheckpointOffer(() -> {
+	private final CheckpointProvider provider = new CheckpointProvider(() -> {
 		this.encodings++;
-		return Optional.of(new StreamSnapshot(this.through, this.stateBytes, COVER));
+		return Optional.of(new StreamSnapshot(this.throughOffset, this.stateBytes, COVERAGE));
 	});
 
 	private static byte[] state() {
@@ -47,27 +47,27 @@
 	// All daemons but one are replaced at once while the log is down. The new ones can
 	// have the state from nobody but the survivor, and it is larger than one frame.
 	@Test
-	void aSurvivorsStateArrivesWholePartByPart() {
+	void aCheckpointLargerThanOneFrameIsFetchedPartByPart() {
 		final CheckpointFetch fetch = fetch(42);
-		CheckpointFetch.Progress progress = CheckpointFetch.Progress.MORE;
+		CheckpointFetch.Progress progress = CheckpointFetch.Progress.INCOMPLETE;
 		int rounds = 0;
-		while (progress == CheckpointFetch.Progress.MORE) {
-			progress = fetch.onReply(this.offer.answer(fetch.ask(0), 0));
+		while (progress == CheckpointFetch.Progress.INCOMPLETE) {
+			progress = fetch.onReply(this.provider.respond(fetch.nextRequest(0), 0));
 			rounds++;
 		}
-		assertThat(progress).isEqualTo(CheckpointFetch.Progress.DONE);
+		assertThat(progress).isEqualTo(CheckpointFetch.Progress.COMPLETE);
 		assertThat(rounds).isEqualTo(3);
 		assertThat(fetch.snapshot().orElseThrow().throughOffset()).isEqualTo(THROUGH_OFFSET);
-		assertThat(fetch.snapshot().orElseThrow().coverage()).isEqualTo(COVER);
+		assertThat(fetch.snapshot().orElseThrow().coverage()).isEqualTo(COVERAGE);
 		assertThat(Arrays.equals(fetch.snapshot().orElseThrow().stateBytes(), this.stateBytes)).isTrue();
 	}
 
 	// A peer that is behind answers first. Its state would revert what another daemon had
 	// in force already.
 	@Test
-	void nothingBelowAnOffsetThatWasHeardOfIsTaken() {
+	void aCheckpointOlderThanAReportedOffsetIsRejected() {
 		final CheckpointFetch fetch = fetch(43);
-		assertThat(this.offer.answer(fetch.ask(0), 0).getAvailable()).isFalse();
+		assertThat(this.provider.respond(fetch.nextRequest(0), 0).getAvailable()).isFalse();
 		final CheckpointReply older = CheckpointReply.newBuilder()
 			.setAvailable(true)
 			.setThroughOffset(THROUGH_OFFSET)
@@ -80,12 +80,12 @@
 	// The survivor folds on between two parts. Parts of two states put together would be
 	// a state that never was.
 	@Test
-	void partsOfTwoStatesAreNeverPutTogether() {
+	void partsOfTwoCheckpointsAreNeverCombined() {
 		final CheckpointFetch fetch = fetch(42);
-		fetch.onReply(this.offer.answer(fetch.ask(0), 0));
-		this.through++;
-		this.offer.answer(CheckpointRequest.newBuilder().setStream("fleet").build(), TimeUnit.SECONDS.toNanos(2));
-		final CheckpointReply second = this.offer.answer(fetch.ask(0), TimeUnit.SECONDS.toNanos(2));
+		fetch.onReply(this.provider.respond(fetch.nextRequest(0), 0));
+		this.throughOffset++;
+		this.provider.respond(CheckpointRequest.newBuilder().setStream("fleet").build(), TimeUnit.SECONDS.toNanos(2));
+		final CheckpointReply second = this.provider.respond(fetch.nextRequest(0), TimeUnit.SECONDS.toNanos(2));
 		assertThat(second.getAvailable()).isFalse();
 		assertThat(fetch.onReply(second)).isEqualTo(CheckpointFetch.Progress.FAILED);
 	}
@@ -93,7 +93,7 @@
 	// A stranger, or a late reply, sends parts that nobody asked for. They must neither
 	// grow memory nor end up in a state.
 	@Test
-	void foreignOversizeAndUnaskedPartsEndTheFetch() {
+	void unrequestedAndOversizedPartsEndTheFetch() {
 		final CheckpointReply.Builder good = CheckpointReply.newBuilder()
 			.setAvailable(true)
 			.setThroughOffset(THROUGH_OFFSET)
@@ -109,14 +109,14 @@
 	// Hundreds of new daemons ask the survivor at once. If it encoded its state for each,
 	// it would have no time left for its callers.
 	@Test
-	void theStateIsEncodedOnceASecondHoweverManyAskAndForgottenAfterwards() {
+	void theStateIsEncodedOncePerSecondForAllRequestersAndReleasedAfterwards() {
 		for (int asker = 0; asker < 370; asker++) {
-			assertThat(this.offer.answer(fetch(42).ask(0), asker).getAvailable()).isTrue();
+			assertThat(this.provider.respond(fetch(42).nextRequest(0), asker).getAvailable()).isTrue();
 		}
 		assertThat(this.encodings).isEqualTo(1);
-		this.offer.expire(TimeUnit.SECONDS.toNanos(11));
+		this.provider.expire(TimeUnit.SECONDS.toNanos(11));
 		final CheckpointRequest second = CheckpointRequest.newBuilder().setPart(1).build();
-		assertThat(this.offer.answer(second, TimeUnit.SECONDS.toNanos(11)).getAvailable()).isFalse();
+		assertThat(this.provider.respond(second, TimeUnit.SECONDS.toNanos(11)).getAvailable()).isFalse();
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CrashCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/CrashCodecTests.java
@@ -6,9 +6,9 @@
 import com.google.protobuf.ByteString;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 import org.pistachioline.protocol.peer.CrashSuspect;
 import org.pistachioline.protocol.peer.CrashedTarget;
 
@@ -22,40 +22,40 @@
 
 	private static final String FINGERPRINT = "00ff17";
 
-	private static List<TargetDeath> deaths(long nowNanos) {
-		return List.of(new TargetDeath("i-1@1", nowNanos - 2_000_000_000L, DeathPhase.BEGINNING, false),
-				new TargetDeath("i-2@1", nowNanos, DeathPhase.UNDER_WAY, true));
+	private static List<CrashEvidence> crashes(long nowNanos) {
+		return List.of(new CrashEvidence("i-1@1", nowNanos - 2_000_000_000L, CrashPhase.STARTING, false),
+				new CrashEvidence("i-2@1", nowNanos, CrashPhase.IN_PROGRESS, true));
 	}
 
 	@Test
-	void requestsArriveWithTheAgesOfTheDeathsUnderThem() {
-		final List<SuspectedRequest> told = List.of(new SuspectedRequest(FINGERPRINT, deaths(SENDER_NANOS)));
+	void suspectsKeepTheAgesOfTheirCrashes() {
+		final List<SuspectedRequest> told = List.of(new SuspectedRequest(FINGERPRINT, crashes(SENDER_NANOS)));
 		assertThat(CrashCodec.decode(CrashCodec.encode(told, SENDER_NANOS), RECEIVER_NANOS))
-			.containsExactly(new SuspectedRequest(FINGERPRINT, deaths(RECEIVER_NANOS)));
+			.containsExactly(new SuspectedRequest(FINGERPRINT, crashes(RECEIVER_NANOS)));
 	}
 
 	/**
 	 * Guards against a broken frame that bars a request.
 	 */
 	@Test
-	void whatCannotBeMeantIsLeftOut() {
+	void invalidEntriesAreLeftOut() {
 		final CrashSuspect.Builder suspect = CrashSuspect.newBuilder().setFingerprint(ByteString.copyFromUtf8("f"));
 		final List<CrashSuspect> broken = List.of(CrashSuspect.getDefaultInstance(), suspect.build(),
 				suspect.addTargets(CrashedTarget.newBuilder().setTargetId("i-1").setAgeMillis(-1))
 					.addTargets(CrashedTarget.newBuilder().setAgeMillis(1))
 					.build());
-		assertThat(CrashCodec.decode(broken, RECEIVER_NANOS)).flatExtracting(SuspectedRequest::deaths).isEmpty();
+		assertThat(CrashCodec.decode(broken, RECEIVER_NANOS)).flatExtracting(SuspectedRequest::evidence).isEmpty();
 	}
 
 	/**
 	 * Guards against frames that grow with the number of targets that die.
 	 */
 	@Test
-	void aFrameTellsOfABoundedNumberOfRequests() {
+	void theNumberOfSuspectsPerFrameIsBounded() {
 		final List<SuspectedRequest> many = Collections.nCopies(1_000,
-				new SuspectedRequest(FINGERPRINT, Collections.nCopies(100, deaths(0).get(0))));
+				new SuspectedRequest(FINGERPRINT, Collections.nCopies(100, crashes(0).get(0))));
 		assertThat(CrashCodec.encode(many, SENDER_NANOS)).hasSize(CrashCodec.MAX_REQUESTS)
-			.allMatch((suspect) -> suspect.getTargetsCount() == CrashCodec.MAX_DEATHS);
+			.allMatch((suspect) -> suspect.getTargetsCount() == CrashCodec.MAX_CRASHES);
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitCodecTests.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 import org.pistachioline.protocol.peer.Heartbeat;
 import org.pistachioline.protocol.peer.TargetLimit;
 
@@ -18,43 +18,43 @@
 
 	private static final long RECEIVER_NANOS = -7_000_000_000L;
 
-	private static List<StatedLimit> overTheWire(List<TargetLimit> limits) {
+	private static List<AdvertisedLimit> decodeFromHeartbeat(List<TargetLimit> limits) {
 		return LimitCodec.decode(Heartbeat.newBuilder().addAllTargetLimits(limits).build(), RECEIVER_NANOS);
 	}
 
 	@Test
-	void limitsAndTheirEndsArriveWithTheirAge() {
-		final List<StatedLimit> told = List.of(
-				new StatedLimit("i-1", OptionalDouble.of(1.1), SENDER_NANOS - 2_000_000_000L),
-				new StatedLimit("i-2", OptionalDouble.of(0), SENDER_NANOS),
-				new StatedLimit("i-3", OptionalDouble.empty(), SENDER_NANOS - 30_000_000L));
-		assertThat(overTheWire(LimitCodec.encode(told, SENDER_NANOS))).containsExactly(
-				new StatedLimit("i-1", OptionalDouble.of(1.1), RECEIVER_NANOS - 2_000_000_000L),
-				new StatedLimit("i-2", OptionalDouble.of(0), RECEIVER_NANOS),
-				new StatedLimit("i-3", OptionalDouble.empty(), RECEIVER_NANOS - 30_000_000L));
+	void limitsAndTheirRemovalKeepTheirAge() {
+		final List<AdvertisedLimit> told = List.of(
+				new AdvertisedLimit("i-1", OptionalDouble.of(1.1), SENDER_NANOS - 2_000_000_000L),
+				new AdvertisedLimit("i-2", OptionalDouble.of(0), SENDER_NANOS),
+				new AdvertisedLimit("i-3", OptionalDouble.empty(), SENDER_NANOS - 30_000_000L));
+		assertThat(decodeFromHeartbeat(LimitCodec.encode(told, SENDER_NANOS))).containsExactly(
+				new AdvertisedLimit("i-1", OptionalDouble.of(1.1), RECEIVER_NANOS - 2_000_000_000L),
+				new AdvertisedLimit("i-2", OptionalDouble.of(0), RECEIVER_NANOS),
+				new AdvertisedLimit("i-3", OptionalDouble.empty(), RECEIVER_NANOS - 30_000_000L));
 	}
 
 	/**
 	 * Guards against a broken frame that stops all requests to a target, or frees it.
 	 */
 	@Test
-	void limitsThatCannotBeMeantAreLeftOut() {
+	void invalidLimitsAreLeftOut() {
 		final List<TargetLimit> broken = List.of(
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(-1).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(Double.NaN).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setRequestsPerSecond(Double.POSITIVE_INFINITY).build(),
 				TargetLimit.newBuilder().setInstanceId("i-1").setHeardAgeMillis(-1).build());
-		assertThat(overTheWire(broken)).isEmpty();
+		assertThat(decodeFromHeartbeat(broken)).isEmpty();
 	}
 
 	/**
 	 * Guards against heartbeats that grow with the number of targets in need.
 	 */
 	@Test
-	void aHeartbeatTellsOfABoundedNumberOfLimits() {
-		final List<StatedLimit> many = new ArrayList<>();
+	void theNumberOfLimitsPerHeartbeatIsBounded() {
+		final List<AdvertisedLimit> many = new ArrayList<>();
 		for (int i = 0; i < 1_000; i++) {
-			many.add(new StatedLimit("i-" + i, OptionalDouble.of(1), SENDER_NANOS));
+			many.add(new AdvertisedLimit("i-" + i, OptionalDouble.of(1), SENDER_NANOS));
 		}
 		assertThat(LimitCodec.encode(many, SENDER_NANOS)).hasSize(LimitCodec.MAX_LIMITS);
 	}
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerLimitsTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LimitGossipTests.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.limit.StatedLimit;
+import org.pistachioline.core.limit.AdvertisedLimit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
  * Daemons that tell each other of limits, over real connections.
  */
-class PeerLimitsTests {
+class LimitGossipTests {
 
-	private static final long LONGEST_WAIT_SECONDS = 60;
+	private static final long MAX_WAIT_SECONDS = 60;
 
-	private final PeersOnLoopback peers = new PeersOnLoopback();
+	private final LoopbackPeers peers = new LoopbackPeers();
 
 	@AfterEach
 	void stopAll() {
@@ -32,20 +32,20 @@
 	 * that its limit has changed or is over.
 	 */
 	@Test
-	void aDaemonHearsOfLimitsThatAnotherKnows() throws InterruptedException {
-		final BlockingQueue<List<StatedLimit>> heard = new LinkedBlockingQueue<>();
+	void heartbeatsCarryTheLimitsThatAnotherDaemonKnows() throws InterruptedException {
+		final BlockingQueue<List<AdvertisedLimit>> heard = new LinkedBlockingQueue<>();
 		final PeerDuty second = this.peers.daemon("second", List.of());
-		second.onLimits(List::of, heard::add);
+		second.setLimitExchange(List::of, heard::add);
 		second.start();
 		final PeerDuty first = this.peers.daemon("first", List.of(second.localAddress()));
-		first.onLimits(
-				() -> List.of(new StatedLimit("i-1", OptionalDouble.of(1.1), 0),
-						new StatedLimit("i-2", OptionalDouble.empty(), 0)),
+		first.setLimitExchange(
+				() -> List.of(new AdvertisedLimit("i-1", OptionalDouble.of(1.1), 0),
+						new AdvertisedLimit("i-2", OptionalDouble.empty(), 0)),
 				(told) -> assertThat(told).as("the second one knows of none").isEmpty());
 		first.start();
-		final List<StatedLimit> told = heard.poll(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS);
-		assertThat(told).extracting(StatedLimit::instanceId).containsExactly("i-1", "i-2");
-		assertThat(told).extracting(StatedLimit::requestsPerSecond)
+		final List<AdvertisedLimit> told = heard.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+		assertThat(told).extracting(AdvertisedLimit::instanceId).containsExactly("i-1", "i-2");
+		assertThat(told).extracting(AdvertisedLimit::requestsPerSecond)
 			.containsExactly(OptionalDouble.of(1.1), OptionalDouble.empty());
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeersOnLoopback.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/LoopbackPeers.java
@@ -13,7 +13,7 @@
 /**
  * Daemons that send each other heartbeats over real connections, and nothing else.
  */
-final class PeersOnLoopback implements AutoCloseable {
+final class LoopbackPeers implements AutoCloseable {
 
 	private static final long HEARTBEAT_MILLIS = 20;
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerTransportTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerTransportTests.java
@@ -68,47 +68,47 @@
 	}
 
 	@Test
-	void daemonsOfOneAuthorityTalkAndTheBytesAreCounted() throws InterruptedException {
+	void daemonsOfOneAuthorityExchangeFramesAndTheBytesAreCounted() throws InterruptedException {
 		final PeerTransport first = transport(tls("ours", "ours"));
 		final PeerTransport second = transport(tls("ours", "ours"));
 		assertThat(sendUntilReceived(first, second)).isEqualTo(FRAME);
-		assertThat(first.sent().bytes(PeerFrame.BodyCase.HEARTBEAT))
-			.isEqualTo(first.sent().frames(PeerFrame.BodyCase.HEARTBEAT) * (FRAME.getSerializedSize() + 4));
+		assertThat(first.sentMeter().byteCount(PeerFrame.BodyCase.HEARTBEAT))
+			.isEqualTo(first.sentMeter().frameCount(PeerFrame.BodyCase.HEARTBEAT) * (FRAME.getSerializedSize() + 4));
 	}
 
 	// A stranger in the network opens the peer port and speaks the protocol without TLS,
 	// or
 	// with a certificate of its own. It could make up daemons and send callers to them.
 	@Test
-	void aStrangerWithoutACertificateOfTheAuthorityIsCutOffBeforeAnyFrame() throws IOException {
+	void aClientWithoutATrustedCertificateIsDisconnectedBeforeAnyFrame() throws IOException {
 		final PeerTransport daemon = transport(tls("ours", "ours"));
 		try (Socket plain = connect(daemon)) {
 			plain.getOutputStream().write(new byte[] { 0, 0, 0, 2, 10, 0 });
-			assertThat(readToEnd(plain)).isTrue();
+			assertThat(isClosedByPeer(plain)).isTrue();
 		}
 		final PeerTransport stranger = transport(tls("ours", "other"));
 		for (int i = 0; i < 20; i++) {
 			stranger.send(daemon.localAddress(), FRAME);
 		}
 		assertThat(this.received).isEmpty();
-		assertThat(daemon.received().frames(PeerFrame.BodyCase.HEARTBEAT)).isZero();
+		assertThat(daemon.receivedMeter().frameCount(PeerFrame.BodyCase.HEARTBEAT)).isZero();
 	}
 
 	@Test
-	void aFrameThatAnnouncesTooMuchIsRefusedBeforeItIsRead() throws IOException {
+	void anOversizedFrameIsRefusedByItsLengthPrefix() throws IOException {
 		final PeerTransport daemon = transport(null);
 		try (Socket stranger = connect(daemon)) {
 			stranger.getOutputStream().write(new byte[] { 0x7f, 0, 0, 0 });
-			assertThat(readToEnd(stranger)).isTrue();
+			assertThat(isClosedByPeer(stranger)).isTrue();
 		}
 	}
 
 	@Test
-	void bytesThatAreNoFrameCloseTheConnectionAndReachNobody() throws IOException {
+	void anUndecodableFrameClosesTheConnectionAndIsNotDelivered() throws IOException {
 		final PeerTransport daemon = transport(null);
 		try (Socket stranger = connect(daemon)) {
 			stranger.getOutputStream().write(new byte[] { 0, 0, 0, 3, -1, -1, -1 });
-			assertThat(readToEnd(stranger)).isTrue();
+			assertThat(isClosedByPeer(stranger)).isTrue();
 		}
 		assertThat(this.received).isEmpty();
 	}
@@ -118,7 +118,7 @@
 	// costs buffers; without a cap they add up until the daemon has no memory for
 	// callers.
 	@Test
-	void connectionsBeyondTheCapAreClosedAtOnce() throws IOException, InterruptedException {
+	void connectionsAboveTheLimitAreClosedAtOnce() throws IOException, InterruptedException {
 		final PeerTransport daemon = transport(null);
 		final List<Socket> held = new ArrayList<>();
 		try {
@@ -128,7 +128,7 @@
 				assertThat(this.received.take()).isEqualTo(FRAME);
 			}
 			try (Socket over = connect(daemon)) {
-				assertThat(readToEnd(over)).isTrue();
+				assertThat(isClosedByPeer(over)).isTrue();
 			}
 			held.remove(0).close();
 			held.get(0).getOutputStream().write(frameBytes());
@@ -142,15 +142,15 @@
 	}
 
 	@Test
-	void aConnectionThatFloodsIsClosedAndAnHonestPaceIsNot() {
+	void aConnectionAboveTheFrameRateLimitIsClosedAndOneAtTheLimitIsNot() {
 		final AtomicLong nowNanos = new AtomicLong();
-		final EmbeddedChannel honest = new EmbeddedChannel(new FrameRateLimit(nowNanos::get));
+		final EmbeddedChannel honest = new EmbeddedChannel(new FrameRateLimiter(nowNanos::get));
 		for (int i = 0; i < 10 * PeerLimits.MAX_FRAMES_PER_SECOND; i++) {
 			nowNanos.addAndGet(TimeUnit.SECONDS.toNanos(1) / PeerLimits.MAX_FRAMES_PER_SECOND);
 			honest.writeInbound(Unpooled.EMPTY_BUFFER);
 		}
 		assertThat(honest.isOpen()).isTrue();
-		final EmbeddedChannel flood = new EmbeddedChannel(new FrameRateLimit(nowNanos::get));
+		final EmbeddedChannel flood = new EmbeddedChannel(new FrameRateLimiter(nowNanos::get));
 		for (int i = 0; i <= PeerLimits.MAX_FRAMES_PER_SECOND; i++) {
 			flood.writeInbound(Unpooled.EMPTY_BUFFER);
 		}
@@ -166,7 +166,7 @@
 	}
 
 	// Whether the other side closes; a read that times out throws.
-	private static boolean readToEnd(Socket socket) throws IOException {
+	private static boolean isClosedByPeer(Socket socket) throws IOException {
 		try {
 			while (socket.getInputStream().read() >= 0) {
 				continue;
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/PeerSuspectsTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/peer/SuspectGossipTests.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-import org.pistachioline.core.quarantine.DeathPhase;
+import org.pistachioline.core.quarantine.CrashEvidence;
+import org.pistachioline.core.quarantine.CrashPhase;
 import org.pistachioline.core.quarantine.SuspectedRequest;
-import org.pistachioline.core.quarantine.TargetDeath;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,24 +18,24 @@
  * Daemons that tell each other of requests under which targets died, over real
  * connections.
  */
-class PeerSuspectsTests {
+class SuspectGossipTests {
 
-	private static final long LONGEST_WAIT_SECONDS = 60;
+	private static final long MAX_WAIT_SECONDS = 60;
 
 	private static final List<SuspectedRequest> KNOWN = List
-		.of(new SuspectedRequest("00ff", List.of(new TargetDeath("i-1@1", 0, DeathPhase.BEGINNING, false))));
+		.of(new SuspectedRequest("00ff", List.of(new CrashEvidence("i-1@1", 0, CrashPhase.STARTING, false))));
 
-	private final PeersOnLoopback peers = new PeersOnLoopback();
+	private final LoopbackPeers peers = new LoopbackPeers();
 
-	private final BlockingQueue<List<SuspectedRequest>> heard = new LinkedBlockingQueue<>();
+	private final BlockingQueue<List<SuspectedRequest>> received = new LinkedBlockingQueue<>();
 
 	@AfterEach
 	void stopAll() {
 		this.peers.close();
 	}
 
-	private void assertHeard() throws InterruptedException {
-		assertThat(this.heard.poll(LONGEST_WAIT_SECONDS, TimeUnit.SECONDS)).extracting(SuspectedRequest::fingerprint)
+	private void assertReceived() throws InterruptedException {
+		assertThat(this.received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).extracting(SuspectedRequest::fingerprint)
 			.containsExactly("00ff");
 	}
 
@@ -43,27 +43,27 @@
 	 * Guards against a daemon that has just started and runs what all others refuse.
 	 */
 	@Test
-	void aDaemonThatStartsIsToldByTheFirstThatItGreets() throws InterruptedException {
+	void aNewDaemonReceivesSuspectsFromTheFirstDaemonItContacts() throws InterruptedException {
 		final PeerDuty first = this.peers.daemon("first", List.of());
-		first.suspects().bind(List::of, () -> KNOWN, (told) -> {
+		first.suspectExchange().bind(List::of, () -> KNOWN, (told) -> {
 		});
 		first.start();
 		final PeerDuty second = this.peers.daemon("second", List.of(first.localAddress()));
-		second.suspects().bind(List::of, List::of, this.heard::add);
+		second.suspectExchange().bind(List::of, List::of, this.received::add);
 		second.start();
-		assertHeard();
+		assertReceived();
 	}
 
 	@Test
-	void aHeartbeatTellsWhatANoticeDidNot() throws InterruptedException {
+	void heartbeatsCarrySuspectsWhoseNoticeWasLost() throws InterruptedException {
 		final PeerDuty second = this.peers.daemon("second", List.of());
-		second.suspects().bind(List::of, List::of, this.heard::add);
+		second.suspectExchange().bind(List::of, List::of, this.received::add);
 		second.start();
 		final PeerDuty first = this.peers.daemon("first", List.of(second.localAddress()));
-		first.suspects().bind(() -> KNOWN, List::of, (told) -> {
+		first.suspectExchange().bind(() -> KNOWN, List::of, (told) -> {
 		});
 		first.start();
-		assertHeard();
+		assertReceived();
 	}
 
 }
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/CrashProbeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/CrashProbeTests.java
@@ -18,18 +18,19 @@
 	private static final TargetView TARGET = new TargetView("i-1@1", TargetKind.MODEL, "pool/m", "127.0.0.1:9", 1, "z",
 			true, 12, 0, 0, 0);
 
-	private final List<Consumer<Boolean>> asked = new ArrayList<>();
+	private final List<Consumer<Boolean>> pendingProbes = new ArrayList<>();
 
 	private final List<TargetCrash> crashes = new ArrayList<>();
 
-	private final CrashProbe probe = new CrashProbe((address, receiver) -> this.asked.add(receiver), this.crashes::add);
+	private final CrashProbe probe = new CrashProbe((address, receiver) -> this.pendingProbes.add(receiver),
+			this.crashes::add);
 
 	@Test
-	void aTargetThatRefusesConnectionsHasDiedUnderAllThatBroke() {
-		this.probe.onBreak(TARGET, "a", false);
-		this.probe.onBreak(TARGET, "b", true);
-		assertThat(this.asked).hasSize(1);
-		this.asked.get(0).accept(true);
+	void aTargetThatRefusesConnectionsCrashedUnderAllBrokenRequests() {
+		this.probe.onConnectionBroken(TARGET, "a", false);
+		this.probe.onConnectionBroken(TARGET, "b", true);
+		assertThat(this.pendingProbes).hasSize(1);
+		this.pendingProbes.get(0).accept(true);
 		assertThat(this.crashes).containsExactly(new TargetCrash("i-1@1", Set.of("a"), Set.of("b")));
 	}
 
@@ -38,18 +39,18 @@
 	 * connections, or loses answers.
 	 */
 	@Test
-	void aTargetThatTakesConnectionsHasNotDied() {
-		this.probe.onBreak(TARGET, "a", false);
-		this.asked.get(0).accept(false);
+	void aTargetThatAcceptsConnectionsHasNotCrashed() {
+		this.probe.onConnectionBroken(TARGET, "a", false);
+		this.pendingProbes.get(0).accept(false);
 		assertThat(this.crashes).isEmpty();
 	}
 
 	@Test
-	void aLaterBreakIsLookedIntoAnew() {
-		this.probe.onBreak(TARGET, "a", false);
-		this.asked.get(0).accept(false);
-		this.probe.onBreak(TARGET, "b", false);
-		this.asked.get(1).accept(true);
+	void aLaterBreakIsProbedAgain() {
+		this.probe.onConnectionBroken(TARGET, "a", false);
+		this.pendingProbes.get(0).accept(false);
+		this.probe.onConnectionBroken(TARGET, "b", false);
+		this.pendingProbes.get(1).accept(true);
 		assertThat(this.crashes).containsExactly(new TargetCrash("i-1@1", Set.of("b"), Set.of()));
 	}
 
