--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/RelayExchangeTests.java
@@ -28,11 +28,11 @@
 import org.pistachioline.core.traffic.TargetKind;
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficAction;
-import org.pistachioline.daemon.port.AnswerVerdict;
-import org.pistachioline.daemon.port.CallHead;
 import org.pistachioline.daemon.port.InstanceListener;
-import org.pistachioline.daemon.port.RelayDialect;
-import org.pistachioline.daemon.port.RelayedCall;
+import org.pistachioline.daemon.port.RelayProtocol;
+import org.pistachioline.daemon.port.RelayedRequest;
+import org.pistachioline.daemon.port.RequestMetadata;
+import org.pistachioline.daemon.port.ResponseVerdict;
 import org.pistachioline.daemon.traffic.AttemptListener;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -46,13 +46,13 @@
 
 	private final WebLoop loop = new WebLoop("test");
 
-	private final List<String> told = new ArrayList<>();
+	private final List<String> notifications = new ArrayList<>();
 
-	private final List<WebAnswer> answers = new ArrayList<>();
+	private final List<WebAnswer> responses = new ArrayList<>();
 
-	private final FixedDialect dialect = new FixedDialect();
+	private final StubProtocol protocol = new StubProtocol();
 
-	private final BackoffGate gate = new BackoffGate(new DeafListener(), () -> NOW_NANOS);
+	private final BackoffGate gate = new BackoffGate(new NoOpListener(), () -> NOW_NANOS);
 
 	@AfterEach
 	void stop() {
@@ -65,11 +65,11 @@
 	 * would begin to work for nobody and use up a part of the budget for repeats.
 	 */
 	@Test
-	void aCallerWhoLeavesIsToldBeforeItsAttemptEnds() {
+	void aCallerDisconnectIsReportedBeforeTheAttemptEnds() {
 		final RelayExchange exchange = exchange();
-		exchange.start(new TrafficAction.Start(new AttemptId(7, 1), TARGET, 0), new Ends());
+		exchange.start(new TrafficAction.Start(new AttemptId(7, 1), TARGET, 0), new RecordingAttemptListener());
 		exchange.onGone();
-		assertThat(this.told).containsExactly("gone 7", "CANCELLED");
+		assertThat(this.notifications).containsExactly("gone 7", "CANCELLED");
 	}
 
 	/**
@@ -78,12 +78,12 @@
 	 * the same, it would keep a target at work for nobody.
 	 */
 	@Test
-	void nothingIsSentForACallerWhoHasLeft() {
+	void noAttemptIsSentAfterTheCallerDisconnected() {
 		final RelayExchange exchange = exchange();
 		exchange.onGone();
-		exchange.start(new TrafficAction.Start(new AttemptId(7, 2), TARGET, 0), new Ends());
-		assertThat(this.told).containsExactly("gone 7", "CANCELLED");
-		assertThat(this.dialect.written).isZero();
+		exchange.start(new TrafficAction.Start(new AttemptId(7, 2), TARGET, 0), new RecordingAttemptListener());
+		assertThat(this.notifications).containsExactly("gone 7", "CANCELLED");
+		assertThat(this.protocol.requestsBuilt).isZero();
 	}
 
 	/**
@@ -91,22 +91,22 @@
 	 * that is sent after it.
 	 */
 	@Test
-	void nothingIsSentToATargetThatAskedForRestMeanwhile() {
-		this.gate.hearBackoff(TARGET.targetId(), OptionalLong.of(60_000));
-		exchange().start(new TrafficAction.Start(new AttemptId(7, 1), TARGET, 0), new Ends());
-		assertThat(this.told).containsExactly("WITHHELD");
-		assertThat(this.dialect.written).isZero();
+	void noAttemptIsSentToATargetThatRequestedBackoffMeanwhile() {
+		this.gate.onBackoff(TARGET.targetId(), OptionalLong.of(60_000));
+		exchange().start(new TrafficAction.Start(new AttemptId(7, 1), TARGET, 0), new RecordingAttemptListener());
+		assertThat(this.notifications).containsExactly("WITHHELD");
+		assertThat(this.protocol.requestsBuilt).isZero();
 	}
 
 	/**
 	 * Guards against an attempt that is sent to a target which has said that it leaves.
 	 */
 	@Test
-	void nothingIsSentToATargetThatLeaves() {
-		this.gate.hearLeaving(TARGET.targetId());
-		exchange().start(new TrafficAction.Start(new AttemptId(7, 1), TARGET, 0), new Ends());
-		assertThat(this.told).containsExactly("WITHHELD");
-		assertThat(this.dialect.written).isZero();
+	void noAttemptIsSentToALeavingTarget() {
+		this.gate.onLeaving(TARGET.targetId());
+		exchange().start(new TrafficAction.Start(new AttemptId(7, 1), TARGET, 0), new RecordingAttemptListener());
+		assertThat(this.notifications).containsExactly("WITHHELD");
+		assertThat(this.protocol.requestsBuilt).isZero();
 	}
 
 	/**
@@ -118,16 +118,16 @@
 		exchange().fail(ErrorKind.NO_CAPACITY, RunState.UNKNOWN, 1_000);
 		exchange().fail(ErrorKind.NO_CAPACITY, RunState.NOT_RUN, 1_000);
 		exchange().fail(ErrorKind.QUARANTINED, RunState.UNKNOWN, 0);
-		assertThat(this.answers).extracting(WebAnswer::status).containsExactly(502, 503, 422);
-		assertThat(this.answers.get(0).head().header("Retry-After")).isEmpty();
+		assertThat(this.responses).extracting(WebAnswer::status).containsExactly(502, 503, 422);
+		assertThat(this.responses.get(0).head().header("Retry-After")).isEmpty();
 	}
 
 	private RelayExchange exchange() {
-		final RelayTools tools = new RelayTools(Runnable::run, new WebClient(this.loop, 1_000, 1_000, 1), this.dialect,
-				new LiveStreams(), (requestId) -> this.told.add("gone " + requestId), new DeafListener(), this.gate,
-				new CrashProbe((address, receiver) -> receiver.accept(false),
-						(crash) -> this.told.add("crash " + crash.targetId())));
-		return new RelayExchange(info(), call(), true, tools, new CallerAnswer(new KeptReply(), () -> false));
+		final RelayContext tools = new RelayContext(Runnable::run, new WebClient(this.loop, 1_000, 1_000, 1),
+				this.protocol, new ActiveStreams(), (requestId) -> this.notifications.add("gone " + requestId),
+				new NoOpListener(), this.gate, new CrashProbe((address, receiver) -> receiver.accept(false),
+						(crash) -> this.notifications.add("crash " + crash.targetId())));
+		return new RelayExchange(info(), request(), true, tools, new CallerResponse(new RecordingReply(), () -> false));
 	}
 
 	private static RequestInfo info() {
@@ -135,44 +135,44 @@
 				ClaimRequirement.NONE, "", List.of());
 	}
 
-	private static RelayedCall call() {
-		return new RelayedCall(
-				new CallHead("r7", OptionalLong.empty(), Optional.empty(), Optional.empty(), 100, 60, Optional.empty()),
-				"POST", "/copy/1", HeaderFields.EMPTY, Body.EMPTY, Optional.empty());
+	private static RelayedRequest request() {
+		return new RelayedRequest(new RequestMetadata("r7", OptionalLong.empty(), Optional.empty(), Optional.empty(),
+				100, 60, Optional.empty()), "POST", "/copy/1", HeaderFields.EMPTY, Body.EMPTY, Optional.empty());
 	}
 
-	private final class Ends implements AttemptListener {
+	private final class RecordingAttemptListener implements AttemptListener {
 
 		@Override
 		public void onProgress(AttemptId attempt, int tokensDelivered) {
-			RelayExchangeTests.this.told.add("progress");
+			RelayExchangeTests.this.notifications.add("progress");
 		}
 
 		@Override
 		public void onEnd(AttemptId attempt, AttemptOutcome how, int tokensDelivered) {
-			RelayExchangeTests.this.told.add(how.name());
+			RelayExchangeTests.this.notifications.add(how.name());
 		}
 
 	}
 
-	private static final class FixedDialect implements RelayDialect {
+	private static final class StubProtocol implements RelayProtocol {
 
-		private int written;
+		private int requestsBuilt;
 
 		@Override
-		public CallHead read(HeaderFields headers) {
-			return call().head();
+		public RequestMetadata readRequest(HeaderFields headers) {
+			return request().metadata();
 		}
 
 		@Override
-		public WebRequest toTarget(RelayedCall call, TargetView target, long leftMillis, Optional<String> lastEventId) {
-			this.written++;
-			return new WebRequest(call.method(), call.target(), call.headers(), call.body());
+		public WebRequest toTargetRequest(RelayedRequest call, TargetView target, long leftMillis,
+				Optional<String> lastEventId) {
+			this.requestsBuilt++;
+			return new WebRequest(call.method(), call.pathAndQuery(), call.headers(), call.body());
 		}
 
 		@Override
-		public AnswerVerdict judge(RelayedCall call, AnswerHead answer) {
-			return AnswerVerdict.ANSWER;
+		public ResponseVerdict classify(RelayedRequest call, AnswerHead answer) {
+			return ResponseVerdict.VALID;
 		}
 
 		@Override
@@ -191,13 +191,13 @@
 		}
 
 		@Override
-		public boolean leaving(AnswerHead answer) {
+		public boolean isLeaving(AnswerHead answer) {
 			return false;
 		}
 
 	}
 
-	private static final class DeafListener implements TargetListener, InstanceListener {
+	private static final class NoOpListener implements TargetReportListener, InstanceListener {
 
 		@Override
 		public void onLoad(String targetId, LoadReport load) {
@@ -221,11 +221,11 @@
 
 	}
 
-	private final class KeptReply implements WebReply {
+	private final class RecordingReply implements WebReply {
 
 		@Override
 		public void whole(WebAnswer answer) {
-			RelayExchangeTests.this.answers.add(answer);
+			RelayExchangeTests.this.responses.add(answer);
 		}
 
 		@Override
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/StreamPositionTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/relay/StreamPositionTests.java
@@ -15,13 +15,13 @@
 class StreamPositionTests {
 
 	@Test
-	void onlyWholeEventsPass() {
+	void onlyCompleteEventsAreForwarded() {
 		final StreamPosition position = new StreamPosition(Optional.empty());
-		final String passed = pass(position, bytes("id: 1\ndata: a\n\nid: 2\nda"));
+		final String passed = forward(position, bytes("id: 1\ndata: a\n\nid: 2\nda"));
 		assertThat(passed).isEqualTo("id: 1\ndata: a\n\n");
 		assertThat(position.consumedBytes()).isEqualTo(passed.length());
 		assertThat(position.lastEventId()).contains("1");
-		assertThat(position.events()).isEqualTo(1);
+		assertThat(position.deliveredEvents()).isEqualTo(1);
 	}
 
 	/**
@@ -29,22 +29,22 @@
 	 * would see the event twice.
 	 */
 	@Test
-	void eventsThatTheCallerHasAreDropped() {
+	void eventsAlreadyDeliveredAreDropped() {
 		final StreamPosition position = new StreamPosition(Optional.of("7"));
-		assertThat(pass(position, bytes("id: 7\ndata: g\n\nid: 8\ndata: h\n\n"))).isEqualTo("id: 8\ndata: h\n\n");
-		assertThat(position.events()).isEqualTo(1);
+		assertThat(forward(position, bytes("id: 7\ndata: g\n\nid: 8\ndata: h\n\n"))).isEqualTo("id: 8\ndata: h\n\n");
+		assertThat(position.deliveredEvents()).isEqualTo(1);
 	}
 
 	@Test
-	void eventsWithoutAnIdPassAsTheyAre() {
+	void eventsWithoutAnIdAreForwardedUnchanged() {
 		final StreamPosition position = new StreamPosition(Optional.empty());
-		assertThat(pass(position, bytes("data: a\n\n: note\n\n"))).isEqualTo("data: a\n\n: note\n\n");
+		assertThat(forward(position, bytes("data: a\n\n: note\n\n"))).isEqualTo("data: a\n\n: note\n\n");
 	}
 
 	@Test
-	void lineEndsOfBothKindsAreUnderstood() {
+	void bothKindsOfLineEndingsAreParsed() {
 		final StreamPosition position = new StreamPosition(Optional.empty());
-		assertThat(pass(position, bytes("id: 3\r\ndata: a\r\n\r\n"))).isEqualTo("id: 3\r\ndata: a\r\n\r\n");
+		assertThat(forward(position, bytes("id: 3\r\ndata: a\r\n\r\n"))).isEqualTo("id: 3\r\ndata: a\r\n\r\n");
 		assertThat(position.lastEventId()).contains("3");
 	}
 
@@ -55,7 +55,7 @@
 	 * @param cut the size of the pieces
 	 */
 	@Property(seed = "42")
-	void cutsChangeNothing(@ForAll @IntRange(min = 0, max = 20) int events,
+	void chunkBoundariesDoNotChangeTheOutput(@ForAll @IntRange(min = 0, max = 20) int events,
 			@ForAll @IntRange(min = 1, max = 9) int cut) {
 		final StringBuilder whole = new StringBuilder();
 		for (int i = 1; i <= events; i++) {
@@ -69,20 +69,20 @@
 			final byte[] piece = Arrays.copyOfRange(all, start, Math.min(all.length, start + cut));
 			final byte[] joined = Arrays.copyOf(rest, rest.length + piece.length);
 			System.arraycopy(piece, 0, joined, rest.length, piece.length);
-			position.pass(joined, passed::write);
+			position.forwardNewEvents(joined, passed::write);
 			rest = Arrays.copyOfRange(joined, position.consumedBytes(), joined.length);
 		}
 		assertThat(passed.toString(StandardCharsets.UTF_8)).isEqualTo(whole.toString());
-		assertThat(position.events()).isEqualTo(events);
+		assertThat(position.deliveredEvents()).isEqualTo(events);
 	}
 
 	private static byte[] bytes(String text) {
 		return text.getBytes(StandardCharsets.UTF_8);
 	}
 
-	private static String pass(StreamPosition position, byte[] bytes) {
+	private static String forward(StreamPosition position, byte[] bytes) {
 		final ByteArrayOutputStream passed = new ByteArrayOutputStream();
-		position.pass(bytes, passed::write);
+		position.forwardNewEvents(bytes, passed::write);
 		return passed.toString(StandardCharsets.UTF_8);
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/LoopbackTests.java
@@ -31,7 +31,7 @@
 import org.pistachioline.adapters.http.Json;
 import org.pistachioline.core.admission.AdmitAll;
 import org.pistachioline.core.placement.LeastInFlight;
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.queueing.FifoQueue;
 import org.pistachioline.core.retry.BudgetedRetry;
 import org.pistachioline.core.traffic.ClaimRequirement;
@@ -40,7 +40,7 @@
 import org.pistachioline.core.traffic.TargetView;
 import org.pistachioline.core.traffic.TrafficCore;
 import org.pistachioline.core.traffic.TrafficPolicies;
-import org.pistachioline.daemon.MemoryLog;
+import org.pistachioline.daemon.InMemoryLog;
 import org.pistachioline.daemon.agreed.AppendDuty;
 import org.pistachioline.daemon.claims.ClaimService;
 
@@ -52,9 +52,9 @@
 
 	private static final double APPENDS_PER_SECOND = 1_000;
 
-	private static final int BREAKS_AT = 3;
+	private static final int TOKENS_BEFORE_CRASH = 3;
 
-	private final MemoryLog log = new MemoryLog();
+	private final InMemoryLog log = new InMemoryLog();
 
 	private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
@@ -62,7 +62,7 @@
 
 	private TrafficDuty traffic;
 
-	private Exchanges exchanges;
+	private ExchangeStarter exchanges;
 
 	@BeforeEach
 	void start() {
@@ -71,10 +71,10 @@
 		final ClaimService claims = new ClaimService(this.system, this.log, appender, "claims", 1);
 		this.traffic = new TrafficDuty(this.system,
 				new TrafficCore(new TrafficPolicies(new AdmitAll(), new FifoQueue(100), new LeastInFlight(),
-						new BudgetedRetry(), new DeathCounter())),
-				claims, new ShareKeeper("d", Set::of, 500), new KillerReports(appender, "fleet"),
+						new BudgetedRetry(), new LogBasedQuarantine())),
+				claims, new LimitShareUpdater("d", Set::of, 500), new LogSuspectReporter(appender, "fleet"),
 				new TraceRecorder(false));
-		this.exchanges = new Exchanges(new HttpCaller(this.system), this.traffic);
+		this.exchanges = new ExchangeStarter(new HttpCaller(this.system), this.traffic);
 		appender.start();
 		claims.start();
 		claims.whenCaughtUp().join();
@@ -89,40 +89,40 @@
 	// The group under a stream dies after three tokens. The caller's answer goes on from
 	// another group, and reads as if nothing had happened.
 	@Test
-	void aStreamWhoseGroupDiesIsResumedInTheSameAnswer() {
+	void aStreamWhoseGroupCrashesIsResumedInTheSameResponse() {
 		final List<String> resumedFrom = new ArrayList<>();
 		final CompletableFuture<ByteString> death = new CompletableFuture<>();
 		final String dying = serve((request) -> events(
-				tokens(attempt(request), 0, BREAKS_AT).concat(Source.completionStage(death)), false));
+				tokens(attempt(request), 0, TOKENS_BEFORE_CRASH).concat(Source.completionStage(death)), false));
 		final String healthy = serve((request) -> {
 			final int from = Integer.parseInt(header(request, "Pistachioline-Resume-From"));
 			resumedFrom.add(Integer.toString(from));
 			return events(tokens(attempt(request), from, TOKENS).concat(end(attempt(request))), false);
 		});
-		this.traffic.targets(List.of(model("a@1", dying, true), model("b@1", healthy, true)));
+		this.traffic.onTargets(List.of(model("a@1", dying, true), model("b@1", healthy, true)));
 		final StringBuilder seen = new StringBuilder();
-		this.exchanges.complete(completion(1), "r-1", body(), true)
+		this.exchanges.startCompletion(completion(1), "r-1", body(), true)
 			.thenCompose((answer) -> answer.entity().getDataBytes().runForeach((bytes) -> {
 				seen.append(bytes.utf8String());
-				if (seen.indexOf(data(BREAKS_AT - 1)) >= 0) {
+				if (seen.indexOf(data(TOKENS_BEFORE_CRASH - 1)) >= 0) {
 					death.completeExceptionally(new IllegalStateException("the group died"));
 				}
 			}, this.system))
 			.join();
 		assertThat(seen.toString()).isEqualTo(expected(TOKENS));
-		assertThat(resumedFrom).containsExactly(Integer.toString(BREAKS_AT));
+		assertThat(resumedFrom).containsExactly(Integer.toString(TOKENS_BEFORE_CRASH));
 	}
 
 	// A whole answer is put together from the same events; its last one must not be lost
 	// to the end of the attempt, which is reported from another thread.
 	@Test
-	void aWholeAnswerHasEveryTokenAlsoOverAResume() {
-		final String dying = serve((request) -> events(tokens(attempt(request), 0, BREAKS_AT), true));
+	void aBufferedResponseHasEveryTokenAfterAResume() {
+		final String dying = serve((request) -> events(tokens(attempt(request), 0, TOKENS_BEFORE_CRASH), true));
 		final String healthy = serve((request) -> {
 			final int from = Integer.parseInt(header(request, "Pistachioline-Resume-From"));
 			return events(tokens(attempt(request), from, TOKENS).concat(end(attempt(request))), false);
 		});
-		this.traffic.targets(List.of(model("a@1", dying, true), model("b@1", healthy, true)));
+		this.traffic.onTargets(List.of(model("a@1", dying, true), model("b@1", healthy, true)));
 		final String content = Json.tree(complete(1, false).getBytes(StandardCharsets.UTF_8))
 			.path("choices")
 			.path(0)
@@ -135,13 +135,13 @@
 	// An engine's connection carries the answer to another shop's request. Nothing of it
 	// reaches this caller; it is counted, and another group answers.
 	@Test
-	void anotherRequestsAnswerIsDroppedAndCounted() {
+	void aResponseToAnotherRequestIsDroppedAndCounted() {
 		final String confused = serve((request) -> events(tokens("77-1", 0, TOKENS).concat(end("77-1")), false));
 		final String healthy = serve(
 				(request) -> events(tokens(attempt(request), 0, TOKENS).concat(end(attempt(request))), false));
-		this.traffic.targets(List.of(model("a@1", confused, true), model("b@1", healthy, true)));
+		this.traffic.onTargets(List.of(model("a@1", confused, true), model("b@1", healthy, true)));
 		assertThat(complete(1, true)).isEqualTo(expected(TOKENS));
-		assertThat(this.traffic.answersDropped()).isEqualTo(1);
+		assertThat(this.traffic.droppedResponseCount()).isEqualTo(1);
 	}
 
 	// A caller hangs up in the middle of its answer. The engine's work for it is
@@ -149,13 +149,13 @@
 	// otherwise callers that give up and ask again would fill the engines with work that
 	// nobody reads.
 	@Test
-	void theEnginesWorkIsCancelledWhenTheCallerGoesAway() {
+	void theEngineRequestIsCancelledWhenTheCallerDisconnects() {
 		final CompletableFuture<String> cancelled = new CompletableFuture<>();
 		final String endless = serve((request) -> {
 			final Source<ByteString, NotUsed> never = Source.maybe()
 				.mapMaterializedValue((mat) -> NotUsed.getInstance())
 				.map((nothing) -> ByteString.emptyByteString());
-			final Source<ByteString, NotUsed> events = tokens(attempt(request), 0, BREAKS_AT).concat(never)
+			final Source<ByteString, NotUsed> events = tokens(attempt(request), 0, TOKENS_BEFORE_CRASH).concat(never)
 				.watchTermination((mat, done) -> {
 					done.whenComplete((ended, failure) -> cancelled.complete("cancelled"));
 					return mat;
@@ -163,8 +163,8 @@
 			return HttpResponse.create()
 				.withEntity(HttpEntities.createChunked(ContentTypes.create(MediaTypes.TEXT_EVENT_STREAM), events));
 		});
-		this.traffic.targets(List.of(model("a@1", endless, true)));
-		final HttpResponse answer = this.exchanges.complete(completion(1), "r-1", body(), true).join();
+		this.traffic.onTargets(List.of(model("a@1", endless, true)));
+		final HttpResponse answer = this.exchanges.startCompletion(completion(1), "r-1", body(), true).join();
 		answer.entity().getDataBytes().take(1).runWith(Sink.ignore(), this.system);
 		assertThat(cancelled.join()).isEqualTo("cancelled");
 	}
@@ -172,16 +172,16 @@
 	// The service takes a booking and breaks the connection before it answers. The caller
 	// is told that it may have run, and its repeat is told the same: one run, no second.
 	@Test
-	void aBookingWhoseAnswerIsLostRunsOnceHoweverOftenItIsRepeated() {
+	void aNonIdempotentCallWhoseResponseIsLostRunsOnceDespiteRetries() {
 		final String service = serve((request) -> {
 			this.runs.merge("k", 1, Integer::sum);
 			throw new IllegalStateException("connection lost");
 		}, true);
-		this.traffic.targets(List.of(service("s1", service), service("s2", service)));
+		this.traffic.onTargets(List.of(service("s1", service), service("s2", service)));
 		final HttpResponse first = call(1, "k");
 		assertThat(first.status().intValue()).isEqualTo(502);
 		assertThat(runHeader(first)).isEqualTo("unknown");
-		this.log.await("claims-0", 2).join();
+		this.log.awaitEntries("claims-0", 2).join();
 		for (int i = 2; i < 6; i++) {
 			final HttpResponse repeat = call(i, "k");
 			assertThat(repeat.status().intValue()).isEqualTo(409);
@@ -194,12 +194,12 @@
 	// so
 	// nothing was sent, and the booking may go to the next one.
 	@Test
-	void aBookingThatNeverLeftIsSentToAnotherInstance() {
+	void aNonIdempotentCallThatWasNeverSentGoesToAnotherInstance() {
 		final String service = serve((request) -> {
 			this.runs.merge("k", 1, Integer::sum);
 			return HttpResponse.create().withEntity(ContentTypes.APPLICATION_JSON, "{\"slot\":1}");
 		});
-		this.traffic.targets(List.of(service("gone", closedAddress()), service("s2", service)));
+		this.traffic.onTargets(List.of(service("gone", closedAddress()), service("s2", service)));
 		for (int i = 1; i < 5; i++) {
 			final HttpResponse answer = call(i, "k" + i);
 			assertThat(answer.status().intValue()).isEqualTo(200);
@@ -208,7 +208,7 @@
 	}
 
 	private String complete(long requestId, boolean stream) {
-		return this.exchanges.complete(completion(requestId), "r-" + requestId, body(), stream)
+		return this.exchanges.startCompletion(completion(requestId), "r-" + requestId, body(), stream)
 			.thenCompose((answer) -> answer.entity()
 				.getDataBytes()
 				.runFold(ByteString.emptyByteString(), ByteString::concat, this.system))
@@ -221,7 +221,8 @@
 		final RequestInfo info = new RequestInfo(requestId, "w", TargetKind.SERVICE, "s", 1, 1, 0, deadlineNanos,
 				deadlineNanos, false, new ClaimRequirement(key, "digest", 600_000), "", List.of());
 		return this.exchanges
-			.call(info, "r-" + requestId, HttpRequest.POST("/services/s/book"), "/book", new byte[] { 1 }, key, 30_000)
+			.startServiceCall(info, "r-" + requestId, HttpRequest.POST("/services/s/book"), "/book", new byte[] { 1 },
+					key, 30_000)
 			.join();
 	}
 
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/RelayStageTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/traffic/RelayStageTests.java
@@ -40,9 +40,9 @@
 	// The network cuts an answer into pieces anywhere. Whatever the pieces, the caller
 	// gets each token once, in order, and the end mark.
 	@Property(seed = "7203", tries = 200, shrinking = ShrinkingMode.OFF)
-	void wherePiecesEndMakesNoDifference(@ForAll long seed) {
-		final Relayed relayed = relay(1, 0, pieces(new Random(seed), answer(1, 0)), false);
-		assertThat(relayed.text).isEqualTo(expected(0, TOKENS) + endOfAnswer());
+	void chunkBoundariesDoNotChangeTheResponse(@ForAll long seed) {
+		final Relayed relayed = relay(1, 0, randomChunks(new Random(seed), response(1, 0)), false);
+		assertThat(relayed.text).isEqualTo(expected(0, TOKENS) + endOfResponse());
 		assertThat(relayed.ends).containsExactly("1-1 COMPLETE " + TOKENS);
 	}
 
@@ -50,39 +50,39 @@
 	// the count that was reported, and the caller sees one answer without a lost or
 	// doubled token.
 	@Property(seed = "7204", tries = 200, shrinking = ShrinkingMode.OFF)
-	void anAnswerCutAnywhereIsResumedWithoutALostOrDoubledToken(@ForAll long seed) {
+	void aResponseCutAnywhereIsResumedWithoutALostOrDuplicatedToken(@ForAll long seed) {
 		final Random random = new Random(seed);
-		final byte[] whole = answer(1, 0);
+		final byte[] whole = response(1, 0);
 		final byte[] cut = Arrays.copyOf(whole, random.nextInt(whole.length));
-		final Relayed first = relay(1, 0, pieces(random, cut), random.nextBoolean());
+		final Relayed first = relay(1, 0, randomChunks(random, cut), random.nextBoolean());
 		if (first.end == AttemptOutcome.COMPLETE) {
-			assertThat(first.text).isEqualTo(expected(0, TOKENS) + endOfAnswer());
+			assertThat(first.text).isEqualTo(expected(0, TOKENS) + endOfResponse());
 			return;
 		}
 		assertThat(first.end).isEqualTo(AttemptOutcome.BROKEN);
-		final Relayed second = relay(2, first.tokens, pieces(random, answer(2, first.tokens)), false);
-		assertThat(first.text + second.text).isEqualTo(expected(0, TOKENS) + endOfAnswer());
+		final Relayed second = relay(2, first.tokens, randomChunks(random, response(2, first.tokens)), false);
+		assertThat(first.text + second.text).isEqualTo(expected(0, TOKENS) + endOfResponse());
 	}
 
 	// On a connection that was used before, an event of another attempt arrives; or an
 	// event comes twice, is left out, or is not one. Another shop's proof must never
 	// stand in this answer: what was right is kept, the rest dropped, and it is reported.
 	@Property(seed = "7205", tries = 300, shrinking = ShrinkingMode.OFF)
-	void whatIsNotThisAttemptsNextTokenIsNeverPassedOn(@ForAll long seed) {
+	void onlyTheNextTokenOfTheAttemptIsForwarded(@ForAll long seed) {
 		final Random random = new Random(seed);
 		final int at = random.nextInt(TOKENS);
 		final List<String> events = new ArrayList<>();
 		for (int i = 0; i < TOKENS; i++) {
 			events.add(token(1, i));
 		}
-		events.set(at, wrong(random, at));
-		final Relayed relayed = relay(1, 0, pieces(random, join(events).getBytes(StandardCharsets.UTF_8)), false);
+		events.set(at, unexpectedEvent(random, at));
+		final Relayed relayed = relay(1, 0, randomChunks(random, join(events).getBytes(StandardCharsets.UTF_8)), false);
 		assertThat(relayed.end).isEqualTo(AttemptOutcome.MISMATCHED);
 		assertThat(relayed.text).isEqualTo(expected(0, at));
 		assertThat(relayed.tokens).isEqualTo(at);
 	}
 
-	private static String wrong(Random random, int at) {
+	private static String unexpectedEvent(Random random, int at) {
 		return switch (random.nextInt(7)) {
 			case 0 -> "id: 99-1:" + at + "\ndata: foreign\n\n";
 			case 1 -> token(2, at);
@@ -98,7 +98,7 @@
 		return "id: 1-" + attempt + ":" + position + "\ndata: w" + position + "\n\n";
 	}
 
-	private static byte[] answer(int attempt, int from) {
+	private static byte[] response(int attempt, int from) {
 		final List<String> events = new ArrayList<>();
 		for (int i = from; i < TOKENS; i++) {
 			events.add(token(attempt, i));
@@ -116,7 +116,7 @@
 		return text.toString();
 	}
 
-	private static String endOfAnswer() {
+	private static String endOfResponse() {
 		return "data: stop\n\ndata: [DONE]\n\n";
 	}
 
@@ -124,7 +124,7 @@
 		return String.join("", events);
 	}
 
-	private static List<ByteString> pieces(Random random, byte[] bytes) {
+	private static List<ByteString> randomChunks(Random random, byte[] bytes) {
 		final List<ByteString> pieces = new ArrayList<>();
 		int start = 0;
 		while (start < bytes.length) {
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/PolicySet.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/simulation/PolicySet.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.placement.LeastInFlight;
 import org.pistachioline.core.placement.PlacementPolicy;
 import org.pistachioline.core.placement.RoundRobin;
-import org.pistachioline.core.quarantine.DeathCounter;
+import org.pistachioline.core.quarantine.LogBasedQuarantine;
 import org.pistachioline.core.quarantine.NoQuarantine;
 import org.pistachioline.core.queueing.FifoQueue;
 import org.pistachioline.core.retry.BudgetedRetry;
@@ -62,7 +62,7 @@
 
 	private static TrafficPolicies limited(PlacementPolicy placement) {
 		return new TrafficPolicies(new WorkspaceLimits(), new FifoQueue(MAX_QUEUED), placement, new BudgetedRetry(),
-				new DeathCounter());
+				new LogBasedQuarantine());
 	}
 
 	/**
