--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/StreamFollower.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/stream/StreamFollower.java
@@ -11,7 +11,7 @@
 import org.pistachioline.core.event.EventId;
 import org.pistachioline.core.record.CheckpointPart;
 import org.pistachioline.core.record.LogRecord;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.Reducer;
 import org.pistachioline.core.state.RejectReason;
 import org.pistachioline.core.stream.CheckpointCoverage;
@@ -205,7 +205,7 @@
 	}
 
 	private void fold(long offset, LogRecord record) {
-		final Applied<S> applied;
+		final ApplyResult<S> applied;
 		try {
 			applied = this.reducer.apply(this.state, offset, record);
 		}
--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/target/EngineControl.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/target/EngineControl.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.pistachioline.core.fleet.EngineOrder;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 
 /**
  * Orders to a model engine, and what it holds.
@@ -15,7 +15,7 @@
 	 * @param address the instance's address
 	 * @return what it holds
 	 */
-	CompletableFuture<HeldState> held(String address);
+	CompletableFuture<EngineState> held(String address);
 
 	/**
 	 * Gives an order.
--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/target/HttpEngineControl.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/target/HttpEngineControl.java
@@ -15,8 +15,8 @@
 import org.pistachioline.adapters.http.HttpCaller;
 import org.pistachioline.adapters.http.Json;
 import org.pistachioline.core.fleet.EngineOrder;
-import org.pistachioline.core.fleet.HeldPhase;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EnginePhase;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.placement.CacheEvent;
 import org.pistachioline.core.placement.CacheEventPage;
 
@@ -40,19 +40,19 @@
 	}
 
 	@Override
-	public CompletableFuture<HeldState> held(String address) {
+	public CompletableFuture<EngineState> held(String address) {
 		return this.http.call(HttpRequest.GET("http://" + address + "/engine/held"), CALL_TIMEOUT_MILLIS)
 			.thenApply(HttpEngineControl::heldOf);
 	}
 
-	private static HeldState heldOf(HttpAnswer answer) {
+	private static EngineState heldOf(HttpAnswer answer) {
 		if (!answer.isSuccess()) {
 			throw new IllegalStateException("The engine answered " + answer.status());
 		}
 		final JsonNode node = Json.tree(answer.bodyBytes());
-		return new HeldState(node.path("instance_id").asText(), node.path("group_id").asText(),
+		return new EngineState(node.path("instance_id").asText(), node.path("group_id").asText(),
 				node.path("fencing_number").asLong(), node.path("rank").asInt(), node.path("model").asText(),
-				HeldPhase.byWireName(node.path("phase").asText()), node.path("running").asInt(),
+				EnginePhase.fromWireName(node.path("phase").asText()), node.path("running").asInt(),
 				node.path("waiting").asInt());
 	}
 
@@ -81,9 +81,9 @@
 		final Map<String, Object> body = new LinkedHashMap<>();
 		body.put("kind", order.load() ? "load" : "unload");
 		body.put("group_id", order.groupId());
-		body.put("fencing_number", order.fencingNumber());
+		body.put("fencing_number", order.fencingToken());
 		body.put("rank", order.rank());
-		body.put("members", order.members());
+		body.put("members", order.memberCount());
 		body.put("model", order.model());
 		body.put("lifetime_millis", order.lifetimeMillis());
 		final HttpRequest request = HttpRequest.POST("http://" + address + "/engine/orders")
--- a/pistachioline-adapters/src/main/java/org/pistachioline/adapters/toml/ManifestReader.java
+++ b/pistachioline-adapters/src/main/java/org/pistachioline/adapters/toml/ManifestReader.java
@@ -50,11 +50,11 @@
 		final TomlReader toml = TomlReader.parse(file, text);
 		final ManifestProposal proposal = new ManifestReader(toml).proposal();
 		final List<Fault> faults = new ArrayList<>(toml.faults());
-		final Set<String> places = faults.stream().map(Fault::place).collect(Collectors.toSet());
+		final Set<String> places = faults.stream().map(Fault::path).collect(Collectors.toSet());
 		// A pool of a kind that cannot be read would make every use of it look wrong too.
 		final boolean kindUnread = places.stream().anyMatch((place) -> place.endsWith("].kind"));
 		for (final Fault fault : ManifestValidator.validate(proposal.manifest())) {
-			if (!places.contains(fault.place()) && !(kindUnread && fault.place().endsWith("].pool"))) {
+			if (!places.contains(fault.path()) && !(kindUnread && fault.path().endsWith("].pool"))) {
 				faults.add(fault);
 			}
 		}
--- a/pistachioline-adapters/src/test/java/org/pistachioline/adapters/codec/SnapshotCodecTests.java
+++ b/pistachioline-adapters/src/test/java/org/pistachioline/adapters/codec/SnapshotCodecTests.java
@@ -53,7 +53,8 @@
 			@ForAll @Size(max = 60) List<@IntRange(max = 500) Integer> steps) throws CorruptRecordException {
 		final FleetReducer reducer = new FleetReducer();
 		FleetState state = reducer
-			.apply(reducer.initial(), 0, new LogRecord("w-0", 1, 1, new PlannerClaim("domain-0", PlannerClaim.NONE)))
+			.apply(reducer.initial(), 0,
+					new LogRecord("w-0", 1, 1, new PlannerClaim("domain-0", PlannerClaim.NO_EPOCH)))
 			.state();
 		long offset = 1;
 		for (final int step : steps) {
--- a/pistachioline-adapters/src/test/java/org/pistachioline/adapters/stream/StreamFollowerTests.java
+++ b/pistachioline-adapters/src/test/java/org/pistachioline/adapters/stream/StreamFollowerTests.java
@@ -18,7 +18,7 @@
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.record.PlannerClaim;
 import org.pistachioline.core.record.UnknownBody;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.ConfigReducer;
 import org.pistachioline.core.state.ConfigState;
 import org.pistachioline.core.state.FleetReducer;
@@ -85,7 +85,7 @@
 		final StreamFollower<FleetState> before = new StreamFollower<>(new FleetReducer(), new FleetSnapshotCodec(),
 				this.notes);
 		final Member member = new Member("i-1", "domain", "10.0.0.1:80", "zone-a", 8);
-		this.stream.append("daemon", 1, new PlannerClaim("domain", PlannerClaim.NONE));
+		this.stream.append("daemon", 1, new PlannerClaim("domain", PlannerClaim.NO_EPOCH));
 		this.stream.append("daemon", 2, new GroupFormation("g", "model", 0, List.of(member), 1));
 		this.stream.readAll(before);
 		final byte[] stateBytes = new FleetSnapshotCodec().encode(before.state());
@@ -97,7 +97,7 @@
 		this.stream.readAll(before);
 		assertThat(replaced.state()).isEqualTo(before.state());
 		assertThat(replaced.state().groups().get("g").epoch()).isEqualTo(1);
-		assertThat(replaced.state().owners()).containsEntry("i-1", "g");
+		assertThat(replaced.state().groupIdsByInstance()).containsEntry("i-1", "g");
 		assertThat(replaced.state().lastEpochs()).containsEntry("i-1", 1L);
 	}
 
@@ -295,7 +295,7 @@
 			}
 
 			@Override
-			public Applied<ConfigState> apply(ConfigState state, long offset, LogRecord record) {
+			public ApplyResult<ConfigState> apply(ConfigState state, long offset, LogRecord record) {
 				if (offset == 1) {
 					throw new IllegalStateException("a fault");
 				}
--- a/pistachioline-adapters/src/test/java/org/pistachioline/adapters/toml/ManifestReaderTests.java
+++ b/pistachioline-adapters/src/test/java/org/pistachioline/adapters/toml/ManifestReaderTests.java
@@ -27,9 +27,9 @@
 				pool = "engines"
 				members = "two"
 				""";
-		assertThatThrownBy(() -> ManifestReader.read("m.toml", toml)).isInstanceOfSatisfying(
-				InvalidInputException.class, (ex) -> assertThat(ex.faults()).extracting(Fault::place)
-					.containsExactly("colour", "base_version", "pools[0].kind", "models[0].members"));
+		assertThatThrownBy(() -> ManifestReader.read("m.toml", toml))
+			.isInstanceOfSatisfying(InvalidInputException.class, (ex) -> assertThat(ex.faults()).extracting(Fault::path)
+				.containsExactly("colour", "base_version", "pools[0].kind", "models[0].members"));
 	}
 
 	// A pipeline that learns of one fault a run takes a day to publish a manifest with
@@ -45,9 +45,9 @@
 				pool = "nowhere"
 				members = 0
 				""";
-		assertThatThrownBy(() -> ManifestReader.read("m.toml", toml)).isInstanceOfSatisfying(
-				InvalidInputException.class, (ex) -> assertThat(ex.faults()).extracting(Fault::place)
-					.containsExactly("base_version", "models[0].pool", "models[0].members", "deadlines.total_seconds"));
+		assertThatThrownBy(() -> ManifestReader.read("m.toml", toml))
+			.isInstanceOfSatisfying(InvalidInputException.class, (ex) -> assertThat(ex.faults()).extracting(Fault::path)
+				.containsExactly("base_version", "models[0].pool", "models[0].members", "deadlines.total_seconds"));
 	}
 
 	@Test
--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetLinksBenchmark.java
@@ -11,15 +11,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-import org.pistachioline.core.fleet.HeldPhase;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EnginePhase;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.peer.GossipSample;
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.peer.PeerTable;
 import org.pistachioline.core.presence.GroupDigest;
 import org.pistachioline.core.presence.PresenceLimits;
 import org.pistachioline.core.presence.PresenceNode;
-import org.pistachioline.core.presence.PresenceQuestion;
+import org.pistachioline.core.presence.PresenceRequest;
 import org.pistachioline.core.presence.PresenceStep;
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.state.GroupState;
@@ -142,7 +142,7 @@
 					new PresenceNode("daemon-" + daemon, new PresenceLimits(BEAT_NANOS, 2_500 * MILLI)));
 		}
 		final Map<String, GroupState> groups = new HashMap<>();
-		final Map<String, HeldState> held = new HashMap<>();
+		final Map<String, EngineState> held = new HashMap<>();
 		for (int number = 0; number < groupCount; number++) {
 			final GroupState group = group(number, members, number % domains, held);
 			groups.put(group.groupId(), group);
@@ -178,35 +178,37 @@
 		figures.print(name, (most ? summary.getMax() : summary.getAverage()) / MEASURED_SECONDS, unit);
 	}
 
-	private static GroupState group(int number, int members, int domain, Map<String, HeldState> held) {
+	private static GroupState group(int number, int members, int domain, Map<String, EngineState> held) {
 		final List<Member> list = new ArrayList<>();
 		final long epoch = 1_000_000 + number;
 		final String groupId = "model-" + number;
 		for (int rank = 0; rank < members; rank++) {
 			final String id = "i-" + number + "-" + rank;
 			list.add(new Member(id, "rack-" + domain, "10.0.0.1:8000", "zone-" + domain % 16, 1));
-			held.put(id, new HeldState(id, groupId, epoch, rank, "model", HeldPhase.READY, 5, 0));
+			held.put(id, new EngineState(id, groupId, epoch, rank, "model", EnginePhase.READY, 5, 0));
 		}
 		return new GroupState(groupId, "model", epoch, false, "", list, 1);
 	}
 
 	private static void step(String id, PresenceNode node, Map<String, PresenceNode> nodes,
-			Map<String, GroupState> groups, Map<String, String> zones, Map<String, HeldState> held,
+			Map<String, GroupState> groups, Map<String, String> zones, Map<String, EngineState> held,
 			Map<String, Counts> counts, long nowNanos) {
 		final Counts mine = counts.get(id);
 		final long begunAtNanos = System.nanoTime();
 		node.update(groups, zones, nowNanos);
 		final PresenceStep step = node.step(List.of(), nowNanos);
-		step.probes().forEach((member) -> node.onHeld(member.instanceId(), held.get(member.instanceId()), nowNanos));
+		step.probes()
+			.forEach((member) -> node.onProbeResponse(member.instanceId(), held.get(member.instanceId()), nowNanos));
 		node.proofs(nowNanos);
 		mine.nanos += System.nanoTime() - begunAtNanos;
 		mine.probes += step.probes().size();
-		for (final PresenceQuestion question : step.questions()) {
+		for (final PresenceRequest question : step.requests()) {
 			mine.frame(PresenceTransport.frameOf(id, question).getSerializedSize());
-			final List<GroupDigest> answer = nodes.get(question.daemonId()).answer(question.epochs(), nowNanos);
+			final List<GroupDigest> answer = nodes.get(question.daemonId()).respond(question.epochs(), nowNanos);
 			counts.get(question.daemonId())
-				.frame(PresenceTransport.frameOf(question.daemonId(), question.token(), answer).getSerializedSize());
-			node.onAnswer(question.daemonId(), question.token(), answer);
+				.frame(PresenceTransport.frameOf(question.daemonId(), question.correlationId(), answer)
+					.getSerializedSize());
+			node.onResponse(question.daemonId(), question.correlationId(), answer);
 		}
 	}
 
--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetSamples.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/FleetSamples.java
@@ -26,7 +26,7 @@
 	 */
 	static List<RecordBody> formations(int replicas, int members) {
 		final List<RecordBody> bodies = new ArrayList<>();
-		bodies.add(new PlannerClaim(DOMAIN, PlannerClaim.NONE));
+		bodies.add(new PlannerClaim(DOMAIN, PlannerClaim.NO_EPOCH));
 		for (int group = 0; group < replicas; group++) {
 			final List<Member> ranks = new ArrayList<>();
 			for (int rank = 0; rank < members; rank++) {
--- a/pistachioline-bench/src/main/java/org/pistachioline/bench/PlannerBenchmark.java
+++ b/pistachioline-bench/src/main/java/org/pistachioline/bench/PlannerBenchmark.java
@@ -3,8 +3,8 @@
 import org.pistachioline.core.manifest.WeightSpec;
 import org.pistachioline.core.planner.AlwaysDissolve;
 import org.pistachioline.core.planner.AlwaysWait;
+import org.pistachioline.core.planner.CostBasedWait;
 import org.pistachioline.core.planner.MemberLossPolicy;
-import org.pistachioline.core.planner.WeighedLoss;
 import org.pistachioline.replay.fleet.FleetFigures;
 import org.pistachioline.replay.fleet.LossComparison;
 
@@ -26,7 +26,7 @@
 	@Override
 	public void run(Figures figures) {
 		for (final Customer customer : Customer.values()) {
-			print(figures, customer, "weighed", new WeighedLoss());
+			print(figures, customer, "weighed", new CostBasedWait());
 			print(figures, customer, "always wait", new AlwaysWait());
 			print(figures, customer, "always dissolve", new AlwaysDissolve());
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimEntry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimEntry.java
@@ -21,7 +21,7 @@
 	 * is not run as a new request.
 	 * @return the end, by the claimer's wall clock
 	 */
-	public long keptUntilMillis() {
+	public long retainedUntilMillis() {
 		final long lifetimeMillis = Math.max(0, this.claim.expiresAtMillis() - this.claim.claimedAtMillis());
 		return this.claim.expiresAtMillis() + lifetimeMillis;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsReducer.java
@@ -8,7 +8,7 @@
 import org.pistachioline.core.record.KeyRelease;
 import org.pistachioline.core.record.LogRecord;
 import org.pistachioline.core.record.UnknownBody;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.Reducer;
 import org.pistachioline.core.state.RejectReason;
 
@@ -29,9 +29,9 @@
 	}
 
 	@Override
-	public Applied<ClaimsState> apply(ClaimsState state, long offset, LogRecord record) {
-		if (state.writers().isRepeat(record)) {
-			return Applied.rejected(state, RejectReason.REPEATED);
+	public ApplyResult<ClaimsState> apply(ClaimsState state, long offset, LogRecord record) {
+		if (state.writers().isDuplicate(record)) {
+			return ApplyResult.rejected(state, RejectReason.REPEATED);
 		}
 		final ClaimsState marked = state.withWriters(state.writers().with(offset, record));
 		if (record.body() instanceof KeyClaim claim) {
@@ -41,47 +41,47 @@
 			return release(marked, release);
 		}
 		if (record.body() instanceof KeyOutcome outcome) {
-			return settle(marked, outcome);
+			return storeOutcome(marked, outcome);
 		}
 		if (record.body() instanceof CheckpointPart) {
 			// It restates what the state says already; only its writer's mark moves.
-			return Applied.accepted(marked);
+			return ApplyResult.accepted(marked);
 		}
 		final boolean unknown = record.body() instanceof UnknownBody;
-		return Applied.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
+		return ApplyResult.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
 	}
 
-	private static Applied<ClaimsState> claim(ClaimsState state, long offset, String writer, KeyClaim claim) {
+	private static ApplyResult<ClaimsState> claim(ClaimsState state, long offset, String writer, KeyClaim claim) {
 		final String key = ClaimsState.keyOf(claim.workspace(), claim.key());
-		final ClaimsState current = state.withoutExpired(claim.claimedAtMillis());
+		final ClaimsState current = state.evictExpired(claim.claimedAtMillis());
 		if (current.entries().containsKey(key)) {
-			return Applied.rejected(current, RejectReason.KEY_TAKEN);
+			return ApplyResult.rejected(current, RejectReason.KEY_TAKEN);
 		}
-		if (current.entries().size() >= ClaimsState.MOST_ENTRIES) {
-			return Applied.rejected(current, RejectReason.CLAIMS_FULL);
+		if (current.entries().size() >= ClaimsState.MAX_ENTRIES) {
+			return ApplyResult.rejected(current, RejectReason.CLAIMS_FULL);
 		}
-		return Applied.accepted(current.withEntry(key, new ClaimEntry(claim, offset, writer, Optional.empty())));
+		return ApplyResult.accepted(current.withEntry(key, new ClaimEntry(claim, offset, writer, Optional.empty())));
 	}
 
-	private static Applied<ClaimsState> release(ClaimsState state, KeyRelease release) {
+	private static ApplyResult<ClaimsState> release(ClaimsState state, KeyRelease release) {
 		final String key = ClaimsState.keyOf(release.workspace(), release.key());
 		final ClaimEntry entry = state.entries().get(key);
 		if (entry == null || entry.claimOffset() != release.claimOffset() || entry.outcome().isPresent()) {
-			return Applied.rejected(state, RejectReason.UNKNOWN_CLAIM);
+			return ApplyResult.rejected(state, RejectReason.UNKNOWN_CLAIM);
 		}
-		return Applied.accepted(state.without(key));
+		return ApplyResult.accepted(state.without(key));
 	}
 
-	private static Applied<ClaimsState> settle(ClaimsState state, KeyOutcome outcome) {
+	private static ApplyResult<ClaimsState> storeOutcome(ClaimsState state, KeyOutcome outcome) {
 		final String key = ClaimsState.keyOf(outcome.workspace(), outcome.key());
 		final ClaimEntry entry = state.entries().get(key);
 		if (entry == null || entry.claimOffset() != outcome.claimOffset() || entry.outcome().isPresent()) {
-			return Applied.rejected(state, RejectReason.UNKNOWN_CLAIM);
+			return ApplyResult.rejected(state, RejectReason.UNKNOWN_CLAIM);
 		}
-		final boolean fits = state.storedBytes() + outcome.body().length() <= ClaimsState.MOST_STORED_BYTES;
+		final boolean fits = state.storedBytes() + outcome.body().length() <= ClaimsState.MAX_STORED_BYTES;
 		final KeyOutcome kept = fits ? outcome : new KeyOutcome(outcome.workspace(), outcome.key(),
 				outcome.claimOffset(), outcome.status(), outcome.contentType(), "", true);
-		return Applied.accepted(state.withEntry(key,
+		return ApplyResult.accepted(state.withEntry(key,
 				new ClaimEntry(entry.claim(), entry.claimOffset(), entry.writer(), Optional.of(kept))));
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/ClaimsState.java
@@ -24,15 +24,15 @@
 	public static final ClaimsState EMPTY = new ClaimsState(HashTreePMap.empty(), WriterMarks.EMPTY);
 
 	/** From how many entries on those past their keeping are dropped. */
-	public static final int KEPT_ENTRIES = 8_192;
+	public static final int EVICTION_THRESHOLD_ENTRIES = 8_192;
 
 	/** How many entries a partition holds; with it full, no claim is granted. */
-	public static final int MOST_ENTRIES = 32_768;
+	public static final int MAX_ENTRIES = 32_768;
 
 	/** How much of the answers a partition stores. */
-	public static final long MOST_STORED_BYTES = 8L * 1024 * 1024;
+	public static final long MAX_STORED_BYTES = 8L * 1024 * 1024;
 
-	private static final int MOST_DROPPED_AT_ONCE = 4;
+	private static final int MAX_EVICTIONS_PER_CLAIM = 4;
 
 	/**
 	 * Creates a state from its entries, such as those of a checkpoint.
@@ -71,21 +71,22 @@
 		final ClaimEntry before = this.entries.get(key);
 		final long replacedBytes = (before != null) ? before.storedBytes() : 0;
 		return new ClaimsState(this.entries.plus(key, entry),
-				this.byExpiry.plus(new Expiry(entry.keptUntilMillis(), key), key),
+				this.byExpiry.plus(new Expiry(entry.retainedUntilMillis(), key), key),
 				this.storedBytes - replacedBytes + entry.storedBytes(), this.writers);
 	}
 
 	ClaimsState without(String key) {
 		final ClaimEntry entry = this.entries.get(key);
-		return new ClaimsState(this.entries.minus(key), this.byExpiry.minus(new Expiry(entry.keptUntilMillis(), key)),
+		return new ClaimsState(this.entries.minus(key),
+				this.byExpiry.minus(new Expiry(entry.retainedUntilMillis(), key)),
 				this.storedBytes - entry.storedBytes(), this.writers);
 	}
 
-	ClaimsState withoutExpired(long atMillis) {
+	ClaimsState evictExpired(long atMillis) {
 		ClaimsState state = this;
-		for (int i = 0; i < MOST_DROPPED_AT_ONCE && state.entries.size() > KEPT_ENTRIES; i++) {
+		for (int i = 0; i < MAX_EVICTIONS_PER_CLAIM && state.entries.size() > EVICTION_THRESHOLD_ENTRIES; i++) {
 			final Expiry first = state.byExpiry.firstKey();
-			if (first.keptUntilMillis() > atMillis) {
+			if (first.retainedUntilMillis() > atMillis) {
 				break;
 			}
 			state = state.without(first.key());
@@ -96,7 +97,7 @@
 	private static PSortedMap<Expiry, String> indexOf(PMap<String, ClaimEntry> entries) {
 		PSortedMap<Expiry, String> index = TreePMap.empty();
 		for (final var entry : entries.entrySet()) {
-			index = index.plus(new Expiry(entry.getValue().keptUntilMillis(), entry.getKey()), entry.getKey());
+			index = index.plus(new Expiry(entry.getValue().retainedUntilMillis(), entry.getKey()), entry.getKey());
 		}
 		return index;
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/claims/Expiry.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/claims/Expiry.java
@@ -5,12 +5,12 @@
 /**
  * Orders claims by the end of their keeping, and by key where that is the same.
  *
- * @param keptUntilMillis the end, by the claimer's wall clock
+ * @param retainedUntilMillis the end, by the claimer's wall clock
  * @param key the workspace and key
  */
-public record Expiry(long keptUntilMillis, String key) implements Comparable<Expiry> {
+public record Expiry(long retainedUntilMillis, String key) implements Comparable<Expiry> {
 
-	private static final Comparator<Expiry> ORDER = Comparator.comparingLong(Expiry::keptUntilMillis)
+	private static final Comparator<Expiry> ORDER = Comparator.comparingLong(Expiry::retainedUntilMillis)
 		.thenComparing(Expiry::key);
 
 	@Override
--- a/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EngineOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EngineOrder.java
@@ -5,13 +5,13 @@
  *
  * @param load whether to load; otherwise to unload
  * @param groupId the group
- * @param fencingNumber the group's epoch
+ * @param fencingToken the group's epoch
  * @param rank the instance's rank
- * @param members how many members the group has
+ * @param memberCount how many members the group has
  * @param model the model
  * @param lifetimeMillis how long the order may be acted upon after it was sent
  */
-public record EngineOrder(boolean load, String groupId, long fencingNumber, int rank, int members, String model,
+public record EngineOrder(boolean load, String groupId, long fencingToken, int rank, int memberCount, String model,
 		long lifetimeMillis) {
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/fleet/HeldPhase.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EnginePhase.java
@@ -5,7 +5,7 @@
 /**
  * How far an engine is with the model that it was told to load.
  */
-public enum HeldPhase {
+public enum EnginePhase {
 
 	/** It holds nothing. */
 	FREE,
@@ -24,8 +24,8 @@
 	 * @param name the name, in lower case
 	 * @return the phase
 	 */
-	public static HeldPhase byWireName(String name) {
-		for (final HeldPhase phase : values()) {
+	public static EnginePhase fromWireName(String name) {
+		for (final EnginePhase phase : values()) {
 			if (phase.name().toLowerCase(Locale.ROOT).equals(name)) {
 				return phase;
 			}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/fleet/HeldState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/fleet/EngineState.java
@@ -5,14 +5,14 @@
  *
  * @param instanceId the instance
  * @param groupId the group that it believes to be in; empty where it is free
- * @param fencingNumber the group's epoch, or the highest fencing number seen
+ * @param fencingToken the group's epoch, or the highest fencing number seen
  * @param rank its rank in the group
  * @param model the model that it holds
  * @param phase how far it is
  * @param running how many requests it runs
  * @param waiting how many requests wait there
  */
-public record HeldState(String instanceId, String groupId, long fencingNumber, int rank, String model, HeldPhase phase,
-		int running, int waiting) {
+public record EngineState(String instanceId, String groupId, long fencingToken, int rank, String model,
+		EnginePhase phase, int running, int waiting) {
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ManifestValidator.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/manifest/ManifestValidator.java
@@ -51,18 +51,18 @@
 	 * @return the faults, in the manifest's order; empty where it is valid
 	 */
 	public static List<Fault> validate(Manifest manifest) {
-		return new ManifestValidator(manifest).run();
+		return new ManifestValidator(manifest).collectFaults();
 	}
 
-	private List<Fault> run() {
+	private List<Fault> collectFaults() {
 		checkPools();
 		checkModels();
 		checkServices();
 		checkWorkspaces();
 		checkPositive("weights.group_downtime", this.manifest.weights().groupDowntime());
 		checkPositive("weights.stranded_accelerators", this.manifest.weights().strandedAccelerators());
-		checkRequestTime("deadlines.first_token_seconds", this.manifest.deadlines().firstTokenMillis());
-		checkRequestTime("deadlines.total_seconds", this.manifest.deadlines().totalMillis());
+		checkRequestDuration("deadlines.first_token_seconds", this.manifest.deadlines().firstTokenMillis());
+		checkRequestDuration("deadlines.total_seconds", this.manifest.deadlines().totalMillis());
 		return List.copyOf(this.faults);
 	}
 
@@ -95,7 +95,7 @@
 		for (final ServiceSpec service : this.manifest.services()) {
 			final String place = "services[" + index + "].";
 			checkPool(place + "pool", service.pool(), PoolKind.SERVICE);
-			checkRequestTime(place + "timeout_seconds", service.timeoutMillis());
+			checkRequestDuration(place + "timeout_seconds", service.timeoutMillis());
 			int operationIndex = 0;
 			for (final OperationSpec operation : service.operations()) {
 				checkOperation(place + "operations[" + operationIndex + "].", operation);
@@ -107,10 +107,10 @@
 
 	private void checkOperation(String place, OperationSpec operation) {
 		if (!METHOD.matcher(operation.method()).matches()) {
-			fault(place + "method", operation.method(), "an HTTP method in capitals");
+			addFault(place + "method", operation.method(), "an HTTP method in capitals");
 		}
 		if (!operation.pathPrefix().startsWith("/")) {
-			fault(place + "path_prefix", operation.pathPrefix(), "a path that starts with /");
+			addFault(place + "path_prefix", operation.pathPrefix(), "a path that starts with /");
 		}
 		if (!operation.idempotent()) {
 			checkRange(place + "key_lifetime_seconds", operation.keyLifetimeMillis(), 1, MAX_KEY_LIFETIME_MILLIS);
@@ -130,12 +130,12 @@
 			checkPositive(place + "weight", workspace.weight());
 			for (final String model : workspace.models()) {
 				if (this.manifest.model(model).isEmpty()) {
-					fault(place + "models", model, "a declared model");
+					addFault(place + "models", model, "a declared model");
 				}
 			}
 			for (final String service : workspace.services()) {
 				if (this.manifest.service(service).isEmpty()) {
-					fault(place + "services", service, "a declared service");
+					addFault(place + "services", service, "a declared service");
 				}
 			}
 			index++;
@@ -144,14 +144,14 @@
 
 	private void checkKeys(String place, List<String> keys, Set<String> seen) {
 		if (keys.isEmpty()) {
-			fault(place, "no key", "at least one SHA-256 hash in hex");
+			addFault(place, "no key", "at least one SHA-256 hash in hex");
 		}
 		for (final String key : keys) {
 			if (!SHA256.matcher(key).matches()) {
-				fault(place, "a value of " + key.length() + " characters", "a SHA-256 hash, 64 hex digits");
+				addFault(place, "a value of " + key.length() + " characters", "a SHA-256 hash, 64 hex digits");
 			}
 			else if (!seen.add(key)) {
-				fault(place, "a hash that stands twice", "a hash of one workspace only");
+				addFault(place, "a hash that stands twice", "a hash of one workspace only");
 			}
 		}
 	}
@@ -161,11 +161,11 @@
 		for (int i = 0; i < specs.size(); i++) {
 			final String value = name.apply(specs.get(i));
 			if (!NAME.matcher(value).matches()) {
-				fault(place + "[" + i + "].name", quoted(value),
+				addFault(place + "[" + i + "].name", quoted(value),
 						"1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit");
 			}
 			else if (!seen.add(value)) {
-				fault(place + "[" + i + "].name", quoted(value), "a name that is used once");
+				addFault(place + "[" + i + "].name", quoted(value), "a name that is used once");
 			}
 		}
 	}
@@ -173,29 +173,29 @@
 	private void checkPool(String place, String name, PoolKind kind) {
 		final boolean known = this.manifest.pool(name).filter((pool) -> pool.kind() == kind).isPresent();
 		if (!known) {
-			fault(place, quoted(name), "a declared pool of kind " + kind.manifestName());
+			addFault(place, quoted(name), "a declared pool of kind " + kind.manifestName());
 		}
 	}
 
 	private void checkRange(String place, long value, long least, long most) {
 		if (value < least || value > most) {
-			fault(place, Long.toString(value), least + " to " + most);
+			addFault(place, Long.toString(value), least + " to " + most);
 		}
 	}
 
-	private void checkRequestTime(String place, long millis) {
+	private void checkRequestDuration(String place, long millis) {
 		if (millis < 1 || millis > MAX_REQUEST_MILLIS) {
-			fault(place, millis + " ms", "1 to " + MAX_REQUEST_MILLIS + " ms");
+			addFault(place, millis + " ms", "1 to " + MAX_REQUEST_MILLIS + " ms");
 		}
 	}
 
 	private void checkPositive(String place, double value) {
 		if (!(value > 0) || Double.isInfinite(value)) {
-			fault(place, Double.toString(value), "a number above 0");
+			addFault(place, Double.toString(value), "a number above 0");
 		}
 	}
 
-	private void fault(String place, String found, String allowed) {
+	private void addFault(String place, String found, String allowed) {
 		this.faults.add(new Fault(place, found, allowed));
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/WeighedLoss.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/CostBasedWait.java
@@ -21,32 +21,32 @@
  * </ul>
  * Of the two in the middle the one that comes first by the weights is taken.
  */
-public final class WeighedLoss implements MemberLossPolicy {
+public final class CostBasedWait implements MemberLossPolicy {
 
 	/** A group lent to another model is down for some loads, not for one. */
-	private static final double LOADS_UNTIL_BACK = 4;
+	private static final double LENDING_LOADS = 4;
 
 	@Override
 	public long waitNanos(MemberLoss loss) {
 		if (loss.replaceable()) {
-			return loss.loadNanos();
+			return loss.expectedLoadNanos();
 		}
 		double waitLoads = Double.MAX_VALUE;
 		final double downtimeRate = loss.weights().groupDowntime();
 		final double strandedWeight = loss.weights().strandedAccelerators();
 		final double waitingRate = strandedWeight * loss.survivingAccelerators();
-		if (loss.drainedAccelerators() != MemberLoss.NO_ROOM) {
+		if (loss.acceleratorsToDrain() != MemberLoss.NOT_RECLAIMABLE) {
 			final double actingRate = downtimeRate
-					+ strandedWeight * (loss.accelerators() + loss.drainedAccelerators());
+					+ strandedWeight * (loss.accelerators() + loss.acceleratorsToDrain());
 			waitLoads = actingRate / (downtimeRate + waitingRate);
 		}
-		if (loss.wantedElsewhere() && waitingRate > 0) {
-			final double lendingRate = LOADS_UNTIL_BACK * downtimeRate
+		if (loss.neededElsewhere() && waitingRate > 0) {
+			final double lendingRate = LENDING_LOADS * downtimeRate
 					+ strandedWeight * (loss.survivingAccelerators() + loss.accelerators());
 			waitLoads = Math.min(waitLoads, lendingRate / waitingRate);
 		}
 		return (waitLoads == Double.MAX_VALUE) ? Long.MAX_VALUE
-				: (long) Math.min(Long.MAX_VALUE / 2, waitLoads * loss.loadNanos());
+				: (long) Math.min(Long.MAX_VALUE / 2, waitLoads * loss.expectedLoadNanos());
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/FreeInstances.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/FreeInstances.java
@@ -20,8 +20,8 @@
 
 	FreeInstances(PlannerInput input) {
 		for (final Instance instance : input.instances()) {
-			final boolean usable = !instance.leaving() && !input.fleet().owners().containsKey(instance.id())
-					&& !input.silent().contains(instance.id());
+			final boolean usable = !instance.leaving() && !input.fleet().groupIdsByInstance().containsKey(instance.id())
+					&& !input.unresponsiveIds().contains(instance.id());
 			if (usable) {
 				this.byPoolAndDomain.computeIfAbsent(instance.pool(), (key) -> new TreeMap<>())
 					.computeIfAbsent(instance.fabricDomain(),
@@ -36,24 +36,24 @@
 	}
 
 	int count(String pool, String domain) {
-		return in(pool, domain).size();
+		return instancesIn(pool, domain).size();
 	}
 
 	int accelerators(String pool, String domain) {
-		return in(pool, domain).stream().mapToInt(Instance::accelerators).sum();
+		return instancesIn(pool, domain).stream().mapToInt(Instance::accelerators).sum();
 	}
 
-	String zone(String pool, String domain) {
-		return in(pool, domain).stream().map(Instance::availabilityZone).findFirst().orElse("");
+	String availabilityZone(String pool, String domain) {
+		return instancesIn(pool, domain).stream().map(Instance::availabilityZone).findFirst().orElse("");
 	}
 
 	List<Instance> take(String pool, String domain, int count) {
-		final List<Instance> taken = in(pool, domain).stream().limit(count).collect(Collectors.toList());
-		taken.forEach(in(pool, domain)::remove);
+		final List<Instance> taken = instancesIn(pool, domain).stream().limit(count).collect(Collectors.toList());
+		taken.forEach(instancesIn(pool, domain)::remove);
 		return taken;
 	}
 
-	private Set<Instance> in(String pool, String domain) {
+	private Set<Instance> instancesIn(String pool, String domain) {
 		return this.byPoolAndDomain.getOrDefault(pool, Map.of()).getOrDefault(domain, Set.of());
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLoad.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLoad.java
@@ -5,11 +5,11 @@
  *
  * @param running how many requests it runs, from all daemons
  * @param waiting how many wait there
- * @param askedAtNanos the monotonic time from before it was asked
+ * @param probedAtNanos the monotonic time from before it was asked
  */
-public record GroupLoad(int running, int waiting, long askedAtNanos) {
+public record GroupLoad(int running, int waiting, long probedAtNanos) {
 
-	int total() {
+	int totalRequests() {
 		return this.running + this.waiting;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupLayout.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlacement.java
@@ -25,15 +25,15 @@
  * whole domains stay free for large groups. The weight store's rate bounds how many loads
  * begin in a minute: more at once would make every one of them slower.
  */
-final class GroupLayout {
+final class GroupPlacement {
 
 	/** More records in one plan than this wait for the next. */
-	private static final int MAX_FORMATIONS = 16;
+	private static final int MAX_FORMATIONS_PER_PLAN = 16;
 
 	/**
 	 * A domain that is chosen for this long without a group being formed is passed over.
 	 */
-	private static final long PASSED_OVER_NANOS = 30_000_000_000L;
+	private static final long FORMATION_TIMEOUT_NANOS = 30_000_000_000L;
 
 	private final PlannerInput input;
 
@@ -43,28 +43,28 @@
 
 	private final FreeInstances free;
 
-	private final Reclaim reclaim;
+	private final InstanceReclaimer reclaimer;
 
-	private int formed;
+	private int formationCount;
 
 	private final Map<String, Integer> groupsByModelAndZone = new HashMap<>();
 
-	private final Map<String, Integer> loadsByPool = new HashMap<>();
+	private final Map<String, Integer> plannedLoadsByPool = new HashMap<>();
 
-	GroupLayout(PlannerInput input, PlannerMemory memory, PlanDraft draft) {
+	GroupPlacement(PlannerInput input, PlannerMemory memory, PlanDraft draft) {
 		this.input = input;
 		this.memory = memory;
 		this.draft = draft;
 		this.free = new FreeInstances(input);
-		this.reclaim = new Reclaim(input, memory, draft, this.free);
+		this.reclaimer = new InstanceReclaimer(input, memory, draft, this.free);
 		for (final GroupState group : input.fleet().groups().values()) {
 			if (!group.draining()) {
-				countIn(group.model(), group.members().get(0).availabilityZone());
+				addToZone(group.model(), group.members().get(0).availabilityZone());
 			}
 		}
 	}
 
-	private void countIn(String model, String zone) {
+	private void addToZone(String model, String zone) {
 		this.groupsByModelAndZone.merge(model + '\n' + zone, 1, Integer::sum);
 	}
 
@@ -73,28 +73,28 @@
 	// do busy models get more. Within each the models take turns, the larger groups
 	// first, as
 	// they fit into fewer places.
-	void layOut() {
+	void placeGroups() {
 		final List<ModelSpec> models = this.input.manifest()
 			.models()
 			.stream()
 			.sorted(Comparator.comparingInt((ModelSpec model) -> -model.members()).thenComparing(ModelSpec::name))
 			.toList();
-		layOut(models, (model) -> this.draft.countedOf(model.name()) < model.minReplicas());
+		placeGroups(models, (model) -> this.draft.countedReplicas(model.name()) < model.minReplicas());
 		for (final ModelSpec model : models) {
-			if (this.draft.countedOf(model.name()) < model.minReplicas() && !isPaced(model)) {
-				this.reclaim.makeRoom(model);
+			if (this.draft.countedReplicas(model.name()) < model.minReplicas() && !isRateLimited(model)) {
+				this.reclaimer.reclaimFor(model);
 			}
 		}
-		layOut(models, (model) -> this.draft.missingReplicas(model.name()) > 0);
+		placeGroups(models, (model) -> this.draft.missingReplicas(model.name()) > 0);
 	}
 
-	private void layOut(List<ModelSpec> models, Predicate<ModelSpec> wants) {
+	private void placeGroups(List<ModelSpec> models, Predicate<ModelSpec> wants) {
 		boolean progress = true;
 		while (progress) {
 			progress = false;
 			for (final ModelSpec model : models) {
-				if (this.formed < MAX_FORMATIONS && wants.test(model) && place(model)) {
-					this.formed++;
+				if (this.formationCount < MAX_FORMATIONS_PER_PLAN && wants.test(model) && place(model)) {
+					this.formationCount++;
 					progress = true;
 				}
 			}
@@ -102,9 +102,9 @@
 	}
 
 	// A group larger than a minute's loads must still be formed, alone.
-	private boolean isPaced(ModelSpec model) {
-		final int paced = this.loadsByPool.getOrDefault(model.pool(), 0)
-				+ this.memory.loadsWithinMinute(model.pool(), this.input.nowNanos());
+	private boolean isRateLimited(ModelSpec model) {
+		final int paced = this.plannedLoadsByPool.getOrDefault(model.pool(), 0)
+				+ this.memory.loadsStartedWithinMinute(model.pool(), this.input.nowNanos());
 		final double perMinute = this.input.manifest()
 			.pool(model.pool())
 			.map(PoolSpec::weightStoreLoadsPerMinute)
@@ -113,34 +113,34 @@
 	}
 
 	private boolean place(ModelSpec model) {
-		if (isPaced(model)) {
-			this.draft.hinder(model.pool(), "the weight store's rate is used up");
+		if (isRateLimited(model)) {
+			this.draft.setBlockReason(model.pool(), "the weight store's rate is used up");
 			return false;
 		}
-		final Optional<String> domain = choose(model);
+		final Optional<String> domain = selectDomain(model);
 		if (domain.isEmpty()) {
 			return false;
 		}
-		final String zone = this.free.zone(model.pool(), domain.get());
+		final String zone = this.free.availabilityZone(model.pool(), domain.get());
 		final List<Instance> instances = this.free.take(model.pool(), domain.get(), model.members());
-		this.loadsByPool.merge(model.pool(), model.members(), Integer::sum);
-		this.draft.counted(model.name());
-		countIn(model.name(), zone);
-		propose(model, domain.get(), instances);
+		this.plannedLoadsByPool.merge(model.pool(), model.members(), Integer::sum);
+		this.draft.addReplica(model.name());
+		addToZone(model.name(), zone);
+		proposeFormation(model, domain.get(), instances);
 		return true;
 	}
 
-	private Optional<String> choose(ModelSpec model) {
+	private Optional<String> selectDomain(ModelSpec model) {
 		final Set<String> candidates = new HashSet<>(this.free.domains(model.pool()));
 		candidates.removeIf((domain) -> this.free.count(model.pool(), domain) < model.members()
-				|| this.draft.darkDomains().contains(domain) || this.reclaim.isReserved(domain));
+				|| this.draft.unreachableDomains().contains(domain) || this.reclaimer.isReserved(domain));
 		final Comparator<String> order = Comparator
 			.comparingInt((String domain) -> this.groupsByModelAndZone
-				.getOrDefault(model.name() + '\n' + this.free.zone(model.pool(), domain), 0))
+				.getOrDefault(model.name() + '\n' + this.free.availabilityZone(model.pool(), domain), 0))
 			.thenComparingInt((domain) -> this.free.count(model.pool(), domain) - model.members())
 			.thenComparing(Comparator.naturalOrder());
 		Optional<String> best = candidates.stream().min(order);
-		while (best.isPresent() && isPassedOver(model, best.get())) {
+		while (best.isPresent() && isFormationOverdue(model, best.get())) {
 			candidates.remove(best.get());
 			best = candidates.stream().min(order);
 		}
@@ -150,17 +150,17 @@
 	// Its planner is gone, or knows that instances there do not answer. Only a domain
 	// that
 	// is the choice is noted, and for as long as the same number of instances stays free.
-	private boolean isPassedOver(ModelSpec model, String domain) {
-		if (this.input.mine(domain).isPresent()) {
+	private boolean isFormationOverdue(ModelSpec model, String domain) {
+		if (this.input.ownEpoch(domain).isPresent()) {
 			return false;
 		}
 		final String what = "chosen " + model.name() + ' ' + domain + ' ' + this.free.count(model.pool(), domain);
-		return this.input.nowNanos() - this.memory.since(what, this.input.nowNanos()) >= PASSED_OVER_NANOS;
+		return this.input.nowNanos() - this.memory.sinceNanos(what, this.input.nowNanos()) >= FORMATION_TIMEOUT_NANOS;
 	}
 
-	private void propose(ModelSpec model, String domain, List<Instance> instances) {
-		instances.forEach((instance) -> this.draft.take(instance.id()));
-		this.input.mine(domain).ifPresent((planner) -> {
+	private void proposeFormation(ModelSpec model, String domain, List<Instance> instances) {
+		instances.forEach((instance) -> this.draft.markAssigned(instance.id()));
+		this.input.ownEpoch(domain).ifPresent((planner) -> {
 			final List<Member> members = instances.stream()
 				.map((instance) -> new Member(instance.id(), instance.fabricDomain(), instance.address(),
 						instance.availabilityZone(), instance.accelerators()))
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/GroupPlanner.java
@@ -37,7 +37,7 @@
 
 	@Override
 	public Plan plan(PlannerInput input, PlannerMemory memory) {
-		memory.begin(input);
+		memory.startPass(input);
 		final PlanDraft draft = new PlanDraft(input);
 		final Map<String, List<GroupState>> byModel = new TreeMap<>(
 				input.fleet().groups().values().stream().collect(Collectors.groupingBy(GroupState::model)));
@@ -45,26 +45,26 @@
 			.groups()
 			.values()
 			.stream()
-			.filter((group) -> input.mine(group.fabricDomain()).isPresent())
+			.filter((group) -> input.ownEpoch(group.fabricDomain()).isPresent())
 			.toList();
-		draft.darkDomains().addAll(DarkDomains.of(input, memory, mine));
-		final GroupReview review = new GroupReview(input, memory, draft, this.lossPolicy);
+		draft.unreachableDomains().addAll(UnreachableDomains.find(input, memory, mine));
+		final GroupLifecycle review = new GroupLifecycle(input, memory, draft, this.lossPolicy);
 		for (final ModelSpec model : input.manifest().models()) {
 			final List<GroupState> groups = byModel.getOrDefault(model.name(), List.of());
-			final int desired = ReplicaTarget.of(input, memory, model, groups);
-			draft.desire(model, desired, review.counted(groups));
+			final int desired = ReplicaAutoscaler.desiredReplicas(input, memory, model, groups);
+			draft.setReplicaCounts(model, desired, review.countReplicas(groups));
 		}
-		for (final GroupState group : sorted(mine)) {
-			review.review(group);
+		for (final GroupState group : sortedByEpoch(mine)) {
+			review.decide(group);
 		}
 		drainExcess(input, draft, byModel);
-		new GroupLayout(input, memory, draft).layOut();
-		explainFree(input, draft);
-		memory.end();
-		return draft.plan();
+		new GroupPlacement(input, memory, draft).placeGroups();
+		explainFreeInstances(input, draft);
+		memory.endPass();
+		return draft.toPlan();
 	}
 
-	private static List<GroupState> sorted(Collection<GroupState> groups) {
+	private static List<GroupState> sortedByEpoch(Collection<GroupState> groups) {
 		final List<GroupState> sorted = new ArrayList<>(groups);
 		sorted.sort((first, second) -> Long.compare(first.epoch(), second.epoch()));
 		return sorted;
@@ -73,41 +73,42 @@
 	// The newest go first: they have the least cached, and all planners agree on them.
 	private static void drainExcess(PlannerInput input, PlanDraft draft, Map<String, List<GroupState>> byModel) {
 		for (final ModelSpec model : input.manifest().models()) {
-			final List<GroupState> groups = sorted(byModel.getOrDefault(model.name(), List.of())).stream()
-				.filter((group) -> !group.draining() && !draft.isLost(group))
+			final List<GroupState> groups = sortedByEpoch(byModel.getOrDefault(model.name(), List.of())).stream()
+				.filter((group) -> !group.draining() && !draft.hasUnresponsiveMember(group))
 				.toList();
-			for (int i = draft.desired(model.name()); i < groups.size(); i++) {
+			for (int i = draft.desiredReplicas(model.name()); i < groups.size(); i++) {
 				final GroupState group = groups.get(i);
-				input.mine(group.fabricDomain())
-					.filter((planner) -> !draft.isChanged(group))
+				input.ownEpoch(group.fabricDomain())
+					.filter((planner) -> !draft.isOutdated(group))
 					.ifPresent((planner) -> draft.drain(group, planner, "more replicas than demand needs"));
 			}
 		}
 	}
 
-	private static void explainFree(PlannerInput input, PlanDraft draft) {
+	private static void explainFreeInstances(PlannerInput input, PlanDraft draft) {
 		for (final Instance instance : input.instances()) {
-			final boolean free = input.mine(instance.fabricDomain()).isPresent()
-					&& !input.fleet().owners().containsKey(instance.id()) && !draft.isTaken(instance.id());
+			final boolean free = input.ownEpoch(instance.fabricDomain()).isPresent()
+					&& !input.fleet().groupIdsByInstance().containsKey(instance.id())
+					&& !draft.isAssigned(instance.id());
 			if (free) {
-				draft.explainFree(instance.id(), reasonOf(input, draft, instance));
+				draft.explainFree(instance.id(), reasonWhyFree(input, draft, instance));
 			}
 		}
 	}
 
-	private static String reasonOf(PlannerInput input, PlanDraft draft, Instance instance) {
+	private static String reasonWhyFree(PlannerInput input, PlanDraft draft, Instance instance) {
 		if (instance.leaving()) {
 			return "the platform takes it away";
 		}
-		if (input.silent().contains(instance.id())) {
+		if (input.unresponsiveIds().contains(instance.id())) {
 			return "it does not answer";
 		}
-		final Set<String> shortOf = draft.shortModels(instance.pool());
+		final Set<String> shortOf = draft.modelsBelowDesired(instance.pool());
 		if (shortOf.isEmpty()) {
 			return "no model of its pool needs another replica";
 		}
 		return "no group can be formed here now for " + String.join(", ", shortOf) + ": "
-				+ draft.hindrance(instance.pool(), instance.fabricDomain());
+				+ draft.blockReason(instance.pool(), instance.fabricDomain());
 	}
 
 	static GroupDissolution dissolution(GroupState group, PlannerEpoch planner, String reason) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/Reclaim.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/InstanceReclaimer.java
@@ -23,16 +23,16 @@
  * another was missing. It drains as few groups as will do, in one domain, and keeps what
  * comes free there for the model that lacks it.
  */
-final class Reclaim {
+final class InstanceReclaimer {
 
 	/** The time from a drain to the dissolution when nothing runs. */
-	static final long DRAIN_NANOS = 5_000_000_000L;
+	static final long IDLE_DRAIN_NANOS = 5_000_000_000L;
 
 	/**
 	 * However the weights stand, a model below its least number is not kept waiting
 	 * longer.
 	 */
-	private static final long LONGEST_WAIT_NANOS = 1_800_000_000_000L;
+	private static final long MAX_WAIT_NANOS = 1_800_000_000_000L;
 
 	private final PlannerInput input;
 
@@ -42,9 +42,9 @@
 
 	private final FreeInstances free;
 
-	private final Set<String> reserved = new HashSet<>();
+	private final Set<String> reservedDomains = new HashSet<>();
 
-	Reclaim(PlannerInput input, PlannerMemory memory, PlanDraft draft, FreeInstances free) {
+	InstanceReclaimer(PlannerInput input, PlannerMemory memory, PlanDraft draft, FreeInstances free) {
 		this.input = input;
 		this.memory = memory;
 		this.draft = draft;
@@ -52,29 +52,30 @@
 	}
 
 	boolean isReserved(String domain) {
-		return this.reserved.contains(domain);
+		return this.reservedDomains.contains(domain);
 	}
 
-	void makeRoom(ModelSpec model) {
+	void reclaimFor(ModelSpec model) {
 		final long nowNanos = this.input.nowNanos();
-		final long belowNanos = nowNanos - this.memory.since("below " + model.name(), nowNanos);
+		final long belowNanos = nowNanos - this.memory.sinceNanos("below " + model.name(), nowNanos);
 		final Set<String> domains = new TreeSet<>();
 		this.input.instances()
 			.stream()
 			.filter((instance) -> instance.pool().equals(model.pool()))
 			.forEach((instance) -> domains.add(instance.fabricDomain()));
-		domains.removeAll(this.draft.darkDomains());
-		domains.removeAll(this.reserved);
+		domains.removeAll(this.draft.unreachableDomains());
+		domains.removeAll(this.reservedDomains);
 		final Map<String, List<GroupState>> drainsByDomain = new HashMap<>();
-		domains.forEach((domain) -> drains(model, domain).ifPresent((drains) -> drainsByDomain.put(domain, drains)));
+		domains.forEach(
+				(domain) -> groupsToDrain(model, domain).ifPresent((drains) -> drainsByDomain.put(domain, drains)));
 		drainsByDomain.keySet()
 			.stream()
 			.min(Comparator.comparingInt((String domain) -> drainsByDomain.get(domain).size())
 				.thenComparing(Comparator.naturalOrder()))
 			.filter((domain) -> belowNanos >= waitNanos(model, drainsByDomain.get(domain)))
 			.ifPresent((domain) -> {
-				this.reserved.add(domain);
-				this.input.mine(domain)
+				this.reservedDomains.add(domain);
+				this.input.ownEpoch(domain)
 					.ifPresent((planner) -> drainsByDomain.get(domain)
 						.forEach((group) -> this.draft.drain(group, planner,
 								"model " + model.name() + " lacks its least number of replicas")));
@@ -94,16 +95,17 @@
 		final int idle = this.free.accelerators(model.pool(), drains.get(0).fabricDomain());
 		final double ratio = weights.strandedAccelerators() * accelerators
 				/ (weights.groupDowntime() + weights.strandedAccelerators() * idle);
-		return (long) Math.min(LONGEST_WAIT_NANOS, ratio * (DRAIN_NANOS + this.memory.loadNanos(model.name())));
+		return (long) Math.min(MAX_WAIT_NANOS,
+				ratio * (IDLE_DRAIN_NANOS + this.memory.expectedLoadNanos(model.name())));
 	}
 
 	// The groups to drain so that the model fits; none where draining ones suffice; empty
 	// where it cannot fit.
-	private Optional<List<GroupState>> drains(ModelSpec model, String domain) {
-		return drains(this.input, this.draft, model, domain, this.free.count(model.pool(), domain));
+	private Optional<List<GroupState>> groupsToDrain(ModelSpec model, String domain) {
+		return groupsToDrain(this.input, this.draft, model, domain, this.free.count(model.pool(), domain));
 	}
 
-	static Optional<List<GroupState>> drains(PlannerInput input, PlanDraft draft, ModelSpec model, String domain,
+	static Optional<List<GroupState>> groupsToDrain(PlannerInput input, PlanDraft draft, ModelSpec model, String domain,
 			int freeInstances) {
 		int room = freeInstances;
 		final List<GroupState> extra = new ArrayList<>();
@@ -112,9 +114,9 @@
 				continue;
 			}
 			if (group.draining()) {
-				room += usable(input, group);
+				room += countResponsive(input, group);
 			}
-			else if (isExtra(input, draft, model, group)) {
+			else if (isSurplus(input, draft, model, group)) {
 				extra.add(group);
 			}
 		}
@@ -123,25 +125,25 @@
 		for (final GroupState group : extra) {
 			if (room < model.members()) {
 				drains.add(group);
-				room += usable(input, group);
+				room += countResponsive(input, group);
 			}
 		}
 		return (room >= model.members()) ? Optional.of(drains) : Optional.empty();
 	}
 
-	private static boolean isExtra(PlannerInput input, PlanDraft draft, ModelSpec needy, GroupState group) {
+	private static boolean isSurplus(PlannerInput input, PlanDraft draft, ModelSpec needy, GroupState group) {
 		return input.manifest()
 			.model(group.model())
 			.filter((model) -> model.pool().equals(needy.pool()) && !model.name().equals(needy.name())
-					&& draft.countedOf(model.name()) > model.minReplicas())
-			.isPresent() && !draft.isLost(group);
+					&& draft.countedReplicas(model.name()) > model.minReplicas())
+			.isPresent() && !draft.hasUnresponsiveMember(group);
 	}
 
-	private static int usable(PlannerInput input, GroupState group) {
+	private static int countResponsive(PlannerInput input, GroupState group) {
 		return (int) group.members()
 			.stream()
 			.map(Member::instanceId)
-			.filter((id) -> !input.silent().contains(id))
+			.filter((id) -> !input.unresponsiveIds().contains(id))
 			.count();
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderDecider.java
@@ -9,8 +9,8 @@
 
 import org.pistachioline.core.fleet.EngineCommand;
 import org.pistachioline.core.fleet.EngineOrder;
-import org.pistachioline.core.fleet.HeldPhase;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EnginePhase;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.manifest.PoolSpec;
 import org.pistachioline.core.presence.PresenceProof;
@@ -38,9 +38,9 @@
 
 	private final OrderLimits limits;
 
-	private final Map<String, Claimed> claims = new HashMap<>();
+	private final Map<String, AcceptedClaim> acceptedClaims = new HashMap<>();
 
-	private final Map<String, Long> sentAtNanos = new HashMap<>();
+	private final Map<String, Long> lastSentAtNanos = new HashMap<>();
 
 	/**
 	 * Creates a decider.
@@ -58,23 +58,23 @@
 	 * @return the orders to send now
 	 */
 	public List<EngineCommand> decide(OrderInput input) {
-		noteClaims(input);
-		if (!isFresh(input.viewReadAtNanos(), input.nowNanos())) {
+		trackClaims(input);
+		if (!isViewFresh(input.viewReadAtNanos(), input.nowNanos())) {
 			return List.of();
 		}
 		final List<EngineCommand> commands = new ArrayList<>();
 		for (final GroupState group : input.fleet().groups().values()) {
-			if (!input.proven().contains(group.epoch())
-					&& mayOrder(input, group.fabricDomain(), poolOf(input, group))) {
+			if (!input.provenEpochs().contains(group.epoch())
+					&& maySendOrders(input, group.fabricDomain(), poolOf(input, group))) {
 				for (int rank = 0; rank < group.members().size(); rank++) {
-					load(input, group, rank, commands);
+					orderLoad(input, group, rank, commands);
 				}
 			}
 		}
 		for (final Instance instance : input.instances()) {
-			final boolean free = !input.fleet().owners().containsKey(instance.id());
-			if (free && mayOrder(input, instance.fabricDomain(), instance.pool())) {
-				unload(input, instance, commands);
+			final boolean free = !input.fleet().groupIdsByInstance().containsKey(instance.id());
+			if (free && maySendOrders(input, instance.fabricDomain(), instance.pool())) {
+				orderUnload(input, instance, commands);
 			}
 		}
 		return commands;
@@ -87,8 +87,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it is
 	 */
-	public boolean isFresh(long viewReadAtNanos, long nowNanos) {
-		return nowNanos - viewReadAtNanos <= this.limits.freshViewNanos();
+	public boolean isViewFresh(long viewReadAtNanos, long nowNanos) {
+		return nowNanos - viewReadAtNanos <= this.limits.maxViewAgeNanos();
 	}
 
 	/**
@@ -97,10 +97,10 @@
 	 * @param nowNanos the monotonic time
 	 * @return the fabric domains
 	 */
-	public Set<String> handingOver(long nowNanos) {
+	public Set<String> domainsInHandOver(long nowNanos) {
 		final Set<String> domains = new HashSet<>();
-		this.claims.forEach((domain, claimed) -> {
-			if (nowNanos - claimed.seenAtNanos() < this.limits.handOverNanos()) {
+		this.acceptedClaims.forEach((domain, claimed) -> {
+			if (nowNanos - claimed.firstSeenAtNanos() < this.limits.handOverNanos()) {
 				domains.add(domain);
 			}
 		});
@@ -108,31 +108,31 @@
 	}
 
 	// The wait counts from when the claim was seen accepted, which is after it was.
-	private void noteClaims(OrderInput input) {
-		this.claims.keySet().removeIf((domain) -> !isMine(input.fleet(), domain));
+	private void trackClaims(OrderInput input) {
+		this.acceptedClaims.keySet().removeIf((domain) -> !isPlannedHere(input.fleet(), domain));
 		input.fleet().planners().forEach((domain, planner) -> {
-			final Claimed claimed = this.claims.get(domain);
-			if (isMine(input.fleet(), domain) && (claimed == null || claimed.epoch() != planner.epoch())) {
-				this.claims.put(domain, new Claimed(planner.epoch(), input.nowNanos()));
+			final AcceptedClaim claimed = this.acceptedClaims.get(domain);
+			if (isPlannedHere(input.fleet(), domain) && (claimed == null || claimed.epoch() != planner.epoch())) {
+				this.acceptedClaims.put(domain, new AcceptedClaim(planner.epoch(), input.nowNanos()));
 			}
 		});
-		final Set<String> listed = new HashSet<>(input.fleet().owners().keySet());
+		final Set<String> listed = new HashSet<>(input.fleet().groupIdsByInstance().keySet());
 		input.instances().forEach((instance) -> listed.add(instance.id()));
-		this.sentAtNanos.keySet().retainAll(listed);
+		this.lastSentAtNanos.keySet().retainAll(listed);
 	}
 
-	private boolean isMine(FleetState fleet, String domain) {
+	private boolean isPlannedHere(FleetState fleet, String domain) {
 		final PlannerEpoch planner = fleet.planners().get(domain);
 		return planner != null && planner.writer().equals(this.writer);
 	}
 
-	private boolean mayOrder(OrderInput input, String domain, String pool) {
-		final Claimed claimed = this.claims.get(domain);
+	private boolean maySendOrders(OrderInput input, String domain, String pool) {
+		final AcceptedClaim claimed = this.acceptedClaims.get(domain);
 		if (claimed == null) {
 			return false;
 		}
 		final boolean checked = input.manifest().pool(pool).filter(PoolSpec::checksFencing).isPresent();
-		return checked || input.nowNanos() - claimed.seenAtNanos() >= this.limits.handOverNanos();
+		return checked || input.nowNanos() - claimed.firstSeenAtNanos() >= this.limits.handOverNanos();
 	}
 
 	private static String poolOf(OrderInput input, GroupState group) {
@@ -145,45 +145,45 @@
 			.orElse("");
 	}
 
-	private void load(OrderInput input, GroupState group, int rank, List<EngineCommand> commands) {
+	private void orderLoad(OrderInput input, GroupState group, int rank, List<EngineCommand> commands) {
 		final Member member = group.members().get(rank);
-		final PresenceProof proof = input.proofs().get(member.instanceId());
-		if (proof != null && isAsOrdered(proof.held(), group, rank)) {
+		final PresenceProof proof = input.proofsByInstance().get(member.instanceId());
+		if (proof != null && matchesOrder(proof.state(), group, rank)) {
 			return;
 		}
 		final EngineOrder order = new EngineOrder(true, group.groupId(), group.epoch(), rank, group.members().size(),
 				group.model(), this.limits.lifetimeMillis());
-		send(input, new EngineCommand(member.instanceId(), member.address(), order), commands);
+		addUnlessRecent(input, new EngineCommand(member.instanceId(), member.address(), order), commands);
 	}
 
-	private static boolean isAsOrdered(HeldState held, GroupState group, int rank) {
-		return held.groupId().equals(group.groupId()) && held.fencingNumber() == group.epoch() && held.rank() == rank
-				&& held.phase() != HeldPhase.FREE;
+	private static boolean matchesOrder(EngineState held, GroupState group, int rank) {
+		return held.groupId().equals(group.groupId()) && held.fencingToken() == group.epoch() && held.rank() == rank
+				&& held.phase() != EnginePhase.FREE;
 	}
 
-	private void unload(OrderInput input, Instance instance, List<EngineCommand> commands) {
-		final PresenceProof proof = input.proofs().get(instance.id());
-		if (proof == null || proof.held().phase() == HeldPhase.FREE) {
+	private void orderUnload(OrderInput input, Instance instance, List<EngineCommand> commands) {
+		final PresenceProof proof = input.proofsByInstance().get(instance.id());
+		if (proof == null || proof.state().phase() == EnginePhase.FREE) {
 			return;
 		}
-		final HeldState held = proof.held();
-		final long epoch = Math.max(held.fencingNumber(), input.fleet().lastEpochs().getOrDefault(instance.id(), 0L));
-		send(input, new EngineCommand(instance.id(), instance.address(),
+		final EngineState held = proof.state();
+		final long epoch = Math.max(held.fencingToken(), input.fleet().lastEpochs().getOrDefault(instance.id(), 0L));
+		addUnlessRecent(input, new EngineCommand(instance.id(), instance.address(),
 				new EngineOrder(false, held.groupId(), epoch, 0, 0, held.model(), this.limits.lifetimeMillis())),
 				commands);
 	}
 
 	// Given again only after it had time to work: else an engine that is slow to answer
 	// would get the same order at each tick.
-	private void send(OrderInput input, EngineCommand command, List<EngineCommand> commands) {
-		final Long sent = this.sentAtNanos.get(command.instanceId());
-		if (sent == null || input.nowNanos() - sent >= this.limits.repeatNanos()) {
-			this.sentAtNanos.put(command.instanceId(), input.nowNanos());
+	private void addUnlessRecent(OrderInput input, EngineCommand command, List<EngineCommand> commands) {
+		final Long sent = this.lastSentAtNanos.get(command.instanceId());
+		if (sent == null || input.nowNanos() - sent >= this.limits.resendIntervalNanos()) {
+			this.lastSentAtNanos.put(command.instanceId(), input.nowNanos());
 			commands.add(command);
 		}
 	}
 
-	private record Claimed(long epoch, long seenAtNanos) {
+	private record AcceptedClaim(long epoch, long firstSeenAtNanos) {
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderInput.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderInput.java
@@ -17,17 +17,17 @@
  * @param manifest the manifest in force
  * @param fleet the agreed state
  * @param instances the instances as the platform lists them
- * @param proven the epochs of the groups of which every member is proven to hold its
- * place
- * @param proofs what each instance last said that it holds, by id
+ * @param provenEpochs the epochs of the groups of which every member is proven to hold
+ * its place
+ * @param proofsByInstance what each instance last said that it holds, by id
  */
 public record OrderInput(long nowNanos, long viewReadAtNanos, Manifest manifest, FleetState fleet,
-		List<Instance> instances, Set<Long> proven, Map<String, PresenceProof> proofs) {
+		List<Instance> instances, Set<Long> provenEpochs, Map<String, PresenceProof> proofsByInstance) {
 
 	public OrderInput {
 		instances = List.copyOf(instances);
-		proven = Set.copyOf(proven);
-		proofs = Map.copyOf(proofs);
+		provenEpochs = Set.copyOf(provenEpochs);
+		proofsByInstance = Map.copyOf(proofsByInstance);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderLimits.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/OrderLimits.java
@@ -3,13 +3,13 @@
 /**
  * The times that keep an old planner's orders apart from its successor's.
  *
- * @param freshViewNanos how old the sender's view of the log may be, counted from before
+ * @param maxViewAgeNanos how old the sender's view of the log may be, counted from before
  * the read
- * @param callNanos how long a call to an engine may be on its way
+ * @param callTimeoutNanos how long a call to an engine may be on its way
  * @param lifetimeMillis how long an engine may act on an order after it came
- * @param repeatNanos how long an order is left to work before it is given again
+ * @param resendIntervalNanos how long an order is left to work before it is given again
  */
-public record OrderLimits(long freshViewNanos, long callNanos, long lifetimeMillis, long repeatNanos) {
+public record OrderLimits(long maxViewAgeNanos, long callTimeoutNanos, long lifetimeMillis, long resendIntervalNanos) {
 
 	private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -27,7 +27,7 @@
 	 * @return the wait
 	 */
 	public long handOverNanos() {
-		return this.freshViewNanos + this.callNanos + this.lifetimeMillis * NANOS_PER_MILLI;
+		return this.maxViewAgeNanos + this.callTimeoutNanos + this.lifetimeMillis * NANOS_PER_MILLI;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/Plan.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/Plan.java
@@ -12,10 +12,10 @@
  * @param records the records to propose
  * @param groupReasons why each group of its domains is in its state, by group id
  * @param freeReasons why each free instance of its domains is not used, by instance id
- * @param darkDomains the fabric domains in which changes wait
+ * @param unreachableDomains the fabric domains in which changes wait
  */
 public record Plan(List<RecordBody> records, Map<String, String> groupReasons, Map<String, String> freeReasons,
-		Set<String> darkDomains) {
+		Set<String> unreachableDomains) {
 
 	/** Nothing is proposed, and nothing is known. */
 	public static final Plan EMPTY = new Plan(List.of(), Map.of(), Map.of(), Set.of());
@@ -24,7 +24,7 @@
 		records = List.copyOf(records);
 		groupReasons = Map.copyOf(groupReasons);
 		freeReasons = Map.copyOf(freeReasons);
-		darkDomains = Set.copyOf(darkDomains);
+		unreachableDomains = Set.copyOf(unreachableDomains);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlanDraft.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlanDraft.java
@@ -27,37 +27,37 @@
 
 	private final Map<String, String> freeReasons = new HashMap<>();
 
-	private final Set<String> darkDomains = new HashSet<>();
+	private final Set<String> unreachableDomains = new HashSet<>();
 
 	private final Map<String, Integer> desiredByModel = new HashMap<>();
 
 	private final Map<String, Integer> countedByModel = new HashMap<>();
 
-	private final Map<String, String> hindrances = new HashMap<>();
+	private final Map<String, String> blockReasonsByPool = new HashMap<>();
 
-	private final Set<String> touched = new HashSet<>();
+	private final Set<String> changedGroupIds = new HashSet<>();
 
-	private final Set<String> taken = new HashSet<>();
+	private final Set<String> assignedInstanceIds = new HashSet<>();
 
 	PlanDraft(PlannerInput input) {
 		this.input = input;
 	}
 
-	Set<String> darkDomains() {
-		return this.darkDomains;
+	Set<String> unreachableDomains() {
+		return this.unreachableDomains;
 	}
 
-	void desire(ModelSpec model, int desired, int counted) {
+	void setReplicaCounts(ModelSpec model, int desired, int counted) {
 		this.desiredByModel.put(model.name(), desired);
 		this.countedByModel.put(model.name(), counted);
 	}
 
-	int desired(String model) {
+	int desiredReplicas(String model) {
 		return this.desiredByModel.getOrDefault(model, 0);
 	}
 
 	int missingReplicas(String model) {
-		return desired(model) - this.countedByModel.getOrDefault(model, 0);
+		return desiredReplicas(model) - this.countedByModel.getOrDefault(model, 0);
 	}
 
 	void explain(GroupState group, String reason) {
@@ -69,14 +69,14 @@
 	}
 
 	void drain(GroupState group, PlannerEpoch planner, String reason) {
-		if (!group.draining() && this.touched.add(group.groupId())) {
+		if (!group.draining() && this.changedGroupIds.add(group.groupId())) {
 			this.records.add(GroupPlanner.drainOf(group, planner, reason));
 			explain(group, "begins to drain: " + reason);
 		}
 	}
 
 	void dissolve(GroupState group, PlannerEpoch planner, String reason) {
-		if (this.touched.add(group.groupId())) {
+		if (this.changedGroupIds.add(group.groupId())) {
 			this.records.add(GroupPlanner.dissolution(group, planner, reason));
 			explain(group, "is dissolved: " + reason);
 		}
@@ -86,34 +86,36 @@
 		this.records.add(formation);
 	}
 
-	int countedOf(String model) {
+	int countedReplicas(String model) {
 		return this.countedByModel.getOrDefault(model, 0);
 	}
 
-	void counted(String model) {
+	void addReplica(String model) {
 		this.countedByModel.merge(model, 1, Integer::sum);
 	}
 
-	void take(String instanceId) {
-		this.taken.add(instanceId);
+	void markAssigned(String instanceId) {
+		this.assignedInstanceIds.add(instanceId);
 	}
 
-	boolean isTaken(String instanceId) {
-		return this.taken.contains(instanceId);
+	boolean isAssigned(String instanceId) {
+		return this.assignedInstanceIds.contains(instanceId);
 	}
 
-	boolean isLost(GroupState group) {
-		return group.members().stream().anyMatch((member) -> this.input.silent().contains(member.instanceId()));
+	boolean hasUnresponsiveMember(GroupState group) {
+		return group.members()
+			.stream()
+			.anyMatch((member) -> this.input.unresponsiveIds().contains(member.instanceId()));
 	}
 
-	boolean isChanged(GroupState group) {
+	boolean isOutdated(GroupState group) {
 		return this.input.manifest()
 			.model(group.model())
 			.filter((model) -> model.members() == group.members().size())
 			.isEmpty();
 	}
 
-	Set<String> shortModels(String pool) {
+	Set<String> modelsBelowDesired(String pool) {
 		final Set<String> names = new TreeSet<>();
 		for (final ModelSpec model : this.input.manifest().models()) {
 			if (model.pool().equals(pool) && missingReplicas(model.name()) > 0) {
@@ -123,17 +125,17 @@
 		return names;
 	}
 
-	void hinder(String pool, String reason) {
-		this.hindrances.putIfAbsent(pool, reason);
+	void setBlockReason(String pool, String reason) {
+		this.blockReasonsByPool.putIfAbsent(pool, reason);
 	}
 
-	String hindrance(String pool, String domain) {
-		return this.darkDomains.contains(domain) ? "the fabric domain is dark"
-				: this.hindrances.getOrDefault(pool, "too few free instances in this fabric domain");
+	String blockReason(String pool, String domain) {
+		return this.unreachableDomains.contains(domain) ? "the fabric domain is dark"
+				: this.blockReasonsByPool.getOrDefault(pool, "too few free instances in this fabric domain");
 	}
 
-	Plan plan() {
-		return new Plan(this.records, this.groupReasons, this.freeReasons, this.darkDomains);
+	Plan toPlan() {
+		return new Plan(this.records, this.groupReasons, this.freeReasons, this.unreachableDomains);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerElection.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerElection.java
@@ -18,7 +18,7 @@
 public final class PlannerElection {
 
 	/** Longer than a change of the live daemons takes to go round a small fleet. */
-	private static final long SETTLED_NANOS = 15_000_000_000L;
+	private static final long PREFERENCE_HOLD_NANOS = 15_000_000_000L;
 
 	private final String selfId;
 
@@ -44,8 +44,8 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether to claim it
 	 */
-	public boolean claims(String domain, PlannerEpoch current, Set<String> liveDaemons, long nowNanos) {
-		final boolean preferred = Rendezvous.first(domain, liveDaemons).filter(this.selfId::equals).isPresent();
+	public boolean shouldClaim(String domain, PlannerEpoch current, Set<String> liveDaemons, long nowNanos) {
+		final boolean preferred = RendezvousHash.select(domain, liveDaemons).filter(this.selfId::equals).isPresent();
 		if (!preferred || (current != null && current.writer().equals(this.writer))) {
 			this.preferredSinceNanos.remove(domain);
 			return false;
@@ -54,9 +54,9 @@
 		if (current == null) {
 			return true;
 		}
-		final String daemon = daemonOf(current.writer());
+		final String daemon = daemonIdOf(current.writer());
 		final boolean gone = daemon.equals(this.selfId) || !liveDaemons.contains(daemon);
-		return gone || nowNanos - sinceNanos >= SETTLED_NANOS;
+		return gone || nowNanos - sinceNanos >= PREFERENCE_HOLD_NANOS;
 	}
 
 	/**
@@ -64,7 +64,7 @@
 	 * @param writer the writer's name on the log
 	 * @return the daemon's name
 	 */
-	public static String daemonOf(String writer) {
+	public static String daemonIdOf(String writer) {
 		final int mark = writer.lastIndexOf('#');
 		return (mark < 0) ? writer : writer.substring(0, mark);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerInput.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerInput.java
@@ -21,20 +21,20 @@
  * @param instances the instances as the platform lists them
  * @param missingRanks the missing ranks of each group that lacks any, by group id
  * @param loads how busy each known group is, by group id
- * @param silent the instances of this planner's domains that do not answer
+ * @param unresponsiveIds the instances of this planner's domains that do not answer
  */
 public record PlannerInput(long nowNanos, String writer, Manifest manifest, long configVersion, FleetState fleet,
 		List<Instance> instances, Map<String, List<Integer>> missingRanks, Map<String, GroupLoad> loads,
-		Set<String> silent) {
+		Set<String> unresponsiveIds) {
 
 	public PlannerInput {
 		instances = List.copyOf(instances);
 		missingRanks = Map.copyOf(missingRanks);
 		loads = Map.copyOf(loads);
-		silent = Set.copyOf(silent);
+		unresponsiveIds = Set.copyOf(unresponsiveIds);
 	}
 
-	Optional<PlannerEpoch> mine(String domain) {
+	Optional<PlannerEpoch> ownEpoch(String domain) {
 		return Optional.ofNullable(this.fleet.planners().get(domain))
 			.filter((planner) -> planner.writer().equals(this.writer));
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerMemory.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/PlannerMemory.java
@@ -18,73 +18,74 @@
 public final class PlannerMemory {
 
 	/** How long a model takes to load until it was seen to. */
-	private static final long FIRST_LOAD_NANOS = 60_000_000_000L;
+	private static final long INITIAL_LOAD_ESTIMATE_NANOS = 60_000_000_000L;
 
 	/** A planner that just took a domain has not heard of its members yet. */
-	private static final long SETTLED_NANOS = 5_000_000_000L;
+	private static final long TAKEOVER_NANOS = 5_000_000_000L;
 
-	private static final double LOAD_WEIGHT = 0.5;
+	private static final double LOAD_SAMPLE_WEIGHT = 0.5;
 
 	private static final long MINUTE_NANOS = 60_000_000_000L;
 
-	private final Map<String, Long> sinceNanos = new HashMap<>();
+	private final Map<String, Long> conditionSinceNanos = new HashMap<>();
 
-	private final Set<String> noted = new HashSet<>();
+	private final Set<String> queriedConditions = new HashSet<>();
 
-	private final Set<Long> completed = new HashSet<>();
+	private final Set<Long> completedEpochs = new HashSet<>();
 
-	private final Map<Long, Long> formedAtNanos = new HashMap<>();
+	private final Map<Long, Long> firstSeenAtNanos = new HashMap<>();
 
-	private final Map<String, Long> loadNanosByModel = new HashMap<>();
+	private final Map<String, Long> expectedLoadNanosByModel = new HashMap<>();
 
 	private final Map<String, Integer> desiredByModel = new HashMap<>();
 
-	private final Map<String, Deque<PacedLoads>> loadsByPool = new HashMap<>();
+	private final Map<String, Deque<StartedLoads>> recentLoadsByPool = new HashMap<>();
 
-	private boolean begun;
+	private boolean started;
 
 	/**
 	 * Notes what the agreed groups show.
 	 * @param input all that is known
 	 */
-	void begin(PlannerInput input) {
-		this.noted.clear();
+	void startPass(PlannerInput input) {
+		this.queriedConditions.clear();
 		final Set<Long> epochs = new HashSet<>();
 		for (final GroupState group : input.fleet().groups().values()) {
 			epochs.add(group.epoch());
 			final boolean missing = input.missingRanks().containsKey(group.groupId());
 			// A planner that starts cannot tell when a loading group began; it counts as
 			// now.
-			if (this.formedAtNanos.putIfAbsent(group.epoch(), input.nowNanos()) == null && (this.begun || missing)) {
-				noteLoads(input, group);
+			if (this.firstSeenAtNanos.putIfAbsent(group.epoch(), input.nowNanos()) == null
+					&& (this.started || missing)) {
+				recordLoads(input, group);
 			}
-			if (!missing && this.completed.add(group.epoch()) && this.begun) {
-				learnLoad(group, input.nowNanos());
+			if (!missing && this.completedEpochs.add(group.epoch()) && this.started) {
+				updateLoadEstimate(group, input.nowNanos());
 			}
 		}
-		this.formedAtNanos.keySet().retainAll(epochs);
-		this.completed.retainAll(epochs);
-		this.begun = true;
+		this.firstSeenAtNanos.keySet().retainAll(epochs);
+		this.completedEpochs.retainAll(epochs);
+		this.started = true;
 	}
 
 	/**
 	 * Forgets all that was not asked about since the decision began.
 	 */
-	void end() {
-		this.sinceNanos.keySet().retainAll(this.noted);
+	void endPass() {
+		this.conditionSinceNanos.keySet().retainAll(this.queriedConditions);
 	}
 
-	private void noteLoads(PlannerInput input, GroupState group) {
+	private void recordLoads(PlannerInput input, GroupState group) {
 		input.manifest()
 			.model(group.model())
-			.ifPresent((model) -> this.loadsByPool.computeIfAbsent(model.pool(), (key) -> new ArrayDeque<>())
-				.add(new PacedLoads(input.nowNanos(), group.members().size())));
+			.ifPresent((model) -> this.recentLoadsByPool.computeIfAbsent(model.pool(), (key) -> new ArrayDeque<>())
+				.add(new StartedLoads(input.nowNanos(), group.members().size())));
 	}
 
-	private void learnLoad(GroupState group, long nowNanos) {
-		final long tookNanos = nowNanos - this.formedAtNanos.get(group.epoch());
-		this.loadNanosByModel.merge(group.model(), tookNanos,
-				(known, took) -> (long) (known + LOAD_WEIGHT * (took - known)));
+	private void updateLoadEstimate(GroupState group, long nowNanos) {
+		final long tookNanos = nowNanos - this.firstSeenAtNanos.get(group.epoch());
+		this.expectedLoadNanosByModel.merge(group.model(), tookNanos,
+				(known, took) -> (long) (known + LOAD_SAMPLE_WEIGHT * (took - known)));
 	}
 
 	/**
@@ -93,12 +94,12 @@
 	 * @param nowNanos the monotonic time
 	 * @return how many
 	 */
-	int loadsWithinMinute(String pool, long nowNanos) {
-		final Deque<PacedLoads> loads = this.loadsByPool.computeIfAbsent(pool, (key) -> new ArrayDeque<>());
-		while (!loads.isEmpty() && nowNanos - loads.peek().atNanos() >= MINUTE_NANOS) {
+	int loadsStartedWithinMinute(String pool, long nowNanos) {
+		final Deque<StartedLoads> loads = this.recentLoadsByPool.computeIfAbsent(pool, (key) -> new ArrayDeque<>());
+		while (!loads.isEmpty() && nowNanos - loads.peek().startedAtNanos() >= MINUTE_NANOS) {
 			loads.poll();
 		}
-		return loads.stream().mapToInt(PacedLoads::count).sum();
+		return loads.stream().mapToInt(StartedLoads::count).sum();
 	}
 
 	/**
@@ -107,9 +108,9 @@
 	 * @param nowNanos the monotonic time
 	 * @return since when
 	 */
-	long since(String what, long nowNanos) {
-		this.noted.add(what);
-		return this.sinceNanos.computeIfAbsent(what, (key) -> nowNanos);
+	long sinceNanos(String what, long nowNanos) {
+		this.queriedConditions.add(what);
+		return this.conditionSinceNanos.computeIfAbsent(what, (key) -> nowNanos);
 	}
 
 	/**
@@ -118,31 +119,31 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it has
 	 */
-	boolean isSettled(String domain, long nowNanos) {
-		return nowNanos - since("mine " + domain, nowNanos) >= SETTLED_NANOS;
+	boolean isTakeoverComplete(String domain, long nowNanos) {
+		return nowNanos - sinceNanos("mine " + domain, nowNanos) >= TAKEOVER_NANOS;
 	}
 
 	boolean wasComplete(GroupState group) {
-		return this.completed.contains(group.epoch());
+		return this.completedEpochs.contains(group.epoch());
 	}
 
-	long formedAtNanos(GroupState group) {
-		return this.formedAtNanos.get(group.epoch());
+	long firstSeenAtNanos(GroupState group) {
+		return this.firstSeenAtNanos.get(group.epoch());
 	}
 
-	long loadNanos(String model) {
-		return this.loadNanosByModel.getOrDefault(model, FIRST_LOAD_NANOS);
+	long expectedLoadNanos(String model) {
+		return this.expectedLoadNanosByModel.getOrDefault(model, INITIAL_LOAD_ESTIMATE_NANOS);
 	}
 
-	int desired(String model, int unlessKnown) {
+	int desiredReplicas(String model, int unlessKnown) {
 		return this.desiredByModel.getOrDefault(model, unlessKnown);
 	}
 
-	void desire(String model, int replicas) {
+	void setDesiredReplicas(String model, int replicas) {
 		this.desiredByModel.put(model, replicas);
 	}
 
-	private record PacedLoads(long atNanos, int count) {
+	private record StartedLoads(long startedAtNanos, int count) {
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/Rendezvous.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/RendezvousHash.java
@@ -12,9 +12,9 @@
  * Assigns a thing to a few of many by rendezvous hashing, so that all who know the same
  * many agree, and one that comes or goes moves only its own share.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
 
-	private Rendezvous() {
+	private RendezvousHash() {
 	}
 
 	/**
@@ -23,7 +23,7 @@
 	 * @param candidates who may have it
 	 * @return the first choice; empty where there is no candidate
 	 */
-	public static Optional<String> first(String thing, Collection<String> candidates) {
+	public static Optional<String> select(String thing, Collection<String> candidates) {
 		return candidates.stream()
 			.map((candidate) -> Scored.of(thing, candidate))
 			.max(Scored.ORDER)
@@ -37,7 +37,7 @@
 	 * @param count how many
 	 * @return the choices, the first one first
 	 */
-	public static List<String> first(String thing, Collection<String> candidates, int count) {
+	public static List<String> select(String thing, Collection<String> candidates, int count) {
 		return candidates.stream()
 			.map((candidate) -> Scored.of(thing, candidate))
 			.sorted(Scored.ORDER.reversed())
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/ReplicaTarget.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/ReplicaAutoscaler.java
@@ -13,44 +13,45 @@
  * shrinks late and by one group a time, since a storm comes in waves and each load costs
  * the weight store and minutes; the distance between the two keeps it from swinging.
  */
-final class ReplicaTarget {
+final class ReplicaAutoscaler {
 
 	/** The use above which it grows: a batch this full makes first tokens wait. */
-	private static final double GROW_ABOVE_RATIO = 0.8;
+	private static final double SCALE_UP_RATIO = 0.8;
 
 	/** The use that it grows to, and under which it shrinks. */
-	private static final double AIM_RATIO = 0.6;
+	private static final double DESIRED_UTILIZATION_RATIO = 0.6;
 
 	/** A burst shorter than this is left to the queues. */
-	private static final long GROW_AFTER_NANOS = 10_000_000_000L;
+	private static final long SCALE_UP_DELAY_NANOS = 10_000_000_000L;
 
 	/** Longer than the lull between two waves of a storm. */
-	private static final long SHRINK_AFTER_NANOS = 180_000_000_000L;
+	private static final long SCALE_DOWN_DELAY_NANOS = 180_000_000_000L;
 
-	private ReplicaTarget() {
+	private ReplicaAutoscaler() {
 	}
 
-	static int of(PlannerInput input, PlannerMemory memory, ModelSpec model, Collection<GroupState> groups) {
+	static int desiredReplicas(PlannerInput input, PlannerMemory memory, ModelSpec model,
+			Collection<GroupState> groups) {
 		final int present = (int) groups.stream().filter((group) -> !group.draining()).count();
-		final int before = clamp(model, memory.desired(model.name(), present));
+		final int before = clamp(model, memory.desiredReplicas(model.name(), present));
 		int desired = before;
-		final double used = usedSlots(input, groups) / model.maxConcurrentRequests();
-		final int wanted = clamp(model, (int) Math.ceil(used / AIM_RATIO));
-		if (present > 0 && used > GROW_ABOVE_RATIO * present && wanted > before) {
-			final long sinceNanos = memory.since("over " + model.name(), input.nowNanos());
-			desired = (input.nowNanos() - sinceNanos >= GROW_AFTER_NANOS) ? wanted : before;
+		final double used = estimateUsedSlots(input, groups) / model.maxConcurrentRequests();
+		final int wanted = clamp(model, (int) Math.ceil(used / DESIRED_UTILIZATION_RATIO));
+		if (present > 0 && used > SCALE_UP_RATIO * present && wanted > before) {
+			final long sinceNanos = memory.sinceNanos("over " + model.name(), input.nowNanos());
+			desired = (input.nowNanos() - sinceNanos >= SCALE_UP_DELAY_NANOS) ? wanted : before;
 		}
 		else if (wanted < before) {
 			// The count is part of the note: after each step the wait begins anew.
-			final long sinceNanos = memory.since("under " + before + " " + model.name(), input.nowNanos());
-			desired = (input.nowNanos() - sinceNanos >= SHRINK_AFTER_NANOS) ? before - 1 : before;
+			final long sinceNanos = memory.sinceNanos("under " + before + " " + model.name(), input.nowNanos());
+			desired = (input.nowNanos() - sinceNanos >= SCALE_DOWN_DELAY_NANOS) ? before - 1 : before;
 		}
-		memory.desire(model.name(), desired);
+		memory.setDesiredReplicas(model.name(), desired);
 		return desired;
 	}
 
 	// Groups of which nothing is known count as busy as the others.
-	private static double usedSlots(PlannerInput input, Collection<GroupState> groups) {
+	private static double estimateUsedSlots(PlannerInput input, Collection<GroupState> groups) {
 		int known = 0;
 		int live = 0;
 		double total = 0;
@@ -59,7 +60,7 @@
 			live += group.draining() ? 0 : 1;
 			if (load != null && !group.draining()) {
 				known++;
-				total += load.total();
+				total += load.totalRequests();
 			}
 		}
 		return (known == 0) ? 0 : total * live / known;
--- a/pistachioline-core/src/main/java/org/pistachioline/core/planner/DarkDomains.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/planner/UnreachableDomains.java
@@ -19,40 +19,40 @@
  * instances that are back a minute later. So changes there wait, up to a bound that is
  * longer than a switch takes to restart; afterwards the losses count one by one.
  */
-final class DarkDomains {
+final class UnreachableDomains {
 
 	/** The share of a domain's instances that must be silent. */
-	private static final double DARK_RATIO = 0.5;
+	private static final double MIN_UNRESPONSIVE_RATIO = 0.5;
 
 	/** Fewer silent instances than this are single losses. */
-	private static final int LEAST_SILENT = 2;
+	private static final int MIN_UNRESPONSIVE_INSTANCES = 2;
 
 	/** A switch restarts in two minutes or so. */
-	private static final long HOLD_NANOS = 180_000_000_000L;
+	private static final long MAX_DEFERRAL_NANOS = 180_000_000_000L;
 
-	private DarkDomains() {
+	private UnreachableDomains() {
 	}
 
-	static Set<String> of(PlannerInput input, PlannerMemory memory, Collection<GroupState> mine) {
+	static Set<String> find(PlannerInput input, PlannerMemory memory, Collection<GroupState> mine) {
 		final Map<String, Integer> instances = new HashMap<>();
 		final Map<String, Integer> silent = new HashMap<>();
 		final Set<String> counted = new HashSet<>();
 		for (final GroupState group : mine) {
 			for (final Member member : group.members()) {
-				count(input, member.instanceId(), group.fabricDomain(), counted, instances, silent);
+				countInstance(input, member.instanceId(), group.fabricDomain(), counted, instances, silent);
 			}
 		}
 		for (final Instance instance : input.instances()) {
-			if (input.mine(instance.fabricDomain()).isPresent()) {
-				count(input, instance.id(), instance.fabricDomain(), counted, instances, silent);
+			if (input.ownEpoch(instance.fabricDomain()).isPresent()) {
+				countInstance(input, instance.id(), instance.fabricDomain(), counted, instances, silent);
 			}
 		}
 		final Set<String> dark = new HashSet<>();
 		silent.forEach((domain, count) -> {
-			if (memory.isSettled(domain, input.nowNanos()) && count >= LEAST_SILENT
-					&& count >= DARK_RATIO * instances.get(domain)) {
-				final long sinceNanos = memory.since("dark " + domain, input.nowNanos());
-				if (input.nowNanos() - sinceNanos < HOLD_NANOS) {
+			if (memory.isTakeoverComplete(domain, input.nowNanos()) && count >= MIN_UNRESPONSIVE_INSTANCES
+					&& count >= MIN_UNRESPONSIVE_RATIO * instances.get(domain)) {
+				final long sinceNanos = memory.sinceNanos("dark " + domain, input.nowNanos());
+				if (input.nowNanos() - sinceNanos < MAX_DEFERRAL_NANOS) {
 					dark.add(domain);
 				}
 			}
@@ -60,11 +60,11 @@
 		return dark;
 	}
 
-	private static void count(PlannerInput input, String instanceId, String domain, Set<String> counted,
+	private static void countInstance(PlannerInput input, String instanceId, String domain, Set<String> counted,
 			Map<String, Integer> instances, Map<String, Integer> silent) {
 		if (counted.add(instanceId)) {
 			instances.merge(domain, 1, Integer::sum);
-			if (input.silent().contains(instanceId)) {
+			if (input.unresponsiveIds().contains(instanceId)) {
 				silent.merge(domain, 1, Integer::sum);
 			}
 		}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupDigest.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupDigest.java
@@ -43,7 +43,7 @@
 	 * @param askedAtNanos the receiver's monotonic time just before it asked
 	 * @return what is known, on the receiver's clock
 	 */
-	public GroupProof received(long askedAtNanos) {
+	public GroupProof toProof(long askedAtNanos) {
 		return new GroupProof(atNanos(this.provenAgeMillis, askedAtNanos), atNanos(this.deniedAgeMillis, askedAtNanos),
 				atNanos(this.roundAgeMillis, askedAtNanos), this.missingRanks, this.running, this.waiting,
 				atNanos(this.loadAgeMillis, askedAtNanos));
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupProof.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupProof.java
@@ -34,7 +34,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return whether it may
 	 */
-	public boolean serves(long boundNanos, long nowNanos) {
+	public boolean mayServe(long boundNanos, long nowNanos) {
 		return nowNanos - this.provenAtNanos <= boundNanos && this.deniedAtNanos < this.provenAtNanos;
 	}
 
@@ -51,7 +51,7 @@
 				load.waiting, load.loadAtNanos);
 	}
 
-	GroupProof atRound(long askedAtNanos) {
+	GroupProof withRound(long askedAtNanos) {
 		return new GroupProof(this.provenAtNanos, this.deniedAtNanos, Math.max(this.roundAtNanos, askedAtNanos),
 				this.missingRanks, this.running, this.waiting, this.loadAtNanos);
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRole.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRole.java
@@ -9,12 +9,12 @@
  *
  * @param group the group
  * @param position its place in the serving order; the first probes
- * @param asked the daemons to ask, the preferred one first
+ * @param daemonsToAsk the daemons to ask, the preferred one first
  */
-record GroupRole(GroupState group, int position, List<String> asked) {
+record GroupRole(GroupState group, int position, List<String> daemonsToAsk) {
 
 	GroupRole {
-		asked = List.copyOf(asked);
+		daemonsToAsk = List.copyOf(daemonsToAsk);
 	}
 
 	boolean isProber() {
@@ -26,7 +26,7 @@
 	}
 
 	boolean mayProbe() {
-		return this.position < ServingOrder.PROBERS;
+		return this.position < ServingOrder.MAX_PROBERS;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRoles.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/GroupRoles.java
@@ -24,36 +24,36 @@
 		this.zonesByDaemon = zonesByDaemon;
 	}
 
-	static Map<Long, GroupRole> of(String selfId, Iterable<GroupState> groups, Map<String, String> zonesByDaemon) {
+	static Map<Long, GroupRole> compute(String selfId, Iterable<GroupState> groups, Map<String, String> zonesByDaemon) {
 		final Map<String, Integer> groupsByModel = new HashMap<>();
 		groups.forEach((group) -> groupsByModel.merge(group.model(), 1, Integer::sum));
 		final GroupRoles roles = new GroupRoles(selfId, zonesByDaemon);
 		final Map<Long, GroupRole> byEpoch = new HashMap<>();
 		for (final GroupState group : groups) {
-			final List<String> order = ServingOrder.forGroup(group.groupId(), roles.orderOf(group));
-			final int servers = ServingOrder.servers(order.size(), groupsByModel.get(group.model()));
+			final List<String> order = ServingOrder.forGroup(group.groupId(), roles.domainOrder(group));
+			final int servers = ServingOrder.serverCount(order.size(), groupsByModel.get(group.model()));
 			final int position = order.indexOf(selfId);
 			if (position >= 0 && position < servers) {
-				byEpoch.put(group.epoch(), roles.roleOf(group, order, position));
+				byEpoch.put(group.epoch(), roles.createRole(group, order, position));
 			}
 		}
 		return byEpoch;
 	}
 
-	private List<String> orderOf(GroupState group) {
-		return this.orderByDomain.computeIfAbsent(group.fabricDomain(),
-				(domain) -> ServingOrder.of(domain, group.members().get(0).availabilityZone(), this.zonesByDaemon));
+	private List<String> domainOrder(GroupState group) {
+		return this.orderByDomain.computeIfAbsent(group.fabricDomain(), (domain) -> ServingOrder.forDomain(domain,
+				group.members().get(0).availabilityZone(), this.zonesByDaemon));
 	}
 
 	// Besides its parent each asks those who may probe, so that a lost daemon in the
 	// middle
 	// cuts nobody off from a proof.
-	private GroupRole roleOf(GroupState group, List<String> order, int position) {
+	private GroupRole createRole(GroupState group, List<String> order, int position) {
 		final Set<String> asked = new LinkedHashSet<>();
 		if (position > 0) {
-			asked.add(order.get(ServingOrder.parent(position)));
+			asked.add(order.get(ServingOrder.parentPosition(position)));
 		}
-		asked.addAll(order.subList(0, Math.min(order.size(), ServingOrder.PROBERS)));
+		asked.addAll(order.subList(0, Math.min(order.size(), ServingOrder.MAX_PROBERS)));
 		asked.remove(this.selfId);
 		return new GroupRole(group, position, List.copyOf(asked));
 	}
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceLimits.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceLimits.java
@@ -5,15 +5,15 @@
  *
  * @param probeIntervalNanos the time between two questions to one member, and between two
  * questions to one daemon
- * @param boundNanos the age at which a proof no longer counts
+ * @param maxProofAgeNanos the age at which a proof no longer counts
  */
-public record PresenceLimits(long probeIntervalNanos, long boundNanos) {
+public record PresenceLimits(long probeIntervalNanos, long maxProofAgeNanos) {
 
 	/** The share of the bound at which the daemon that stands by begins to probe. */
-	private static final double STANDBY_SHARE = 0.5;
+	private static final double STANDBY_RATIO = 0.5;
 
 	/** The share of the bound at which any server that hears nothing begins to probe. */
-	private static final double LAST_RESORT_SHARE = 0.7;
+	private static final double FALLBACK_RATIO = 0.7;
 
 	/**
 	 * Returns the age of a proof at which the daemon that stands by begins to probe: late
@@ -21,8 +21,8 @@
 	 * round ends within the bound.
 	 * @return the age
 	 */
-	public long standbyNanos() {
-		return (long) (this.boundNanos * STANDBY_SHARE);
+	public long standbyDelayNanos() {
+		return (long) (this.maxProofAgeNanos * STANDBY_RATIO);
 	}
 
 	/**
@@ -31,8 +31,8 @@
 	 * turn every server into one.
 	 * @return the silence
 	 */
-	public long lastResortNanos() {
-		return (long) (this.boundNanos * LAST_RESORT_SHARE);
+	public long fallbackDelayNanos() {
+		return (long) (this.maxProofAgeNanos * FALLBACK_RATIO);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceNode.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceNode.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.state.GroupState;
 
@@ -30,15 +30,15 @@
 
 	private final PresenceLimits limits;
 
-	private final PresenceTable own;
+	private final PresenceTable probeResults;
 
-	private final Map<Long, GroupProof> told = new HashMap<>();
+	private final Map<Long, GroupProof> peerProofs = new HashMap<>();
 
-	private final Map<Long, Long> servedSinceNanos = new HashMap<>();
+	private final Map<Long, Long> roleSinceNanos = new HashMap<>();
 
 	private final Map<String, Long> probedAtNanos = new HashMap<>();
 
-	private final Map<String, Asked> asked = new HashMap<>();
+	private final Map<String, SentRequest> probedInstanceIds = new HashMap<>();
 
 	private Map<Long, GroupRole> roles = Map.of();
 
@@ -46,7 +46,7 @@
 
 	private Map<String, String> zonesByDaemon = Map.of();
 
-	private long lastToken;
+	private long lastCorrelationId;
 
 	/**
 	 * Creates a node that knows nothing.
@@ -56,7 +56,7 @@
 	public PresenceNode(String selfId, PresenceLimits limits) {
 		this.selfId = selfId;
 		this.limits = limits;
-		this.own = new PresenceTable(limits.boundNanos());
+		this.probeResults = new PresenceTable(limits.maxProofAgeNanos());
 	}
 
 	/**
@@ -72,11 +72,11 @@
 		}
 		this.groups = newGroups;
 		this.zonesByDaemon = Map.copyOf(newZonesByDaemon);
-		this.roles = GroupRoles.of(this.selfId, newGroups.values(), this.zonesByDaemon);
-		this.servedSinceNanos.keySet().retainAll(this.roles.keySet());
-		this.roles.keySet().forEach((epoch) -> this.servedSinceNanos.putIfAbsent(epoch, nowNanos));
-		this.told.keySet().retainAll(this.roles.keySet());
-		this.asked.keySet().retainAll(this.zonesByDaemon.keySet());
+		this.roles = GroupRoles.compute(this.selfId, newGroups.values(), this.zonesByDaemon);
+		this.roleSinceNanos.keySet().retainAll(this.roles.keySet());
+		this.roles.keySet().forEach((epoch) -> this.roleSinceNanos.putIfAbsent(epoch, nowNanos));
+		this.peerProofs.keySet().retainAll(this.roles.keySet());
+		this.probedInstanceIds.keySet().retainAll(this.zonesByDaemon.keySet());
 	}
 
 	/**
@@ -91,37 +91,39 @@
 		planned.forEach((member) -> wanted.put(member.instanceId(), member));
 		final Map<String, List<Long>> epochsByDaemon = new TreeMap<>();
 		for (final GroupRole role : this.roles.values()) {
-			if (probes(role, nowNanos)) {
+			if (shouldProbe(role, nowNanos)) {
 				role.group().members().forEach((member) -> wanted.put(member.instanceId(), member));
 			}
-			toAsk(role, nowNanos).forEach((daemon) -> epochsByDaemon.computeIfAbsent(daemon, (key) -> new ArrayList<>())
-				.add(role.group().epoch()));
+			selectDaemonsToAsk(role, nowNanos)
+				.forEach((daemon) -> epochsByDaemon.computeIfAbsent(daemon, (key) -> new ArrayList<>())
+					.add(role.group().epoch()));
 		}
-		this.own.retain(wanted.keySet());
+		this.probeResults.retain(wanted.keySet());
 		this.probedAtNanos.keySet().retainAll(wanted.keySet());
-		return new PresenceStep(dueProbes(wanted, nowNanos), dueQuestions(epochsByDaemon, nowNanos));
+		return new PresenceStep(dueProbes(wanted, nowNanos), dueRequests(epochsByDaemon, nowNanos));
 	}
 
-	private boolean probes(GroupRole role, long nowNanos) {
+	private boolean shouldProbe(GroupRole role, long nowNanos) {
 		if (role.isProber()) {
 			return true;
 		}
 		// A role that is new has heard nothing yet; its silence counts from its start.
-		final long sinceNanos = this.servedSinceNanos.get(role.group().epoch());
-		final GroupProof heard = this.told.getOrDefault(role.group().epoch(), GroupProof.NONE);
+		final long sinceNanos = this.roleSinceNanos.get(role.group().epoch());
+		final GroupProof heard = this.peerProofs.getOrDefault(role.group().epoch(), GroupProof.NONE);
 		if (role.mayProbe()) {
-			final long afterNanos = role.isStandby() ? this.limits.standbyNanos() : this.limits.lastResortNanos();
+			final long afterNanos = role.isStandby() ? this.limits.standbyDelayNanos()
+					: this.limits.fallbackDelayNanos();
 			return nowNanos - Math.max(sinceNanos, heard.provenAtNanos()) > afterNanos;
 		}
-		return nowNanos - Math.max(sinceNanos, heard.roundAtNanos()) > this.limits.lastResortNanos();
+		return nowNanos - Math.max(sinceNanos, heard.roundAtNanos()) > this.limits.fallbackDelayNanos();
 	}
 
-	private List<String> toAsk(GroupRole role, long nowNanos) {
-		final boolean stale = nowNanos - known(role, nowNanos).provenAtNanos() > this.limits.standbyNanos();
+	private List<String> selectDaemonsToAsk(GroupRole role, long nowNanos) {
+		final boolean stale = nowNanos - currentProof(role, nowNanos).provenAtNanos() > this.limits.standbyDelayNanos();
 		if (stale) {
-			return role.asked();
+			return role.daemonsToAsk();
 		}
-		return role.isProber() ? List.of() : role.asked().subList(0, 1);
+		return role.isProber() ? List.of() : role.daemonsToAsk().subList(0, 1);
 	}
 
 	private List<Member> dueProbes(Map<String, Member> wanted, long nowNanos) {
@@ -136,14 +138,14 @@
 		return due;
 	}
 
-	private List<PresenceQuestion> dueQuestions(Map<String, List<Long>> epochsByDaemon, long nowNanos) {
-		final List<PresenceQuestion> due = new ArrayList<>();
+	private List<PresenceRequest> dueRequests(Map<String, List<Long>> epochsByDaemon, long nowNanos) {
+		final List<PresenceRequest> due = new ArrayList<>();
 		epochsByDaemon.forEach((daemon, epochs) -> {
-			final Asked last = this.asked.get(daemon);
-			if (last == null || nowNanos - last.atNanos() >= this.limits.probeIntervalNanos()) {
-				this.lastToken++;
-				this.asked.put(daemon, new Asked(this.lastToken, nowNanos));
-				due.add(new PresenceQuestion(daemon, this.lastToken, epochs));
+			final SentRequest last = this.probedInstanceIds.get(daemon);
+			if (last == null || nowNanos - last.sentAtNanos() >= this.limits.probeIntervalNanos()) {
+				this.lastCorrelationId++;
+				this.probedInstanceIds.put(daemon, new SentRequest(this.lastCorrelationId, nowNanos));
+				due.add(new PresenceRequest(daemon, this.lastCorrelationId, epochs));
 			}
 		});
 		return due;
@@ -155,8 +157,8 @@
 	 * @param held what it said that it holds
 	 * @param askedAtNanos the monotonic time just before it was asked
 	 */
-	public void onHeld(String instanceId, HeldState held, long askedAtNanos) {
-		this.own.onAnswer(instanceId, held, askedAtNanos);
+	public void onProbeResponse(String instanceId, EngineState held, long askedAtNanos) {
+		this.probeResults.onProbeResponse(instanceId, held, askedAtNanos);
 	}
 
 	/**
@@ -165,12 +167,12 @@
 	 * @param nowNanos the monotonic time
 	 * @return what is known of those that this daemon serves
 	 */
-	public List<GroupDigest> answer(List<Long> epochs, long nowNanos) {
+	public List<GroupDigest> respond(List<Long> epochs, long nowNanos) {
 		final List<GroupDigest> digests = new ArrayList<>();
 		for (final Long epoch : epochs) {
 			final GroupRole role = this.roles.get(epoch);
 			if (role != null) {
-				digests.add(GroupDigest.of(epoch, known(role, nowNanos), nowNanos));
+				digests.add(GroupDigest.of(epoch, currentProof(role, nowNanos), nowNanos));
 			}
 		}
 		return digests;
@@ -180,17 +182,17 @@
 	 * Takes another daemon's answer. One that was not asked for, or that answers an older
 	 * question, is dropped: nothing would say how long it was on its way.
 	 * @param daemonId the daemon that answers
-	 * @param token the question's token
+	 * @param correlationId the question's token
 	 * @param digests what it knows
 	 */
-	public void onAnswer(String daemonId, long token, List<GroupDigest> digests) {
-		final Asked question = this.asked.get(daemonId);
-		if (question == null || question.token() != token) {
+	public void onResponse(String daemonId, long token, List<GroupDigest> digests) {
+		final SentRequest question = this.probedInstanceIds.get(daemonId);
+		if (question == null || question.correlationId() != token) {
 			return;
 		}
 		for (final GroupDigest digest : digests) {
 			if (this.roles.containsKey(digest.epoch())) {
-				this.told.merge(digest.epoch(), digest.received(question.atNanos()), GroupProof::merge);
+				this.peerProofs.merge(digest.epoch(), digest.toProof(question.sentAtNanos()), GroupProof::merge);
 			}
 		}
 	}
@@ -202,7 +204,7 @@
 	 */
 	public Map<Long, GroupProof> proofs(long nowNanos) {
 		final Map<Long, GroupProof> proofs = new HashMap<>();
-		this.roles.forEach((epoch, role) -> proofs.put(epoch, known(role, nowNanos)));
+		this.roles.forEach((epoch, role) -> proofs.put(epoch, currentProof(role, nowNanos)));
 		return proofs;
 	}
 
@@ -211,10 +213,10 @@
 	 * @param nowNanos the monotonic time
 	 * @return their epochs
 	 */
-	public Set<Long> serving(long nowNanos) {
+	public Set<Long> servingEpochs(long nowNanos) {
 		final Set<Long> serving = new HashSet<>();
 		proofs(nowNanos).forEach((epoch, proof) -> {
-			if (proof.serves(this.limits.boundNanos(), nowNanos)) {
+			if (proof.mayServe(this.limits.maxProofAgeNanos(), nowNanos)) {
 				serving.add(epoch);
 			}
 		});
@@ -225,7 +227,7 @@
 	 * Returns the instances that this daemon asks itself.
 	 * @return their ids
 	 */
-	public Set<String> asked() {
+	public Set<String> probedInstanceIds() {
 		return Set.copyOf(this.probedAtNanos.keySet());
 	}
 
@@ -233,22 +235,22 @@
 	 * Returns what this daemon learnt by its own probes.
 	 * @return the answers of members
 	 */
-	public PresenceTable own() {
-		return this.own;
+	public PresenceTable probeResults() {
+		return this.probeResults;
 	}
 
-	private GroupProof known(GroupRole role, long nowNanos) {
-		return ownProof(role, nowNanos).merge(this.told.getOrDefault(role.group().epoch(), GroupProof.NONE));
+	private GroupProof currentProof(GroupRole role, long nowNanos) {
+		return ownProof(role, nowNanos).merge(this.peerProofs.getOrDefault(role.group().epoch(), GroupProof.NONE));
 	}
 
 	// A round without an answer is news too: else all servers would probe a dark domain.
 	private GroupProof ownProof(GroupRole role, long nowNanos) {
-		final GroupProof proof = this.own.proofOf(role.group(), nowNanos);
+		final GroupProof proof = this.probeResults.groupProof(role.group(), nowNanos);
 		final Long probed = this.probedAtNanos.get(role.group().members().get(0).instanceId());
-		return (probed != null) ? proof.atRound(probed) : proof;
+		return (probed != null) ? proof.withRound(probed) : proof;
 	}
 
-	private record Asked(long token, long atNanos) {
+	private record SentRequest(long correlationId, long sentAtNanos) {
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceProof.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceProof.java
@@ -1,13 +1,13 @@
 package org.pistachioline.core.presence;
 
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 
 /**
  * What an instance answered, and since when that can be relied on.
  *
- * @param held what it said that it holds
- * @param askedAtNanos the monotonic time just before it was asked
+ * @param state what it said that it holds
+ * @param probedAtNanos the monotonic time just before it was asked
  */
-public record PresenceProof(HeldState held, long askedAtNanos) {
+public record PresenceProof(EngineState state, long probedAtNanos) {
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceQuestion.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceRequest.java
@@ -6,12 +6,12 @@
  * Asks another daemon what it knows of groups.
  *
  * @param daemonId the daemon to ask
- * @param token pairs the answer with the question
+ * @param correlationId pairs the answer with the question
  * @param epochs the groups' epochs
  */
-public record PresenceQuestion(String daemonId, long token, List<Long> epochs) {
+public record PresenceRequest(String daemonId, long correlationId, List<Long> epochs) {
 
-	public PresenceQuestion {
+	public PresenceRequest {
 		epochs = List.copyOf(epochs);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceStep.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceStep.java
@@ -8,13 +8,13 @@
  * What is to be asked now.
  *
  * @param probes the instances to ask what they hold
- * @param questions the questions to other daemons
+ * @param requests the questions to other daemons
  */
-public record PresenceStep(List<Member> probes, List<PresenceQuestion> questions) {
+public record PresenceStep(List<Member> probes, List<PresenceRequest> requests) {
 
 	public PresenceStep {
 		probes = List.copyOf(probes);
-		questions = List.copyOf(questions);
+		requests = List.copyOf(requests);
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceTable.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/PresenceTable.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.pistachioline.core.fleet.HeldPhase;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EnginePhase;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.record.Member;
 import org.pistachioline.core.state.GroupState;
 
@@ -23,7 +23,7 @@
  */
 public final class PresenceTable {
 
-	private final long boundNanos;
+	private final long maxProofAgeNanos;
 
 	private final Map<String, PresenceProof> proofs = new HashMap<>();
 
@@ -32,7 +32,7 @@
 	 * @param boundNanos the age at which a proof no longer counts
 	 */
 	public PresenceTable(long boundNanos) {
-		this.boundNanos = boundNanos;
+		this.maxProofAgeNanos = boundNanos;
 	}
 
 	/**
@@ -41,9 +41,9 @@
 	 * @param held what it said that it holds
 	 * @param askedAtNanos the monotonic time just before it was asked
 	 */
-	public void onAnswer(String instanceId, HeldState held, long askedAtNanos) {
+	public void onProbeResponse(String instanceId, EngineState held, long askedAtNanos) {
 		final PresenceProof known = this.proofs.get(instanceId);
-		if (known == null || askedAtNanos - known.askedAtNanos() >= 0) {
+		if (known == null || askedAtNanos - known.probedAtNanos() >= 0) {
 			this.proofs.put(instanceId, new PresenceProof(held, askedAtNanos));
 		}
 	}
@@ -60,7 +60,7 @@
 	 * Returns the instances that have answered.
 	 * @return their ids
 	 */
-	public Set<String> instances() {
+	public Set<String> instanceIds() {
 		return Set.copyOf(this.proofs.keySet());
 	}
 
@@ -95,7 +95,7 @@
 	 * @param nowNanos the monotonic time
 	 * @return what they prove together
 	 */
-	public GroupProof proofOf(GroupState group, long nowNanos) {
+	public GroupProof groupProof(GroupState group, long nowNanos) {
 		long provenAtNanos = Long.MAX_VALUE;
 		long deniedAtNanos = GroupProof.NEVER;
 		long roundAtNanos = GroupProof.NEVER;
@@ -105,35 +105,35 @@
 				provenAtNanos = GroupProof.NEVER;
 				continue;
 			}
-			roundAtNanos = Math.max(roundAtNanos, proof.askedAtNanos());
-			if (holds(proof.held(), group, rank)) {
-				provenAtNanos = Math.min(provenAtNanos, proof.askedAtNanos());
+			roundAtNanos = Math.max(roundAtNanos, proof.probedAtNanos());
+			if (isReadyAs(proof.state(), group, rank)) {
+				provenAtNanos = Math.min(provenAtNanos, proof.probedAtNanos());
 			}
 			else {
 				provenAtNanos = GroupProof.NEVER;
-				deniedAtNanos = Math.max(deniedAtNanos, proof.askedAtNanos());
+				deniedAtNanos = Math.max(deniedAtNanos, proof.probedAtNanos());
 			}
 		}
 		final PresenceProof first = this.proofs.get(group.members().get(0).instanceId());
 		final boolean loaded = first != null;
 		return new GroupProof(provenAtNanos, deniedAtNanos, roundAtNanos, missingRanks(group, nowNanos),
-				loaded ? first.held().running() : 0, loaded ? first.held().waiting() : 0,
-				loaded ? first.askedAtNanos() : GroupProof.NEVER);
+				loaded ? first.state().running() : 0, loaded ? first.state().waiting() : 0,
+				loaded ? first.probedAtNanos() : GroupProof.NEVER);
 	}
 
 	private boolean isProven(GroupState group, int rank, long nowNanos) {
 		final Member member = group.members().get(rank);
 		final PresenceProof proof = this.proofs.get(member.instanceId());
-		if (proof == null || nowNanos - proof.askedAtNanos() > this.boundNanos) {
+		if (proof == null || nowNanos - proof.probedAtNanos() > this.maxProofAgeNanos) {
 			return false;
 		}
-		return holds(proof.held(), group, rank);
+		return isReadyAs(proof.state(), group, rank);
 	}
 
-	private static boolean holds(HeldState held, GroupState group, int rank) {
+	private static boolean isReadyAs(EngineState held, GroupState group, int rank) {
 		final Member member = group.members().get(rank);
 		return held.instanceId().equals(member.instanceId()) && held.groupId().equals(group.groupId())
-				&& held.fencingNumber() == group.epoch() && held.rank() == rank && held.phase() == HeldPhase.READY;
+				&& held.fencingToken() == group.epoch() && held.rank() == rank && held.phase() == EnginePhase.READY;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/presence/ServingOrder.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/presence/ServingOrder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-import org.pistachioline.core.planner.Rendezvous;
+import org.pistachioline.core.planner.RendezvousHash;
 
 /**
  * Orders the live daemons before a group: the first probes it, the second stands by, and
@@ -25,7 +25,7 @@
 	 * choice among them is as good as among all and that a daemon's callers find capacity
 	 * when others are full; today's 63 fit in whole.
 	 */
-	public static final int SERVED_GROUPS = 64;
+	public static final int SERVED_GROUPS_PER_MODEL = 64;
 
 	/**
 	 * How many daemons ask one other: the answers of one daemon then stay few however
@@ -38,7 +38,7 @@
 	 * and two outside, so that a cut leaves some on either side, and no more, so that a
 	 * dark fabric domain is not probed by all.
 	 */
-	public static final int PROBERS = 4;
+	public static final int MAX_PROBERS = 4;
 
 	private ServingOrder() {
 	}
@@ -50,8 +50,9 @@
 	 * @param zonesByDaemon the availability zone of each live daemon
 	 * @return the daemons' names
 	 */
-	public static List<String> of(String fabricDomain, String availabilityZone, Map<String, String> zonesByDaemon) {
-		final List<String> ranked = Rendezvous.first(fabricDomain, zonesByDaemon.keySet(), zonesByDaemon.size());
+	public static List<String> forDomain(String fabricDomain, String availabilityZone,
+			Map<String, String> zonesByDaemon) {
+		final List<String> ranked = RendezvousHash.select(fabricDomain, zonesByDaemon.keySet(), zonesByDaemon.size());
 		if (ranked.isEmpty()) {
 			return ranked;
 		}
@@ -63,8 +64,8 @@
 		final boolean firstIsNear = zonesByDaemon.get(ranked.get(0)).equals(availabilityZone);
 		final List<String> order = new ArrayList<>(List.of(ranked.get(0)));
 		for (int i = 0; i < Math.max(near.size(), far.size()); i++) {
-			addAt(order, firstIsNear ? far : near, i);
-			addAt(order, firstIsNear ? near : far, i);
+			addIfPresent(order, firstIsNear ? far : near, i);
+			addIfPresent(order, firstIsNear ? near : far, i);
 		}
 		return List.copyOf(order);
 	}
@@ -76,13 +77,14 @@
 	 * @return the same daemons, one of the first few put first
 	 */
 	public static List<String> forGroup(String groupId, List<String> domainOrder) {
-		final int probers = Math.min(PROBERS, domainOrder.size());
-		final List<String> order = new ArrayList<>(Rendezvous.first(groupId, domainOrder.subList(0, probers), probers));
+		final int probers = Math.min(MAX_PROBERS, domainOrder.size());
+		final List<String> order = new ArrayList<>(
+				RendezvousHash.select(groupId, domainOrder.subList(0, probers), probers));
 		order.addAll(domainOrder.subList(probers, domainOrder.size()));
 		return List.copyOf(order);
 	}
 
-	private static void addAt(List<String> order, List<String> daemons, int index) {
+	private static void addIfPresent(List<String> order, List<String> daemons, int index) {
 		if (index < daemons.size()) {
 			order.add(daemons.get(index));
 		}
@@ -94,9 +96,9 @@
 	 * @param groupsOfModel how many groups the model has
 	 * @return how many
 	 */
-	public static int servers(int daemons, int groupsOfModel) {
-		final int needed = (SERVED_GROUPS * daemons + groupsOfModel - 1) / Math.max(1, groupsOfModel);
-		return Math.min(daemons, Math.max(PROBERS, needed));
+	public static int serverCount(int daemons, int groupsOfModel) {
+		final int needed = (SERVED_GROUPS_PER_MODEL * daemons + groupsOfModel - 1) / Math.max(1, groupsOfModel);
+		return Math.min(daemons, Math.max(MAX_PROBERS, needed));
 	}
 
 	/**
@@ -104,7 +106,7 @@
 	 * @param position its place in the order, above 0
 	 * @return the place of the daemon to ask
 	 */
-	public static int parent(int position) {
+	public static int parentPosition(int position) {
 		return (position - 1) / FAN_OUT;
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/Applied.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/ApplyResult.java
@@ -9,7 +9,7 @@
  * @param state the state after the record
  * @param rejection why the record changed nothing; empty where it was accepted
  */
-public record Applied<S>(S state, Optional<RejectReason> rejection) {
+public record ApplyResult<S>(S state, Optional<RejectReason> rejection) {
 
 	/**
 	 * Accepts a record.
@@ -17,8 +17,8 @@
 	 * @param state the state after the record
 	 * @return the result
 	 */
-	public static <S> Applied<S> accepted(S state) {
-		return new Applied<>(state, Optional.empty());
+	public static <S> ApplyResult<S> accepted(S state) {
+		return new ApplyResult<>(state, Optional.empty());
 	}
 
 	/**
@@ -28,8 +28,8 @@
 	 * @param reason why
 	 * @return the result
 	 */
-	public static <S> Applied<S> rejected(S state, RejectReason reason) {
-		return new Applied<>(state, Optional.of(reason));
+	public static <S> ApplyResult<S> rejected(S state, RejectReason reason) {
+		return new ApplyResult<>(state, Optional.of(reason));
 	}
 
 	/**
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/ConfigReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/ConfigReducer.java
@@ -21,31 +21,31 @@
 	}
 
 	@Override
-	public Applied<ConfigState> apply(ConfigState state, long offset, LogRecord record) {
-		if (state.writers().isRepeat(record)) {
-			return Applied.rejected(state, RejectReason.REPEATED);
+	public ApplyResult<ConfigState> apply(ConfigState state, long offset, LogRecord record) {
+		if (state.writers().isDuplicate(record)) {
+			return ApplyResult.rejected(state, RejectReason.REPEATED);
 		}
 		final ConfigState marked = state.withWriters(state.writers().with(offset, record));
 		if (record.body() instanceof ManifestProposal proposal) {
-			return propose(marked, offset, record, proposal);
+			return applyProposal(marked, offset, record, proposal);
 		}
 		if (record.body() instanceof CheckpointPart) {
 			// It restates what the state says already; only its writer's mark moves.
-			return Applied.accepted(marked);
+			return ApplyResult.accepted(marked);
 		}
 		final boolean unknown = record.body() instanceof UnknownBody;
-		return Applied.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
+		return ApplyResult.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
 	}
 
-	private static Applied<ConfigState> propose(ConfigState state, long offset, LogRecord record,
+	private static ApplyResult<ConfigState> applyProposal(ConfigState state, long offset, LogRecord record,
 			ManifestProposal proposal) {
 		if (proposal.baseVersion() != state.version()) {
-			return Applied.rejected(state, RejectReason.STALE_BASE);
+			return ApplyResult.rejected(state, RejectReason.STALE_BASE);
 		}
 		if (!ManifestValidator.validate(proposal.manifest()).isEmpty()) {
-			return Applied.rejected(state, RejectReason.INVALID_MANIFEST);
+			return ApplyResult.rejected(state, RejectReason.INVALID_MANIFEST);
 		}
-		return Applied.accepted(new ConfigState(state.version() + 1, offset, record.writer(), record.sequence(),
+		return ApplyResult.accepted(new ConfigState(state.version() + 1, offset, record.writer(), record.sequence(),
 				proposal.manifest(), state.writers()));
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/FleetReducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/FleetReducer.java
@@ -32,9 +32,9 @@
 	}
 
 	@Override
-	public Applied<FleetState> apply(FleetState state, long offset, LogRecord record) {
-		if (state.writers().isRepeat(record)) {
-			return Applied.rejected(state, RejectReason.REPEATED);
+	public ApplyResult<FleetState> apply(FleetState state, long offset, LogRecord record) {
+		if (state.writers().isDuplicate(record)) {
+			return ApplyResult.rejected(state, RejectReason.REPEATED);
 		}
 		final FleetState marked = state.withWriters(state.writers().with(offset, record));
 		final RecordBody body = record.body();
@@ -42,54 +42,56 @@
 			return claimPlanner(marked, offset, record.writer(), claim);
 		}
 		if (body instanceof GroupFormation formation) {
-			return form(marked, offset, record.writer(), formation);
+			return formGroup(marked, offset, record.writer(), formation);
 		}
 		if (body instanceof GroupDissolution dissolution) {
-			return dissolve(marked, record.writer(), dissolution);
+			return dissolveGroup(marked, record.writer(), dissolution);
 		}
 		if (body instanceof GroupDrain drain) {
-			return drain(marked, record.writer(), drain);
+			return drainGroup(marked, record.writer(), drain);
 		}
 		if (body instanceof RequestQuarantine quarantine) {
-			return Applied.accepted(KillerRules.quarantine(marked, quarantine));
+			return ApplyResult.accepted(QuarantineRules.applyQuarantine(marked, quarantine));
 		}
 		if (body instanceof RequestSuspicion suspicion) {
-			return Applied.accepted(KillerRules.suspect(marked, suspicion));
+			return ApplyResult.accepted(QuarantineRules.applySuspicion(marked, suspicion));
 		}
 		if (body instanceof CheckpointPart) {
 			// It restates what the state says already; only its writer's mark moves.
-			return Applied.accepted(marked);
+			return ApplyResult.accepted(marked);
 		}
 		final boolean unknown = body instanceof UnknownBody;
-		return Applied.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
+		return ApplyResult.rejected(marked, unknown ? RejectReason.UNKNOWN_KIND : RejectReason.WRONG_STREAM);
 	}
 
-	private static Applied<FleetState> claimPlanner(FleetState state, long offset, String writer, PlannerClaim claim) {
+	private static ApplyResult<FleetState> claimPlanner(FleetState state, long offset, String writer,
+			PlannerClaim claim) {
 		final PlannerEpoch current = state.planners().get(claim.fabricDomain());
-		final long currentEpoch = (current != null) ? current.epoch() : PlannerClaim.NONE;
+		final long currentEpoch = (current != null) ? current.epoch() : PlannerClaim.NO_EPOCH;
 		if (claim.expectedEpoch() != currentEpoch) {
-			return Applied.rejected(state, RejectReason.STALE_PLANNER);
+			return ApplyResult.rejected(state, RejectReason.STALE_PLANNER);
 		}
-		return Applied.accepted(state.withPlanner(claim.fabricDomain(), new PlannerEpoch(writer, offset)));
+		return ApplyResult.accepted(state.withPlanner(claim.fabricDomain(), new PlannerEpoch(writer, offset)));
 	}
 
-	private static Applied<FleetState> form(FleetState state, long offset, String writer, GroupFormation formation) {
-		final Optional<RejectReason> fault = faultOf(state, offset, writer, formation);
+	private static ApplyResult<FleetState> formGroup(FleetState state, long offset, String writer,
+			GroupFormation formation) {
+		final Optional<RejectReason> fault = rejectionOf(state, offset, writer, formation);
 		if (fault.isPresent()) {
-			return Applied.rejected(state, fault.get());
+			return ApplyResult.rejected(state, fault.get());
 		}
 		final GroupState group = new GroupState(formation.groupId(), formation.model(), offset, false, "",
 				formation.members(), formation.configVersion());
-		PMap<String, String> owners = state.owners();
+		PMap<String, String> owners = state.groupIdsByInstance();
 		PMap<String, Long> epochs = state.lastEpochs();
 		for (final Member member : formation.members()) {
 			owners = owners.plus(member.instanceId(), group.groupId());
 			epochs = epochs.plus(member.instanceId(), offset);
 		}
-		return Applied.accepted(state.withGroups(state.groups().plus(group.groupId(), group), owners, epochs));
+		return ApplyResult.accepted(state.withGroups(state.groups().plus(group.groupId(), group), owners, epochs));
 	}
 
-	private static Optional<RejectReason> faultOf(FleetState state, long offset, String writer,
+	private static Optional<RejectReason> rejectionOf(FleetState state, long offset, String writer,
 			GroupFormation formation) {
 		if (formation.members().isEmpty()) {
 			return Optional.of(RejectReason.INVALID_MEMBERS);
@@ -108,38 +110,40 @@
 			}
 			// A second formation at the same offset would have the same fencing number.
 			final long lastEpoch = state.lastEpochs().getOrDefault(member.instanceId(), -1L);
-			if (state.owners().containsKey(member.instanceId()) || lastEpoch >= offset) {
+			if (state.groupIdsByInstance().containsKey(member.instanceId()) || lastEpoch >= offset) {
 				return Optional.of(RejectReason.MEMBER_TAKEN);
 			}
 		}
 		return Optional.empty();
 	}
 
-	private static Applied<FleetState> dissolve(FleetState state, String writer, GroupDissolution dissolution) {
+	private static ApplyResult<FleetState> dissolveGroup(FleetState state, String writer,
+			GroupDissolution dissolution) {
 		final GroupState group = state.groups().get(dissolution.groupId());
 		if (group == null || group.epoch() != dissolution.groupEpoch()) {
-			return Applied.rejected(state, RejectReason.UNKNOWN_GROUP);
+			return ApplyResult.rejected(state, RejectReason.UNKNOWN_GROUP);
 		}
 		if (!isPlanner(state, group.fabricDomain(), writer, dissolution.plannerEpoch())) {
-			return Applied.rejected(state, RejectReason.STALE_PLANNER);
+			return ApplyResult.rejected(state, RejectReason.STALE_PLANNER);
 		}
-		PMap<String, String> owners = state.owners();
+		PMap<String, String> owners = state.groupIdsByInstance();
 		for (final Member member : group.members()) {
 			owners = owners.minus(member.instanceId());
 		}
-		return Applied.accepted(state.withGroups(state.groups().minus(group.groupId()), owners, state.lastEpochs()));
+		return ApplyResult
+			.accepted(state.withGroups(state.groups().minus(group.groupId()), owners, state.lastEpochs()));
 	}
 
-	private static Applied<FleetState> drain(FleetState state, String writer, GroupDrain drain) {
+	private static ApplyResult<FleetState> drainGroup(FleetState state, String writer, GroupDrain drain) {
 		final GroupState group = state.groups().get(drain.groupId());
 		if (group == null || group.epoch() != drain.groupEpoch()) {
-			return Applied.rejected(state, RejectReason.UNKNOWN_GROUP);
+			return ApplyResult.rejected(state, RejectReason.UNKNOWN_GROUP);
 		}
 		if (!isPlanner(state, group.fabricDomain(), writer, drain.plannerEpoch())) {
-			return Applied.rejected(state, RejectReason.STALE_PLANNER);
+			return ApplyResult.rejected(state, RejectReason.STALE_PLANNER);
 		}
-		final PMap<String, GroupState> groups = state.groups().plus(group.groupId(), group.drained(drain.reason()));
-		return Applied.accepted(state.withGroups(groups, state.owners(), state.lastEpochs()));
+		final PMap<String, GroupState> groups = state.groups().plus(group.groupId(), group.asDraining(drain.reason()));
+		return ApplyResult.accepted(state.withGroups(groups, state.groupIdsByInstance(), state.lastEpochs()));
 	}
 
 	private static boolean isPlanner(FleetState state, String fabricDomain, String writer, long epoch) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/GroupState.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/GroupState.java
@@ -38,7 +38,7 @@
 		return this.members.stream().mapToInt(Member::accelerators).sum();
 	}
 
-	GroupState drained(String why) {
+	GroupState asDraining(String why) {
 		return new GroupState(this.groupId, this.model, this.epoch, true, why, this.members, this.configVersion);
 	}
 
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/KillerRules.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/QuarantineRules.java
@@ -22,51 +22,52 @@
  * bounded, so that a storm of reports cannot grow the state; the cap on quarantines keeps
  * an outage of many groups from barring everybody's requests.
  */
-final class KillerRules {
+final class QuarantineRules {
 
-	private static final int MOST_SUSPICIONS = 1024;
+	private static final int MAX_SUSPICIONS = 1024;
 
 	/**
 	 * A suspect's second run waits as long, so that two deaths this close are two
 	 * copies'.
 	 */
-	private static final long SAME_MOMENT_MILLIS = 300;
+	private static final long CONCURRENT_REPORTS_MILLIS = 300;
 
 	private static final long LIFETIME_MILLIS = LogBasedQuarantine.QUARANTINE_MINUTES * 60_000;
 
-	private KillerRules() {
+	private QuarantineRules() {
 	}
 
-	static FleetState quarantine(FleetState state, RequestQuarantine quarantine) {
+	static FleetState applyQuarantine(FleetState state, RequestQuarantine quarantine) {
 		final FleetState current = withoutExpired(state, quarantine.expiresAtMillis() - LIFETIME_MILLIS);
 		final boolean full = current.quarantines().size() >= LogBasedQuarantine.MAX_QUARANTINES;
 		return full ? current : current.withQuarantine(quarantine);
 	}
 
-	static FleetState suspect(FleetState state, RequestSuspicion suspicion) {
+	static FleetState applySuspicion(FleetState state, RequestSuspicion suspicion) {
 		final FleetState current = withoutExpired(state, suspicion.expiresAtMillis() - LIFETIME_MILLIS);
 		final RequestSuspicion known = current.suspicions().get(suspicion.fingerprint());
-		if (known != null && isOtherGroup(known, suspicion) && isSameMoment(known, suspicion)) {
-			return quarantine(current, new RequestQuarantine(suspicion.fingerprint(), suspicion.expiresAtMillis(),
+		if (known != null && namesOtherGroup(known, suspicion) && isConcurrent(known, suspicion)) {
+			return applyQuarantine(current, new RequestQuarantine(suspicion.fingerprint(), suspicion.expiresAtMillis(),
 					"groups " + known.groupId() + " and " + suspicion.groupId() + " died under it"));
 		}
-		return bounded(current.withSuspicion(suspicion));
+		return limitSuspicions(current.withSuspicion(suspicion));
 	}
 
-	private static boolean isOtherGroup(RequestSuspicion one, RequestSuspicion other) {
+	private static boolean namesOtherGroup(RequestSuspicion one, RequestSuspicion other) {
 		return one.groupEpoch() != other.groupEpoch() || !one.groupId().equals(other.groupId());
 	}
 
-	private static boolean isSameMoment(RequestSuspicion one, RequestSuspicion other) {
-		return Math.abs(one.expiresAtMillis() - other.expiresAtMillis()) <= SAME_MOMENT_MILLIS;
+	private static boolean isConcurrent(RequestSuspicion one, RequestSuspicion other) {
+		return Math.abs(one.expiresAtMillis() - other.expiresAtMillis()) <= CONCURRENT_REPORTS_MILLIS;
 	}
 
 	private static FleetState withoutExpired(FleetState state, long atMillis) {
-		return state.withKillers(remaining(state.quarantines(), RequestQuarantine::expiresAtMillis, atMillis),
-				remaining(state.suspicions(), RequestSuspicion::expiresAtMillis, atMillis));
+		return state.withQuarantinesAndSuspicions(
+				unexpired(state.quarantines(), RequestQuarantine::expiresAtMillis, atMillis),
+				unexpired(state.suspicions(), RequestSuspicion::expiresAtMillis, atMillis));
 	}
 
-	private static <V> PMap<String, V> remaining(PMap<String, V> entries, ToLongFunction<V> expiresAtMillis,
+	private static <V> PMap<String, V> unexpired(PMap<String, V> entries, ToLongFunction<V> expiresAtMillis,
 			long atMillis) {
 		PMap<String, V> left = entries;
 		for (final Map.Entry<String, V> entry : entries.entrySet()) {
@@ -77,8 +78,8 @@
 		return left;
 	}
 
-	private static FleetState bounded(FleetState state) {
-		if (state.suspicions().size() <= MOST_SUSPICIONS) {
+	private static FleetState limitSuspicions(FleetState state) {
+		if (state.suspicions().size() <= MAX_SUSPICIONS) {
 			return state;
 		}
 		final RequestSuspicion first = state.suspicions()
@@ -87,7 +88,7 @@
 			.min(Comparator.comparingLong(RequestSuspicion::expiresAtMillis)
 				.thenComparing(RequestSuspicion::fingerprint))
 			.orElseThrow();
-		return state.withKillers(state.quarantines(), state.suspicions().minus(first.fingerprint()));
+		return state.withQuarantinesAndSuspicions(state.quarantines(), state.suspicions().minus(first.fingerprint()));
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/Reducer.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/Reducer.java
@@ -22,6 +22,6 @@
 	 * @param record the record
 	 * @return the state after it and the verdict
 	 */
-	Applied<S> apply(S state, long offset, LogRecord record);
+	ApplyResult<S> apply(S state, long offset, LogRecord record);
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/StalenessBound.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/StalenessBound.java
@@ -17,14 +17,14 @@
  */
 public final class StalenessBound {
 
-	private final long boundMillis;
+	private final long maxAgeMillis;
 
 	/**
 	 * Creates the decision.
 	 * @param boundMillis the greatest age at which the configuration is applied
 	 */
 	public StalenessBound(long boundMillis) {
-		this.boundMillis = boundMillis;
+		this.maxAgeMillis = boundMillis;
 	}
 
 	/**
@@ -49,8 +49,8 @@
 	 * @param ageMillis its age
 	 * @return whether it is
 	 */
-	public boolean isPast(long ageMillis) {
-		return ageMillis > this.boundMillis;
+	public boolean isExceededBy(long ageMillis) {
+		return ageMillis > this.maxAgeMillis;
 	}
 
 }
--- a/pistachioline-core/src/main/java/org/pistachioline/core/state/WriterMarks.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/state/WriterMarks.java
@@ -32,7 +32,7 @@
 	 * @param record the record
 	 * @return whether its sequence is at or below the writer's mark
 	 */
-	public boolean isRepeat(LogRecord record) {
+	public boolean isDuplicate(LogRecord record) {
 		final WriterMark mark = this.marks.get(record.writer());
 		return mark != null && record.sequence() <= mark.sequence();
 	}
@@ -46,10 +46,10 @@
 	public WriterMarks with(long offset, LogRecord record) {
 		final PMap<String, WriterMark> next = this.marks.plus(record.writer(),
 				new WriterMark(record.sequence(), offset));
-		return new WriterMarks((next.size() > MAX_WRITERS) ? next.minus(mostSilent(next)) : next);
+		return new WriterMarks((next.size() > MAX_WRITERS) ? next.minus(leastRecentlySeen(next)) : next);
 	}
 
-	private static String mostSilent(Map<String, WriterMark> marks) {
+	private static String leastRecentlySeen(Map<String, WriterMark> marks) {
 		String silent = null;
 		long lowestOffset = Long.MAX_VALUE;
 		for (final Map.Entry<String, WriterMark> entry : marks.entrySet()) {
--- a/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamAssignment.java
+++ b/pistachioline-core/src/main/java/org/pistachioline/core/stream/StreamAssignment.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 
-import org.pistachioline.core.planner.Rendezvous;
+import org.pistachioline.core.planner.RendezvousHash;
 
 /**
  * Assigns daemons to streams by rendezvous hashing: which daemons follow a stream, and in
@@ -37,7 +37,7 @@
 	 * @return the daemons, the first-ranked one first
 	 */
 	public static List<String> rankedDaemons(String stream, Collection<String> daemonIds) {
-		return Rendezvous.first("checkpoint/" + stream, daemonIds, daemonIds.size());
+		return RendezvousHash.select("checkpoint/" + stream, daemonIds, daemonIds.size());
 	}
 
 	/**
--- a/pistachioline-core/src/test/java/org/pistachioline/core/CorePurityTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/CorePurityTests.java
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void theCoreReadsNoClock() {
+	void theCoreDoesNotReadTheSystemClock() {
 		ArchRuleDefinition.noClasses()
 			.should()
 			.callMethod(System.class, "nanoTime")
--- a/pistachioline-core/src/test/java/org/pistachioline/core/claims/ClaimsReducerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/claims/ClaimsReducerTests.java
@@ -16,7 +16,7 @@
 import org.pistachioline.core.record.KeyRelease;
 import org.pistachioline.core.record.LogRecord;
 import org.pistachioline.core.record.RecordBody;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.RejectReason;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -31,9 +31,9 @@
 
 	private long offset;
 
-	private Applied<ClaimsState> append(String writer, long sequence, RecordBody body) {
+	private ApplyResult<ClaimsState> append(String writer, long sequence, RecordBody body) {
 		this.offset++;
-		final Applied<ClaimsState> applied = this.reducer.apply(this.state, this.offset,
+		final ApplyResult<ClaimsState> applied = this.reducer.apply(this.state, this.offset,
 				new LogRecord(writer, sequence, 1, body));
 		this.state = applied.state();
 		return applied;
@@ -48,10 +48,10 @@
 	// one after the claim was given back. Folded twice it would hold a key for which
 	// nothing runs, and the caller's repeats would be told that it may have run.
 	@Test
-	void aClaimThatLandsTwiceIsFoldedOnce() {
+	void aClaimThatIsAppendedTwiceIsAppliedOnce() {
 		append("a", 1, claim("k", 0));
 		append("a", 2, new KeyRelease("w", "k", 1));
-		final Applied<ClaimsState> again = append("a", 1, claim("k", 0));
+		final ApplyResult<ClaimsState> again = append("a", 1, claim("k", 0));
 		assertThat(again.rejection()).contains(RejectReason.REPEATED);
 		assertThat(this.state.find("w", "k")).isEmpty();
 	}
@@ -60,11 +60,11 @@
 	// one's release lands once more: it must not free the other's claim, or a third
 	// daemon would run the booking a second time.
 	@Test
-	void aReleaseFreesNoClaimButItsOwn() {
+	void aReleaseRemovesOnlyTheClaimThatItNames() {
 		append("a", 1, claim("k", 0));
 		append("a", 2, new KeyRelease("w", "k", 1));
 		append("b", 1, claim("k", 0));
-		final Applied<ClaimsState> late = append("a", 3, new KeyRelease("w", "k", 1));
+		final ApplyResult<ClaimsState> late = append("a", 3, new KeyRelease("w", "k", 1));
 		assertThat(late.rejection()).contains(RejectReason.UNKNOWN_CLAIM);
 		assertThat(append("c", 1, claim("k", 0)).rejection()).contains(RejectReason.KEY_TAKEN);
 	}
@@ -73,11 +73,11 @@
 	// forgot them early would run a repeat as new. Past the bound the oldest go, and only
 	// once twice their lifetime has passed.
 	@Test
-	void aPartitionStaysBoundedAndForgetsOnlyWhatIsLongExpired() {
+	void aPartitionIsBoundedAndEvictsOnlyEntriesPastRetention() {
 		for (int i = 0; i < 40_000; i++) {
 			append("a", i + 1, claim("k" + i, i));
 		}
-		assertThat(this.state.entries()).hasSize(ClaimsState.KEPT_ENTRIES + 1);
+		assertThat(this.state.entries()).hasSize(ClaimsState.EVICTION_THRESHOLD_ENTRIES + 1);
 		assertThat(this.state.byExpiry()).hasSize(this.state.entries().size());
 		assertThat(this.state.find("w", "k39999")).isPresent();
 		assertThat(this.state.find("w", "k" + (40_000 - 2 * LIFETIME_MILLIS))).isPresent();
@@ -87,8 +87,8 @@
 	// More claims arrive within a key's lifetime than a partition may hold. No younger
 	// claim is forgotten for a newer one; the newer one is refused, as not run.
 	@Test
-	void aPartitionFullOfYoungClaimsGrantsNone() {
-		for (int i = 0; i < ClaimsState.MOST_ENTRIES; i++) {
+	void aPartitionFullOfUnexpiredClaimsGrantsNone() {
+		for (int i = 0; i < ClaimsState.MAX_ENTRIES; i++) {
 			append("a", i + 1, claim("k" + i, 0));
 		}
 		assertThat(append("b", 1, claim("one more", 1)).rejection()).contains(RejectReason.CLAIMS_FULL);
@@ -98,13 +98,13 @@
 	// Services answer with large bodies. What does not fit is remembered as having run
 	// with an unknown answer, and never as not having run.
 	@Test
-	void answersBeyondTheStoredBytesAreKeptAsUnknown() {
+	void responsesBeyondTheStorageLimitAreStoredAsUnknown() {
 		final String body = "x".repeat(1024 * 1024);
 		for (int i = 0; i < 9; i++) {
 			append("a", 2 * i + 1, claim("k" + i, 0));
 			append("a", 2 * i + 2, new KeyOutcome("w", "k" + i, this.offset, 200, "text/plain", body, false));
 		}
-		assertThat(this.state.storedBytes()).isEqualTo(ClaimsState.MOST_STORED_BYTES);
+		assertThat(this.state.storedBytes()).isEqualTo(ClaimsState.MAX_STORED_BYTES);
 		assertThat(this.state.find("w", "k7").orElseThrow().outcome().orElseThrow().unknown()).isFalse();
 		assertThat(this.state.find("w", "k8").orElseThrow().outcome().orElseThrow().unknown()).isTrue();
 	}
@@ -113,7 +113,7 @@
 	// are given back, answers are stored. Over the whole history a key has one holder at
 	// a time, and a second daemon that folds the same records finds the same holders.
 	@Property(seed = "7202", tries = 200, shrinking = ShrinkingMode.OFF)
-	void whateverLandsAKeyHasOneHolderAndAllDaemonsAgree(@ForAll long seed) {
+	void aKeyHasOneHolderAndAllReplicasAgreeForAnyHistory(@ForAll long seed) {
 		final Random random = new Random(seed);
 		final List<LogRecord> sent = new ArrayList<>();
 		final Map<String, Long> holders = new HashMap<>();
@@ -122,10 +122,11 @@
 		ClaimsState second = ClaimsState.EMPTY;
 		for (long at = 0; at < 200; at++) {
 			final boolean repeat = !sent.isEmpty() && random.nextInt(3) == 0;
-			final LogRecord record = repeat ? sent.get(random.nextInt(sent.size())) : fresh(random, sequences, first);
+			final LogRecord record = repeat ? sent.get(random.nextInt(sent.size()))
+					: randomRecord(random, sequences, first);
 			sent.add(record);
-			final Applied<ClaimsState> applied = this.reducer.apply(first, at, record);
-			check(holders, at, record, applied);
+			final ApplyResult<ClaimsState> applied = this.reducer.apply(first, at, record);
+			updateHolders(holders, at, record, applied);
 			first = applied.state();
 			second = this.reducer.apply(second, at, record).state();
 			assertThat(second).isEqualTo(first);
@@ -133,7 +134,7 @@
 		assertThat(new ClaimsState(first.entries(), first.writers())).isEqualTo(first);
 	}
 
-	private static LogRecord fresh(Random random, Map<String, Long> sequences, ClaimsState state) {
+	private static LogRecord randomRecord(Random random, Map<String, Long> sequences, ClaimsState state) {
 		final String writer = "d" + random.nextInt(3);
 		final String key = "k" + random.nextInt(3);
 		final long claimOffset = state.find("w", key).map(ClaimEntry::claimOffset).orElse(random.nextLong(5));
@@ -145,7 +146,8 @@
 		return new LogRecord(writer, sequences.merge(writer, 1L, Long::sum), 1, body);
 	}
 
-	private static void check(Map<String, Long> holders, long at, LogRecord record, Applied<ClaimsState> applied) {
+	private static void updateHolders(Map<String, Long> holders, long at, LogRecord record,
+			ApplyResult<ClaimsState> applied) {
 		if (!applied.isAccepted()) {
 			return;
 		}
--- a/pistachioline-core/src/test/java/org/pistachioline/core/state/ConfigReducerTests.java
+++ b/pistachioline-core/src/test/java/org/pistachioline/core/state/ConfigReducerTests.java
@@ -20,9 +20,9 @@
 	// Two operators publish on the same base at the same moment. Without the check on the
 	// base the later one would silently undo what the first one's users already rely on.
 	@Test
-	void ofTwoRacingOperatorsTheFirstInLogOrderWinsAndTheOtherIsTold() {
-		final Applied<ConfigState> first = this.reducer.apply(ConfigState.EMPTY, 4, proposal("a", 1, 0));
-		final Applied<ConfigState> second = this.reducer.apply(first.state(), 5, proposal("b", 1, 0));
+	void ofTwoConcurrentProposalsTheFirstInLogOrderWinsAndTheOtherIsRejected() {
+		final ApplyResult<ConfigState> first = this.reducer.apply(ConfigState.EMPTY, 4, proposal("a", 1, 0));
+		final ApplyResult<ConfigState> second = this.reducer.apply(first.state(), 5, proposal("b", 1, 0));
 		assertThat(first.isAccepted()).isTrue();
 		assertThat(second.rejection()).contains(RejectReason.STALE_BASE);
 		assertThat(second.state().version()).isEqualTo(1);
@@ -32,9 +32,9 @@
 	// The answer to an append is lost, so it is sent again and lands twice. The operator
 	// would be told that he was beaten by himself.
 	@Test
-	void aRepeatedRecordIsDropped() {
-		final Applied<ConfigState> first = this.reducer.apply(ConfigState.EMPTY, 0, proposal("a", 1, 0));
-		final Applied<ConfigState> again = this.reducer.apply(first.state(), 1, proposal("a", 1, 0));
+	void aDuplicateRecordIsRejected() {
+		final ApplyResult<ConfigState> first = this.reducer.apply(ConfigState.EMPTY, 0, proposal("a", 1, 0));
+		final ApplyResult<ConfigState> again = this.reducer.apply(first.state(), 1, proposal("a", 1, 0));
 		assertThat(again.rejection()).contains(RejectReason.REPEATED);
 		assertThat(again.state()).isEqualTo(first.state());
 	}
@@ -43,9 +43,9 @@
 	// not
 	// know. An older one must neither stop nor change its state.
 	@Test
-	void aRecordOfAnUnknownKindChangesNothingInForce() {
+	void aRecordOfAnUnknownKindDoesNotChangeTheConfiguration() {
 		final LogRecord unknown = new LogRecord("a", 1, 2, new UnknownBody());
-		final Applied<ConfigState> applied = this.reducer.apply(ConfigState.EMPTY, 0, unknown);
+		final ApplyResult<ConfigState> applied = this.reducer.apply(ConfigState.EMPTY, 0, unknown);
 		assertThat(applied.rejection()).contains(RejectReason.UNKNOWN_KIND);
 		assertThat(applied.state().version()).isZero();
 	}
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/ConfigFreshness.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/ConfigFreshness.java
@@ -48,7 +48,7 @@
 		final long ownAgeMillis = logAgeMillis();
 		// The peers are asked only where their word can matter, as each request asks
 		// this.
-		return this.bound.isPast(ownAgeMillis)
+		return this.bound.isExceededBy(ownAgeMillis)
 				? this.bound.ageMillis(ownAgeMillis, this.config.get().nextOffset(), this.peers.get()) : ownAgeMillis;
 	}
 
@@ -58,7 +58,7 @@
 	 */
 	boolean isStale() {
 		final long ageMillis = ageMillis();
-		final boolean now = this.bound.isPast(ageMillis);
+		final boolean now = this.bound.isExceededBy(ageMillis);
 		if (now != this.stale.getAndSet(now)) {
 			Events.log(now ? EventId.CONFIG_STALE : EventId.CONFIG_FRESH, "version",
 					this.config.get().state().version(), "age_millis", ageMillis);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/Daemon.java
@@ -30,8 +30,8 @@
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.peer.PeerStatus;
+import org.pistachioline.core.planner.CostBasedWait;
 import org.pistachioline.core.planner.GroupPlanner;
-import org.pistachioline.core.planner.WeighedLoss;
 import org.pistachioline.core.presence.PresenceLimits;
 import org.pistachioline.core.state.ConfigReducer;
 import org.pistachioline.core.state.ConfigState;
@@ -158,7 +158,7 @@
 				new PresenceLimits(TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_INTERVAL_MILLIS)),
 						TimeUnit.MILLISECONDS.toNanos(settings.whole(Setting.PROBES_PRESENCE_BOUND_MILLIS))));
 		this.planner = new PlannerDuty(this.system, this.config, this.fleet, this.instances, engines, this.appender,
-				new GroupPlanner(new WeighedLoss()), selfId, this.peers::activeDaemonIds);
+				new GroupPlanner(new CostBasedWait()), selfId, this.peers::activeDaemonIds);
 		this.claims = new ClaimForwarder(this.system, claims, selfId, writer, this.peers::activeDaemonIds,
 				this.peers::send);
 		this.peers.setClaimReceiver(this.claims::onFrame);
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/DaemonDump.java
@@ -64,7 +64,7 @@
 		sections.put("fleet", fleet());
 		final Plan plan = this.planner.plan();
 		sections.put("plan", Map.of("groups", plan.groupReasons(), "free_instances", plan.freeReasons(), "dark_domains",
-				plan.darkDomains()));
+				plan.unreachableDomains()));
 		sections.put("peers", daemons);
 		sections.put("killers", Map.of("quarantined", this.fleet.view().state().quarantines().values(), "suspected",
 				this.fleet.view().state().suspicions().values()));
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/FleetDuty.java
@@ -18,7 +18,7 @@
 import org.pistachioline.adapters.platform.InstanceList;
 import org.pistachioline.adapters.target.EngineControl;
 import org.pistachioline.core.event.EventId;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.manifest.PoolKind;
 import org.pistachioline.core.manifest.PoolSpec;
@@ -109,7 +109,7 @@
 		this.engines = engines;
 		this.transport = transport;
 		this.writer = writer;
-		this.presenceBoundNanos = limits.boundNanos();
+		this.presenceBoundNanos = limits.maxProofAgeNanos();
 		this.presence = new PresenceNode(transport.selfId(), limits);
 		this.duty = new Duty<>(system, "fleet", RING_CAPACITY, TICK_INTERVAL, this);
 	}
@@ -166,8 +166,8 @@
 	private void probe(long nowNanos) {
 		this.presence.update(this.fleet.view().state().groups(), this.transport.zonesByDaemon(), nowNanos);
 		final PresenceStep step = this.presence.step(membersToProbe(nowNanos), nowNanos);
-		this.heldByInstance.keySet().retainAll(this.presence.own().instances());
-		this.probedSinceNanos.keySet().retainAll(this.presence.asked());
+		this.heldByInstance.keySet().retainAll(this.presence.probeResults().instanceIds());
+		this.probedSinceNanos.keySet().retainAll(this.presence.probedInstanceIds());
 		for (final Member member : step.probes()) {
 			this.probedSinceNanos.putIfAbsent(member.instanceId(), nowNanos);
 			this.engines.held(member.address()).whenComplete((held, failure) -> {
@@ -176,14 +176,14 @@
 				}
 			});
 		}
-		step.questions().forEach(this.transport::send);
+		step.requests().forEach(this.transport::send);
 	}
 
 	// A planner itself probes the instances that no other daemon proves present: the free
 	// ones and the members of groups that are loading or lack a member.
 	private List<Member> membersToProbe(long nowNanos) {
 		final FleetState state = this.fleet.view().state();
-		final Set<Long> provenByPresence = this.presence.serving(nowNanos);
+		final Set<Long> provenByPresence = this.presence.servingEpochs(nowNanos);
 		final List<Member> members = new ArrayList<>();
 		for (final GroupState group : state.groups().values()) {
 			if (isPlannedHere(state, group.fabricDomain()) && !provenByPresence.contains(group.epoch())) {
@@ -192,7 +192,7 @@
 		}
 		for (final Instance instance : this.instances) {
 			if (isPlannedHere(state, instance.fabricDomain()) && isEngine(instance)
-					&& !state.owners().containsKey(instance.id())) {
+					&& !state.groupIdsByInstance().containsKey(instance.id())) {
 				members.add(new Member(instance.id(), instance.fabricDomain(), instance.address(),
 						instance.availabilityZone(), instance.accelerators()));
 			}
@@ -223,7 +223,7 @@
 		else if (message instanceof Message.HeldStateReceived heldState) {
 			this.heldByInstance.put(heldState.instanceId(),
 					new PresenceProof(heldState.held(), heldState.probedAtNanos()));
-			this.presence.onHeld(heldState.instanceId(), heldState.held(), heldState.probedAtNanos());
+			this.presence.onProbeResponse(heldState.instanceId(), heldState.held(), heldState.probedAtNanos());
 		}
 		else if (message instanceof Message.PeerFrameReceived received) {
 			this.transport.handle(received.frame(), this.presence, System.nanoTime());
@@ -253,11 +253,11 @@
 		final Map<String, List<Integer>> missing = new HashMap<>();
 		for (final GroupState group : state.groups().values()) {
 			final GroupProof proof = proofs.get(group.epoch());
-			if (proof != null && proof.serves(this.presenceBoundNanos, nowNanos)) {
+			if (proof != null && proof.mayServe(this.presenceBoundNanos, nowNanos)) {
 				continue;
 			}
 			if (isPlannedHere(state, group.fabricDomain())) {
-				missing.put(group.groupId(), this.presence.own().missingRanks(group, nowNanos));
+				missing.put(group.groupId(), this.presence.probeResults().missingRanks(group, nowNanos));
 			}
 			else if (proof != null) {
 				missing.put(group.groupId(), proof.missingRanks());
@@ -300,7 +300,7 @@
 	Set<Long> provenEpochs(long nowNanos) {
 		final Set<Long> proven = new HashSet<>();
 		this.view.get().proofs().forEach((epoch, proof) -> {
-			if (proof.serves(this.presenceBoundNanos, nowNanos)) {
+			if (proof.mayServe(this.presenceBoundNanos, nowNanos)) {
 				proven.add(epoch);
 			}
 		});
@@ -320,14 +320,14 @@
 		final Set<String> candidates = new HashSet<>();
 		for (final GroupState group : state.groups().values()) {
 			final GroupProof proof = currentView.proofs().get(group.epoch());
-			final boolean proven = proof != null && proof.serves(this.presenceBoundNanos, nowNanos);
+			final boolean proven = proof != null && proof.mayServe(this.presenceBoundNanos, nowNanos);
 			if (isPlannedHere(state, group.fabricDomain()) && !proven) {
 				group.members().forEach((member) -> candidates.add(member.instanceId()));
 			}
 		}
 		for (final Instance instance : currentView.instances()) {
 			if (isPlannedHere(state, instance.fabricDomain()) && isEngine(instance)
-					&& !state.owners().containsKey(instance.id())) {
+					&& !state.groupIdsByInstance().containsKey(instance.id())) {
 				candidates.add(instance.id());
 			}
 		}
@@ -337,7 +337,7 @@
 			// An instance that has been probed for less than the bound has had no chance
 			// to heldState.
 			return probedNanos <= this.presenceBoundNanos
-					|| (proof != null && nowNanos - proof.askedAtNanos() <= this.presenceBoundNanos);
+					|| (proof != null && nowNanos - proof.probedAtNanos() <= this.presenceBoundNanos);
 		});
 		return candidates;
 	}
@@ -368,7 +368,7 @@
 		 * @param held what the instance holds
 		 * @param probedAtNanos the monotonic time when the probe was sent
 		 */
-		record HeldStateReceived(String instanceId, HeldState held, long probedAtNanos) implements Message {
+		record HeldStateReceived(String instanceId, EngineState held, long probedAtNanos) implements Message {
 		}
 
 		/**
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PlannerDuty.java
@@ -160,7 +160,7 @@
 		final long nowNanos = System.nanoTime();
 		// A planner with a stale view may have been replaced without knowing it.
 		final boolean fresh = fleetView.caughtUp() && this.config.view().caughtUp() && instanceView.listed()
-				&& this.orders.isFresh(fleetView.readAtNanos(), nowNanos);
+				&& this.orders.isViewFresh(fleetView.readAtNanos(), nowNanos);
 		if (!fresh) {
 			return;
 		}
@@ -174,8 +174,8 @@
 		final Set<String> live = this.liveDaemons.get();
 		for (final String domain : engineDomains(instanceView)) {
 			final PlannerEpoch current = state.planners().get(domain);
-			if (this.election.claims(domain, current, live, nowNanos)) {
-				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
+			if (this.election.shouldClaim(domain, current, live, nowNanos)) {
+				append(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NO_EPOCH));
 			}
 		}
 		if (this.pendingProposals > 0) {
@@ -185,14 +185,14 @@
 			.plan(new PlannerInput(nowNanos, this.appender.writer(), this.config.view().state().manifest(),
 					this.config.view().state().version(), state, instanceView.instances(), instanceView.missingRanks(),
 					loads(state, instanceView), this.fleetDuty.unresponsiveInstances(nowNanos)), this.memory);
-		logDarkDomains(next.darkDomains());
+		logDarkDomains(next.unreachableDomains());
 		this.plan.set(next);
 		next.records().forEach(this::append);
 	}
 
 	private void logDarkDomains(Set<String> darkDomains) {
 		for (final String domain : darkDomains) {
-			if (!this.plan.get().darkDomains().contains(domain)) {
+			if (!this.plan.get().unreachableDomains().contains(domain)) {
 				Events.log(EventId.DOMAIN_UNRESPONSIVE, "fabric_domain", domain);
 			}
 		}
@@ -256,7 +256,7 @@
 				view.state(), instanceView.instances(), this.fleetDuty.provenEpochs(nowNanos), this.fleetDuty.held());
 		for (final EngineCommand command : this.orders.decide(input)) {
 			// Checked again, since this thread may have been paused after the decision.
-			if (this.orders.isFresh(view.readAtNanos(), System.nanoTime())) {
+			if (this.orders.isViewFresh(view.readAtNanos(), System.nanoTime())) {
 				send(command);
 			}
 		}
@@ -269,7 +269,7 @@
 		this.engines.order(command.address(), command.order()).whenComplete((accepted, failure) -> {
 			if (failure != null || !accepted) {
 				Events.log(EventId.ORDER_FAILED, "instance", command.instanceId(), "group", command.order().groupId(),
-						"fencing_number", command.order().fencingNumber());
+						"fencing_number", command.order().fencingToken());
 			}
 			this.duty.put(new Message.OrderCompleted(command.instanceId()));
 		});
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/PresenceTransport.java
@@ -8,7 +8,7 @@
 import org.pistachioline.core.peer.PeerStatus;
 import org.pistachioline.core.presence.GroupDigest;
 import org.pistachioline.core.presence.PresenceNode;
-import org.pistachioline.core.presence.PresenceQuestion;
+import org.pistachioline.core.presence.PresenceRequest;
 import org.pistachioline.daemon.peer.PeerDuty;
 import org.pistachioline.protocol.peer.PeerFrame;
 import org.pistachioline.protocol.peer.PresenceAnswer;
@@ -50,7 +50,7 @@
 		this.peers.setPresenceReceiver(receiver);
 	}
 
-	void send(PresenceQuestion request) {
+	void send(PresenceRequest request) {
 		this.peers.send(request.daemonId(), frameOf(this.selfId, request));
 	}
 
@@ -60,11 +60,11 @@
 	 * @param request the request
 	 * @return the frame
 	 */
-	public static PeerFrame frameOf(String requesterId, PresenceQuestion request) {
+	public static PeerFrame frameOf(String requesterId, PresenceRequest request) {
 		return PeerFrame.newBuilder()
 			.setPresenceQuestion(org.pistachioline.protocol.peer.PresenceQuestion.newBuilder()
 				.setAskerId(requesterId)
-				.setToken(request.token())
+				.setToken(request.correlationId())
 				.addAllEpochs(request.epochs()))
 			.build();
 	}
@@ -88,7 +88,7 @@
 		}
 		else if (frame.hasPresenceAnswer()) {
 			final PresenceAnswer response = frame.getPresenceAnswer();
-			presence.onAnswer(response.getAnswererId(), response.getToken(),
+			presence.onResponse(response.getAnswererId(), response.getToken(),
 					response.getGroupsList().stream().map(PresenceTransport::decode).toList());
 		}
 	}
@@ -96,7 +96,7 @@
 	private void respond(org.pistachioline.protocol.peer.PresenceQuestion request, PresenceNode presence,
 			long nowNanos) {
 		this.peers.send(request.getAskerId(),
-				frameOf(this.selfId, request.getToken(), presence.answer(request.getEpochsList(), nowNanos)));
+				frameOf(this.selfId, request.getToken(), presence.respond(request.getEpochsList(), nowNanos)));
 	}
 
 	private static org.pistachioline.protocol.peer.GroupDigest encode(GroupDigest digest) {
--- a/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/TargetViews.java
+++ b/pistachioline-daemon/src/main/java/org/pistachioline/daemon/fleet/TargetViews.java
@@ -54,8 +54,8 @@
 				final boolean noMemberLeaving = group.members()
 					.stream()
 					.noneMatch((member) -> leaving.contains(member.instanceId()));
-				targets.add(
-						ofGroup(group, manifest, proof, noMemberLeaving && proof.serves(presenceBoundNanos, nowNanos)));
+				targets.add(ofGroup(group, manifest, proof,
+						noMemberLeaving && proof.mayServe(presenceBoundNanos, nowNanos)));
 			}
 		}
 		for (final ServiceSpec service : manifest.services()) {
--- a/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/AgreedStateTests.java
+++ b/pistachioline-daemon/src/test/java/org/pistachioline/daemon/agreed/AgreedStateTests.java
@@ -39,7 +39,7 @@
 	private static RecordBody fleetBody(FleetState state, int choice) {
 		final PlannerEpoch planner = state.planners().get(DOMAIN);
 		if (planner == null || choice % 6 == 0) {
-			return new PlannerClaim(DOMAIN, (planner != null) ? planner.epoch() : PlannerClaim.NONE);
+			return new PlannerClaim(DOMAIN, (planner != null) ? planner.epoch() : PlannerClaim.NO_EPOCH);
 		}
 		if (choice % 6 == 1 && !state.groups().isEmpty()) {
 			final GroupState group = state.groups().values().iterator().next();
@@ -88,7 +88,7 @@
 				.map(Member::instanceId)
 				.toList();
 			assertThat(members).doesNotHaveDuplicates();
-			assertThat(state.owners().keySet()).containsExactlyInAnyOrderElementsOf(members);
+			assertThat(state.groupIdsByInstance().keySet()).containsExactlyInAnyOrderElementsOf(members);
 		}
 	}
 
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/FleetReplay.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/FleetReplay.java
@@ -12,7 +12,7 @@
 import java.util.function.UnaryOperator;
 
 import org.pistachioline.core.fleet.EngineCommand;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.manifest.Manifest;
 import org.pistachioline.core.manifest.ModelSpec;
@@ -20,7 +20,7 @@
 import org.pistachioline.core.planner.MemberLossPolicy;
 import org.pistachioline.core.record.GroupFormation;
 import org.pistachioline.core.record.LogRecord;
-import org.pistachioline.core.state.Applied;
+import org.pistachioline.core.state.ApplyResult;
 import org.pistachioline.core.state.FleetReducer;
 import org.pistachioline.core.state.FleetState;
 import org.pistachioline.core.state.GroupState;
@@ -179,7 +179,7 @@
 		return this.engines.values()
 			.stream()
 			.filter((engine) -> engine.isUp() && !engine.listed().leaving()
-					&& !this.state.owners().containsKey(engine.listed().id()))
+					&& !this.state.groupIdsByInstance().containsKey(engine.listed().id()))
 			.mapToInt((engine) -> engine.listed().accelerators())
 			.sum();
 	}
@@ -222,7 +222,7 @@
 
 	void append(LogRecord sent) {
 		for (final LogRecord record : this.appendFault.apply(List.of(sent))) {
-			final Applied<FleetState> applied = this.reducer.apply(this.state, this.log.size(), record);
+			final ApplyResult<FleetState> applied = this.reducer.apply(this.state, this.log.size(), record);
 			this.state = applied.state();
 			this.log.add(record);
 			this.formations += (applied.isAccepted() && record.body() instanceof GroupFormation) ? 1 : 0;
@@ -236,7 +236,7 @@
 		}
 	}
 
-	Optional<HeldState> ask(String instanceId) {
+	Optional<EngineState> ask(String instanceId) {
 		return Optional.ofNullable(this.engines.get(instanceId))
 			.filter(ReplayEngine::isUp)
 			.map((engine) -> engine.state(this.nowNanos));
@@ -267,7 +267,7 @@
 		if (engine != null) {
 			return engine.listed().fabricDomain();
 		}
-		final GroupState group = this.state.groups().get(this.state.owners().get(instanceId));
+		final GroupState group = this.state.groups().get(this.state.groupIdsByInstance().get(instanceId));
 		return (group != null) ? group.fabricDomain() : "";
 	}
 
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/ReplayDaemon.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/ReplayDaemon.java
@@ -139,7 +139,7 @@
 			read();
 			probe();
 		}
-		if (this.readAtNanos == 0 || !this.orders.isFresh(this.readAtNanos, this.world.nowNanos())) {
+		if (this.readAtNanos == 0 || !this.orders.isViewFresh(this.readAtNanos, this.world.nowNanos())) {
 			return;
 		}
 		final boolean answered = this.pendingSequence == 0
@@ -171,12 +171,12 @@
 				continue;
 			}
 			this.probedAtNanos.put(instanceId, nowNanos);
-			this.world.ask(instanceId).ifPresent((held) -> this.presence.onAnswer(instanceId, held, nowNanos));
+			this.world.ask(instanceId).ifPresent((held) -> this.presence.onProbeResponse(instanceId, held, nowNanos));
 		}
 	}
 
 	private Set<String> known() {
-		final Set<String> known = new TreeSet<>(this.state.owners().keySet());
+		final Set<String> known = new TreeSet<>(this.state.groupIdsByInstance().keySet());
 		this.world.listed().forEach((instance) -> known.add(instance.id()));
 		return known;
 	}
@@ -188,8 +188,8 @@
 		final List<RecordBody> records = new ArrayList<>();
 		for (final String domain : domains) {
 			final PlannerEpoch current = this.state.planners().get(domain);
-			if (this.election.claims(domain, current, this.world.liveDaemons(), nowNanos)) {
-				records.add(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NONE));
+			if (this.election.shouldClaim(domain, current, this.world.liveDaemons(), nowNanos)) {
+				records.add(new PlannerClaim(domain, (current != null) ? current.epoch() : PlannerClaim.NO_EPOCH));
 			}
 		}
 		if (records.isEmpty()) {
@@ -217,7 +217,7 @@
 		final Set<String> silent = new HashSet<>();
 		for (final String instanceId : known()) {
 			final PresenceProof proof = this.presence.proof(instanceId);
-			if (isMine(instanceId) && (proof == null || nowNanos - proof.askedAtNanos() > BOUND_NANOS)) {
+			if (isMine(instanceId) && (proof == null || nowNanos - proof.probedAtNanos() > BOUND_NANOS)) {
 				silent.add(instanceId);
 			}
 		}
--- a/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/ReplayEngine.java
+++ b/pistachioline-replay/src/main/java/org/pistachioline/replay/fleet/ReplayEngine.java
@@ -1,8 +1,8 @@
 package org.pistachioline.replay.fleet;
 
 import org.pistachioline.core.fleet.EngineOrder;
-import org.pistachioline.core.fleet.HeldPhase;
-import org.pistachioline.core.fleet.HeldState;
+import org.pistachioline.core.fleet.EnginePhase;
+import org.pistachioline.core.fleet.EngineState;
 import org.pistachioline.core.fleet.Instance;
 import org.pistachioline.core.state.GroupState;
 
@@ -65,11 +65,11 @@
 		if (!this.up) {
 			return;
 		}
-		if (this.checksFencing && order.fencingNumber() < this.highestFencing) {
+		if (this.checksFencing && order.fencingToken() < this.highestFencing) {
 			this.refusedOrders++;
 			return;
 		}
-		this.highestFencing = Math.max(this.highestFencing, order.fencingNumber());
+		this.highestFencing = Math.max(this.highestFencing, order.fencingToken());
 		if (!order.load()) {
 			this.held = null;
 		}
@@ -79,18 +79,18 @@
 		}
 	}
 
-	HeldState state(long nowNanos) {
+	EngineState state(long nowNanos) {
 		if (this.held == null) {
-			return new HeldState(this.listed.id(), "", this.highestFencing, 0, "", HeldPhase.FREE, 0, 0);
+			return new EngineState(this.listed.id(), "", this.highestFencing, 0, "", EnginePhase.FREE, 0, 0);
 		}
-		final HeldPhase phase = (nowNanos >= this.readyAtNanos) ? HeldPhase.READY : HeldPhase.LOADING;
-		return new HeldState(this.listed.id(), this.held.groupId(), this.held.fencingNumber(), this.held.rank(),
+		final EnginePhase phase = (nowNanos >= this.readyAtNanos) ? EnginePhase.READY : EnginePhase.LOADING;
+		return new EngineState(this.listed.id(), this.held.groupId(), this.held.fencingToken(), this.held.rank(),
 				this.held.model(), phase, 0, 0);
 	}
 
 	boolean serves(GroupState group, int rank, long nowNanos) {
 		return this.up && this.held != null && this.held.groupId().equals(group.groupId())
-				&& this.held.fencingNumber() == group.epoch() && this.held.rank() == rank
+				&& this.held.fencingToken() == group.epoch() && this.held.rank() == rank
 				&& nowNanos >= this.readyAtNanos;
 	}
 
--- a/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/FleetReplayTests.java
+++ b/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/FleetReplayTests.java
@@ -79,7 +79,7 @@
 		Fleets.event(fleet, dead, InstanceEvent.Kind.GONE);
 		fleet.run(MINUTE / 2);
 		assertThat(complete(fleet)).hasSize(1);
-		assertThat(fleet.state().owners()).doesNotContainKey(dead);
+		assertThat(fleet.state().groupIdsByInstance()).doesNotContainKey(dead);
 	}
 
 	// An engine restarts and is back within seconds. Giving its group up would cost a
@@ -119,7 +119,7 @@
 		instances.forEach((id) -> Fleets.event(fleet, id, InstanceEvent.Kind.DARK));
 		fleet.run(MINUTE);
 		final Set<String> dark = new TreeSet<>();
-		fleet.daemons().values().forEach((daemon) -> dark.addAll(daemon.plan().darkDomains()));
+		fleet.daemons().values().forEach((daemon) -> dark.addAll(daemon.plan().unreachableDomains()));
 		assertThat(dark).containsExactly(domain);
 		fleet.run(MINUTE / 2);
 		instances.forEach((id) -> Fleets.event(fleet, id, InstanceEvent.Kind.BACK));
--- a/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/Fleets.java
+++ b/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/Fleets.java
@@ -9,7 +9,7 @@
 import org.pistachioline.core.manifest.PoolKind;
 import org.pistachioline.core.manifest.PoolSpec;
 import org.pistachioline.core.manifest.WeightSpec;
-import org.pistachioline.core.planner.WeighedLoss;
+import org.pistachioline.core.planner.CostBasedWait;
 
 /**
  * Small fleets for tests.
@@ -39,7 +39,7 @@
 			}
 		}
 		for (int daemon = 0; daemon < daemons; daemon++) {
-			fleet.addDaemon("daemon-" + daemon, new WeighedLoss());
+			fleet.addDaemon("daemon-" + daemon, new CostBasedWait());
 		}
 		return fleet;
 	}
--- a/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/LossComparisonTests.java
+++ b/pistachioline-replay/src/test/java/org/pistachioline/replay/fleet/LossComparisonTests.java
@@ -7,7 +7,7 @@
 import org.pistachioline.core.manifest.WeightSpec;
 import org.pistachioline.core.planner.AlwaysDissolve;
 import org.pistachioline.core.planner.AlwaysWait;
-import org.pistachioline.core.planner.WeighedLoss;
+import org.pistachioline.core.planner.CostBasedWait;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,7 +18,7 @@
 	private static final long SEED = 1;
 
 	private static FleetFigures weighed(WeightSpec weights) {
-		return LossComparison.replay(new WeighedLoss(), weights, TRACE_MILLIS, SEED);
+		return LossComparison.replay(new CostBasedWait(), weights, TRACE_MILLIS, SEED);
 	}
 
 	// Members fail all day long. One customer loses a sale for each minute of a missing
